--- a/lib/src/dispatch/policy.rs
+++ b/lib/src/dispatch/policy.rs
@@ -1,9 +1,8 @@
-//! The figures that decide: when a job begins, where its tasks go, what is waited for and what is
-//! given up. They stand here and nowhere else, each with its unit, its range and its meaning, in a
-//! module a decision; the `policy` section of the settings overrides them. `docs/SETTINGS.md` lists
-//! the fields.
+//! The tunable values of the dispatcher: when a job begins, where its tasks go, which timeouts apply and when
+//! work is given up. Each submodule declares the fields of one section, with unit, default, range and meaning;
+//! the `policy` section of a settings file overrides the defaults. `docs/SETTINGS.md` lists all fields.
 //!
-//! A mechanism with a switch can be switched off, so that anybody can measure what it is worth.
+//! A mechanism with an `on` field can be switched off, so that its effect can be measured.
 
 mod admission;
 mod balance;
@@ -13,7 +12,6 @@
 mod claims;
 mod contention;
 mod crashes;
-mod figure;
 mod health;
 mod leases;
 mod leaving;
@@ -24,6 +22,7 @@
 mod preemption;
 mod recovery;
 mod reports;
+mod section;
 mod speeds;
 
 use serde::Deserialize;
@@ -41,7 +40,6 @@
 pub use crate::dispatch::policy::claims::Claims;
 pub use crate::dispatch::policy::contention::Contention;
 pub use crate::dispatch::policy::crashes::Crashes;
-pub use crate::dispatch::policy::figure::Row;
 pub use crate::dispatch::policy::health::Health;
 pub use crate::dispatch::policy::leases::Leases;
 pub use crate::dispatch::policy::leaving::Leaving;
@@ -52,19 +50,20 @@
 pub use crate::dispatch::policy::preemption::Preemption;
 pub use crate::dispatch::policy::recovery::Recovery;
 pub use crate::dispatch::policy::reports::Reports;
+pub use crate::dispatch::policy::section::FieldDoc;
 pub use crate::dispatch::policy::speeds::Speeds;
 
-/// Declares the policy out of its sections.
+/// Declares [`Policy`] with one field for each of its sections.
 macro_rules! policy {
     ($( $(#[doc = $doc:literal])* $field:ident: $section:ident ),* $(,)?) => {
-        /// All figures that decide.
+        /// All sections of the policy.
         #[derive(Clone, Copy, Debug, Default, PartialEq)]
         pub struct Policy {
             $( $(#[doc = $doc])* pub $field: $section, )*
         }
 
         impl Policy {
-            /// Reads the `policy` section of a settings file. What is wrong is a finding, and
+            /// Reads the `policy` section of a settings file. Adds a finding for each invalid value, which
             /// stays at its default.
             pub fn read(value: &Value, findings: &mut Findings) -> Policy {
                 let mut policy = Policy::default();
@@ -81,11 +80,11 @@
                 policy
             }
 
-            /// All fields, for the reference page.
-            pub fn rows() -> Vec<Row> {
-                let mut rows = Vec::new();
-                $( rows.extend($section::rows()); )*
-                rows
+            /// Returns all fields with their documentation, for the reference page.
+            pub fn field_docs() -> Vec<FieldDoc> {
+                let mut field_docs = Vec::new();
+                $( field_docs.extend($section::field_docs()); )*
+                field_docs
             }
         }
     };
@@ -96,57 +95,56 @@
     admission: Admission,
     /// Which worker a task goes to.
     placement: Placement,
-    /// How slow, failing and hanging workers are told.
+    /// How slow, failing and stalled workers are detected.
     health: Health,
-    /// When a task is held to take workers down.
+    /// When a task counts as the cause of worker crashes.
     crashes: Crashes,
     /// When the tasks of a queue are confined to a part of the workers.
     bulkheads: Bulkheads,
-    /// What executors ask of their workers.
+    /// What executors ask of their workers, and how often.
     orders: Orders,
-    /// What processes tell each other.
+    /// What processes report to each other, and how often.
     reports: Reports,
     /// At which executors a scheduler places tasks.
     cells: Cells,
     /// How a large fleet is divided.
     partitions: Partitions,
-    /// How the newest configuration is come by.
+    /// How a scheduler obtains the newest configuration.
     catalog: Catalogs,
-    /// Who may decide about a job.
+    /// Which scheduler may decide about a job that may already run elsewhere.
     claims: Claims,
-    /// How long rights last.
+    /// How long leases last.
     leases: Leases,
-    /// How an entry leaves.
+    /// How an entry shuts down.
     leaving: Leaving,
-    /// How processes connect.
+    /// How processes connect to each other.
     links: Links,
-    /// Who goes first while jobs compete for room.
+    /// Which jobs go first when there is too little room for all.
     contention: Contention,
-    /// When urgent jobs take the room of others.
+    /// When urgent jobs take the room of less urgent ones.
     preemption: Preemption,
-    /// How fast workers are.
+    /// How the speeds of workers are learned and used.
     speeds: Speeds,
-    /// When an entry hands fresh jobs to another one.
+    /// When an entry hands off waiting jobs to another one.
     balance: Balance,
-    /// How a fleet that has just come back takes up its work.
+    /// How a fleet that has just restarted resumes its work.
     recovery: Recovery,
 }
 
-/// A worker's clock may be this much slow.
-const SLOW_CLOCK: f64 = 1.02;
+/// The factor by which time may pass faster than a worker's clock shows.
+const MAX_CLOCK_SLOWDOWN: f64 = 1.02;
 
 impl Policy {
-    /// What must hold between fields.
+    /// Adds a finding for each constraint between fields that is violated.
     fn check(&self, findings: &mut Findings) {
         let l = &self.leases;
-        if l.lease + l.worker_hold.mul_f64(SLOW_CLOCK) >= l.lapse {
-            let message = "must be longer than `lease_ms` and 1.02 times `worker_hold_ms` together: \
-                           else a task may be placed again while it still runs";
+        if l.lease + l.worker_hold.mul_f64(MAX_CLOCK_SLOWDOWN) >= l.lapse {
+            let message = "must be longer than `lease_ms` plus 1.02 times `worker_hold_ms`: \
+                           otherwise a task may be placed again while it still runs";
             findings.add("/leases/lapse_ms", message);
         }
         if self.claims.again_after > self.claims.warm_up {
-            let message =
-                "must not be longer than `warm_up_ms`: a job of a life before may come again";
+            let message = "must not be longer than `warm_up_ms`: a job from before a restart may be submitted again";
             findings.add("/claims/again_after_ms", message);
         }
         if self.health.trial_first > self.health.trial_last {
@@ -162,16 +160,18 @@
             findings.add("/crashes/most", "must not be above `most_unsure`");
         }
         if self.cells.silence < self.cells.heartbeat * 2 {
-            let message = "must be at least twice `heartbeat_ms`: else links on standby are closed";
+            let message =
+                "must be at least twice `heartbeat_ms`: otherwise standby links are closed";
             findings.add("/cells/silence_ms", message);
         }
         if self.partitions.again_silent < self.claims.again_after {
-            let message = "must not be below `again_after_ms` of `claims`: a job that comes again \
-                           sooner may not have been announced";
+            let message = "must not be below `again_after_ms` of `claims`: a job that is submitted \
+                           again sooner may not have been announced";
             findings.add("/partitions/again_silent_ms", message);
         }
         if self.partitions.silence < self.partitions.heartbeat * 2 {
-            let message = "must be at least twice `heartbeat_ms`: else links in use are given up";
+            let message =
+                "must be at least twice `heartbeat_ms`: otherwise links in use are dropped";
             findings.add("/partitions/silence_ms", message);
         }
         if self.links.connect_first > self.links.greeting {
--- a/lib/src/dispatch/policy/partitions.rs
+++ b/lib/src/dispatch/policy/partitions.rs
@@ -1,41 +1,48 @@
-//! How a large fleet is divided.
+//! Settings of how a large fleet is divided into partitions.
 
 use std::time::Duration;
 
 use serde_json::Value;
 
-use super::figure::Figure;
-use super::figure::Row;
-use super::figure::section;
+use super::section::FieldDoc;
+use super::section::FieldType;
+use super::section::section;
 use crate::findings::Fields;
 use crate::findings::Findings;
 
 section! {
-    /// How large a fleet is divided, and how jobs of other partitions are forwarded.
+    /// How a large fleet is divided, and how jobs of other partitions are forwarded.
     Partitions ("partitions") {
-        /// A fleet is divided until a partition has no more executors than this in the mean. Hashes leave its parts unequal by some of a hundred: the larger they are, the less that matters under load.
+        /// A fleet is divided until its partitions have at most this many executors on average. Hashing makes
+        /// their sizes differ by several percent, which matters less under load the larger they are.
         executors: count = 256, 1..=100_000;
-        /// It is divided no further than leaves each partition so many schedulers, of which most may be lost at once.
+        /// A fleet is not divided any further once a partition would have fewer schedulers than this, since
+        /// most of them may be lost at once.
         schedulers: count = 8, 1..=100_000;
-        /// A forwarded job is handed to another scheduler this long after the link to the first broke, so that its peers have noticed as well.
+        /// A forwarded job is sent to another scheduler this long after the link to the first one broke, so
+        /// that the peers of the first one have noticed as well.
         again_broken: ms = 100, 1..=60_000;
-        /// It is handed to another this long after it was sent, if nothing comes from the first. Not below `claims.again_after_ms`.
+        /// A forwarded job is sent to another scheduler this long after it was sent if the first one stays
+        /// silent. Must not be below `claims.again_after_ms`.
         again_silent: ms = 1300, 1..=60_000;
-        /// A scheduler to which jobs are forwarded is heard at least this often meanwhile.
+        /// A scheduler that has forwarded jobs sends a message at least this often.
         heartbeat: ms = 200, 10..=10_000;
-        /// One that is not heard for so long meanwhile is sent nothing more. Three heartbeats and a half.
+        /// A scheduler that has been silent for this long is sent no more jobs. Equals three and a half
+        /// heartbeats.
         silence: ms = 700, 20..=60_000;
-        /// One that could not be reached is tried again after this long.
+        /// How long a scheduler that could not be reached is avoided.
         avoid: ms = 1000, 1..=60_000;
-        /// Of each other partition so many schedulers are remembered, those that come first. Where half of all machines are lost, one in four thousand lists then has nobody left.
+        /// The number of schedulers of each other partition that are kept, in order of preference. If half of
+        /// all machines are lost, one in four thousand such lists has nobody left.
         candidates: count = 12, 1..=1000;
-        /// A link over which nothing was forwarded for so long is closed.
+        /// A link over which nothing has been forwarded for this long is closed.
         idle: ms = 30_000, 100..=3_600_000;
-        /// The schedulers of one other partition are read again this often, one partition after the other.
+        /// The interval at which the schedulers of one other partition are read again, one partition after
+        /// the other.
         refresh: ms = 3000, 100..=600_000;
-        /// Before a fleet is divided for the first time, its processes have so long to appear.
+        /// How long processes have to register, at least, before a fleet is divided for the first time.
         appear: ms = 700, 0..=600_000;
-        /// They are counted again this often, until two counts agree.
+        /// The processes are counted again after one to two times this long, until two counts agree.
         count_again: ms = 400, 10..=60_000;
     }
 }
--- a/lib/src/dispatch/policy/recovery.rs
+++ b/lib/src/dispatch/policy/recovery.rs
@@ -1,25 +1,27 @@
-//! The policy after a loss of many processes.
+//! Settings of the restart of a fleet after the loss of many processes.
 
 use std::time::Duration;
 
 use serde_json::Value;
 
-use super::figure::Figure;
-use super::figure::Row;
-use super::figure::section;
+use super::section::FieldDoc;
+use super::section::FieldType;
+use super::section::section;
 use crate::findings::Fields;
 use crate::findings::Findings;
 
 section! {
-    /// How a fleet that has just come back takes up its work.
+    /// How a fleet that has just restarted resumes its work.
     Recovery ("recovery") {
         /// Whether entries that have just started serve jobs before they have met every executor.
         on: switch = false, ();
-        /// One that the store has not told which executors there are asks a peer to read it this long after its start. Before that its own reading may still come.
+        /// An entry that has not learned the roster from the store this long after its start asks a peer to
+        /// read it. Until then its own reading may still arrive.
         roster_first: ms = 50, 0..=60_000;
-        /// It asks another peer after this long. A peer needs part of that to notice the question.
+        /// The entry asks another peer after this long. A peer needs part of that to notice the request.
         roster_again: ms = 300, 10..=60_000;
-        /// An executor that is not heard for so long is not waited for if it is known for whom it may run something. Two and a half heartbeats.
+        /// An executor that has been silent for this long is not waited for if it is known for which
+        /// schedulers it may run tasks. Equals two and a half heartbeats.
         silent: ms = 250, 10..=60_000;
     }
 }
--- a/lib/src/dispatch/policy/figure.rs
+++ b/lib/src/dispatch/policy/section.rs
@@ -1,5 +1,5 @@
-//! A kind of figure of the policy: how it is read from JSON and shown on the reference page, and the
-//! declaration of a section of them.
+//! The types that a policy field may have, each with its reader from JSON and its text for the reference page, and
+//! the macro that declares a section of such fields. A value out of range adds a finding and leaves the default.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -7,24 +7,24 @@
 use crate::findings::Fields;
 use crate::findings::Findings;
 
-/// One field of a policy, for the reference page.
+/// The documentation of one policy field, for the reference page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
-    /// Section and field.
+pub struct FieldDoc {
+    /// The section and the field, separated by a dot.
     pub name: String,
-    /// Its default.
+    /// The default value.
     pub default: String,
-    /// What it may be.
+    /// The values that are allowed.
     pub range: String,
-    /// What it does and where the default comes from.
+    /// What the field does.
     pub meaning: String,
 }
 
-/// A kind of figure: how it is read from JSON and shown on the reference page.
-pub(super) trait Figure: Copy {
-    /// What it may be.
+/// A type of policy field: how it is read from JSON and shown on the reference page.
+pub(super) trait FieldType: Copy {
+    /// The values that are allowed.
     type Range;
-    /// Reads the field, or takes its default. What is out of range is a finding.
+    /// Reads the field. Returns the default if it is missing, and also adds a finding if it is invalid.
     fn read(
         fields: &mut Fields<'_>,
         name: &'static str,
@@ -32,11 +32,11 @@
         range: Self::Range,
         findings: &mut Findings,
     ) -> Self;
-    /// The default and the range, in words.
-    fn words(self, range: Self::Range) -> (String, String);
+    /// Returns the default and the range as text.
+    fn describe(self, range: Self::Range) -> (String, String);
 }
 
-impl Figure for Duration {
+impl FieldType for Duration {
     type Range = RangeInclusive<u64>;
 
     fn read(
@@ -50,13 +50,13 @@
         Duration::from_millis(fields.number(name, default, range, findings))
     }
 
-    fn words(self, range: RangeInclusive<u64>) -> (String, String) {
+    fn describe(self, range: RangeInclusive<u64>) -> (String, String) {
         let default = crate::clock::millis(self).to_string();
         (default, format!("{} to {}", range.start(), range.end()))
     }
 }
 
-impl Figure for u32 {
+impl FieldType for u32 {
     type Range = RangeInclusive<u64>;
 
     fn read(
@@ -70,13 +70,13 @@
         u32::try_from(number).unwrap_or(u32::MAX)
     }
 
-    fn words(self, range: RangeInclusive<u64>) -> (String, String) {
+    fn describe(self, range: RangeInclusive<u64>) -> (String, String) {
         let default = self.to_string();
         (default, format!("{} to {}", range.start(), range.end()))
     }
 }
 
-impl Figure for f64 {
+impl FieldType for f64 {
     type Range = RangeInclusive<f64>;
 
     fn read(
@@ -89,13 +89,13 @@
         fields.ratio(name, default, range, findings)
     }
 
-    fn words(self, range: RangeInclusive<f64>) -> (String, String) {
+    fn describe(self, range: RangeInclusive<f64>) -> (String, String) {
         let default = self.to_string();
         (default, format!("{} to {}", range.start(), range.end()))
     }
 }
 
-impl Figure for bool {
+impl FieldType for bool {
     type Range = ();
 
     fn read(
@@ -108,13 +108,13 @@
         fields.switch(name, default, findings)
     }
 
-    fn words(self, (): ()) -> (String, String) {
+    fn describe(self, (): ()) -> (String, String) {
         (self.to_string(), "`true`, `false`".to_owned())
     }
 }
 
-/// Declares a section: a struct whose fields each have a kind, a default and a range. The field's
-/// name in JSON is its name here; times in milliseconds end in `_ms`.
+/// Declares a section: a struct whose fields each have a kind, a default and a range. A field has the same name in
+/// JSON, with the suffix `_ms` if it is a time in milliseconds.
 macro_rules! section {
     (
         $(#[doc = $about:literal])*
@@ -142,7 +142,7 @@
                 };
                 let section = $section {
                     $(
-                        $field: Figure::read(
+                        $field: FieldType::read(
                             &mut fields,
                             section!(@key $kind $field),
                             default.$field,
@@ -155,19 +155,19 @@
                 section
             }
 
-            pub(super) fn rows() -> Vec<Row> {
+            pub(super) fn field_docs() -> Vec<FieldDoc> {
                 let section = $section::default();
-                let mut rows = Vec::new();
+                let mut field_docs = Vec::new();
                 $(
-                    let (default, range) = section.$field.words($range);
-                    rows.push(Row {
+                    let (default, range) = section.$field.describe($range);
+                    field_docs.push(FieldDoc {
                         name: concat!($key, ".", section!(@key $kind $field)).to_owned(),
                         default,
                         range,
                         meaning: concat!($($doc),*).trim().to_owned(),
                     });
                 )*
-                rows
+                field_docs
             }
         }
     };
--- a/lib/src/dispatch/policy/tests.rs
+++ b/lib/src/dispatch/policy/tests.rs
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn test_policy_without_fields_is_the_default() {
+fn test_policy_defaults() {
     assert_eq!(read(json!({})), (Policy::default(), Vec::new()));
 }
 
 #[test]
-fn test_policy_fields_override_the_defaults_one_by_one() {
+fn test_policy_overridden_fields() {
     let (policy, findings) = read(json!({
         "admission": { "sure_share": 0.5, "late_wait_ms": 10, "round_jobs": 7 },
     }));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn test_policy_findings_name_every_place_and_keep_the_defaults() {
+fn test_policy_invalid_fields() {
     let (policy, findings) = read(json!({
         "admission": { "sure_share": 7, "late_wait": 10 },
         "health": 3,
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn test_policy_leases_that_outlast_the_lapse_are_refused() {
+fn test_policy_lapse_too_short() {
     let (_, findings) = read(json!({ "leases": { "worker_hold_ms": 600 } }));
     assert_eq!(findings.len(), 1);
     assert!(findings[0].starts_with("/leases/lapse_ms: must be longer"));
 }
 
 #[test]
-fn test_policy_in_a_settings_file_reports_all_findings() {
+fn test_policy_deserialize_errors() {
     let text = r#"{"health": {"stall_ms": 0, "failures": "x"}}"#;
     let error = serde_json::from_str::<Policy>(text).expect_err("findings");
     let message = error.to_string();
@@ -59,15 +59,15 @@
     assert!(message.contains("/health/failures"), "{message}");
 }
 
-/// Every field stands in `docs/SETTINGS.md` with its default, its range and its meaning.
+/// `docs/SETTINGS.md` lists each field with its default, its range and its meaning.
 #[test]
-fn test_policy_fields_are_listed_in_the_settings_page() {
+fn test_policy_fields_are_listed() {
     let page = include_str!("../../../../docs/SETTINGS.md");
     let mut missing = Vec::new();
-    for row in Policy::rows() {
+    for field in Policy::field_docs() {
         let line = format!(
             "| `{}` | {} | {} | {} |",
-            row.name, row.default, row.range, row.meaning
+            field.name, field.default, field.range, field.meaning
         );
         if !page.contains(&line) {
             missing.push(line);
