--- a/lib/src/dispatch/balance.rs
+++ b/lib/src/dispatch/balance.rs
@@ -23,22 +23,22 @@
 
 /// What waits at an entry and at those that may take some of it.
 #[derive(Clone, Debug)]
-pub struct Spread<K> {
+pub struct Balancer<K> {
     own: u64,
     mean: u64,
     others: Vec<Candidate<K>>,
 }
 
-impl<K: Copy> Spread<K> {
+impl<K: Copy> Balancer<K> {
     /// Compares what waits here with what waits elsewhere, in thousandths of a core.
-    pub fn new(own: u64, others: Vec<Candidate<K>>) -> Spread<K> {
+    pub fn new(own: u64, others: Vec<Candidate<K>>) -> Balancer<K> {
         let sum: u64 = own + others.iter().map(|c| c.waiting).sum::<u64>();
         let mean = sum / (others.len() as u64 + 1);
-        Spread { own, mean, others }
+        Balancer { own, mean, others }
     }
 
     /// Whether what waits here is more than `ratio` times the mean.
-    pub fn is_uneven(&self, ratio: f64) -> bool {
+    pub fn is_overloaded(&self, ratio: f64) -> bool {
         self.own as f64 > self.mean as f64 * ratio
     }
 
--- a/lib/src/dispatch/balance/tests.rs
+++ b/lib/src/dispatch/balance/tests.rs
@@ -1,19 +1,19 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+use super::Balancer;
 use super::Candidate;
-use super::Spread;
 
 /// Tasks of a job, in thousandths of a core.
 const JOB: u64 = 5_000;
 
-fn spread(own: u64, others: &[u64]) -> Spread<usize> {
+fn spread(own: u64, others: &[u64]) -> Balancer<usize> {
     let others = others.iter().enumerate();
     let others = others.map(|(key, waiting)| Candidate {
         key,
         waiting: *waiting,
     });
-    Spread::new(own, others.collect())
+    Balancer::new(own, others.collect())
 }
 
 /// Hands on all that goes, and tells how many jobs each entry got.
@@ -51,10 +51,10 @@
 
 #[test]
 fn test_balance_is_uneven_only_above_the_ratio() {
-    assert!(!spread(10_000, &[10_000, 10_000]).is_uneven(1.2));
-    assert!(!spread(11_000, &[10_000, 10_000]).is_uneven(1.2));
-    assert!(spread(20_000, &[10_000, 10_000]).is_uneven(1.2));
-    assert!(!spread(0, &[]).is_uneven(1.2));
+    assert!(!spread(10_000, &[10_000, 10_000]).is_overloaded(1.2));
+    assert!(!spread(11_000, &[10_000, 10_000]).is_overloaded(1.2));
+    assert!(spread(20_000, &[10_000, 10_000]).is_overloaded(1.2));
+    assert!(!spread(0, &[]).is_overloaded(1.2));
 }
 
 /// A zone with a swing of 0.55 beside two others, each of four small entries: two entries that take half as much again hand
--- a/lib/src/dispatch/contention/arrival.rs
+++ b/lib/src/dispatch/contention/arrival.rs
@@ -10,7 +10,7 @@
 
 /// What becomes of a job that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// There may be room for it now.
     Admit,
     /// It waits.
@@ -20,14 +20,18 @@
 }
 
 /// Judges a job that can wait for `slack` from now.
-pub fn judge(forecast: &Forecast, slack: Duration, policy: &Contention) -> Verdict {
+pub fn decide_admission(
+    forecast: &Forecast,
+    slack: Duration,
+    policy: &Contention,
+) -> AdmissionDecision {
     if forecast.free >= forecast.need {
-        return Verdict::Admit;
+        return AdmissionDecision::Admit;
     }
     let bound = slack.mul_f64(policy.refuse_margin) + policy.refuse_after;
     if forecast.wait() > bound {
-        Verdict::Refuse
+        AdmissionDecision::Refuse
     } else {
-        Verdict::Hold
+        AdmissionDecision::Hold
     }
 }
--- a/lib/src/dispatch/contention/drain.rs
+++ b/lib/src/dispatch/contention/drain.rs
@@ -10,14 +10,14 @@
 /// How long runs hold their room, learned from those that end. Room in use comes free at the rate of what is used
 /// through that time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Drain {
+pub struct ReleaseRate {
     runs: u32,
     /// Means over runs: room in thousandths of a core, and that times seconds.
     cpu: f64,
     work: f64,
 }
 
-impl Drain {
+impl ReleaseRate {
     /// A run has ended.
     pub fn note(&mut self, cpu_milli: u32, ran: Duration) {
         self.runs = self.runs.saturating_add(1);
--- a/lib/src/dispatch/contention/returning.rs
+++ b/lib/src/dispatch/contention/returning.rs
@@ -9,15 +9,15 @@
 
 /// The times that callers were told.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Returns {
+pub struct RetrySchedule {
     /// When the next one may come.
     next: Mono,
 }
 
-impl Returns {
+impl RetrySchedule {
     /// How long a caller stays away. `wait` is how long what waits now needs, and `gap` how long it takes until there
     /// is room for one job more.
-    pub fn stay_away(
+    pub fn schedule_retry(
         &mut self,
         now: Mono,
         wait: Duration,
--- a/lib/src/dispatch/contention/round.rs
+++ b/lib/src/dispatch/contention/round.rs
@@ -9,22 +9,22 @@
 
 /// A job that has not begun, as a round sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Entrant {
+pub struct PendingJob {
     /// Its class; the lowest go first.
     pub class: u8,
     /// Whether too few of its kind are served, so that it yields to nobody.
-    pub owed: bool,
+    pub underserved: bool,
     /// The room that it must find to begin, in thousandths of a core.
-    pub least: u64,
+    pub min_cpu: u64,
     /// The room that all of it needs.
-    pub whole: u64,
+    pub total_cpu: u64,
     /// Until when others may go past it.
-    pub patient_until: Mono,
+    pub yields_until: Mono,
 }
 
 /// What a round does with a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum RoundDecision {
     /// It is tried.
     Try,
     /// It yields to others.
@@ -34,8 +34,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Blocked {
     class: u8,
-    patient_until: Mono,
-    least: u64,
+    yields_until: Mono,
+    min_cpu: u64,
 }
 
 /// A round of placing.
@@ -61,20 +61,20 @@
     }
 
     /// Whether a job is tried. `elsewhere` is the room that more urgent work at peers needs.
-    pub fn turn(&self, job: &Entrant, elsewhere: u64) -> Turn {
-        let (beside, least) = match self.blocked {
-            Some(b) if self.now >= b.patient_until => return Turn::Yield,
-            Some(b) if job.class > b.class && !job.owed => (b.least, job.whole),
-            Some(_) => (0, job.whole),
-            None => (0, job.least),
+    pub fn decide(&self, job: &PendingJob, elsewhere: u64) -> RoundDecision {
+        let (beside, min_cpu) = match self.blocked {
+            Some(b) if self.now >= b.yields_until => return RoundDecision::Yield,
+            Some(b) if job.class > b.class && !job.underserved => (b.min_cpu, job.total_cpu),
+            Some(_) => (0, job.total_cpu),
+            None => (0, job.min_cpu),
         };
-        let elsewhere = if job.owed { 0 } else { elsewhere };
+        let elsewhere = if job.underserved { 0 } else { elsewhere };
         let taken = beside.saturating_add(elsewhere);
         let yields = taken > 0 || self.blocked.is_some();
-        if yields && self.free < taken.saturating_add(least) {
-            return Turn::Yield;
+        if yields && self.free < taken.saturating_add(min_cpu) {
+            return RoundDecision::Yield;
         }
-        Turn::Try
+        RoundDecision::Try
     }
 
     /// Room was taken.
@@ -84,19 +84,19 @@
 
     /// A job began with only a part of its tasks. The room that comes free next is for the rest of it, so that at most
     /// one job stands half placed: what it has used is lost if it is not finished.
-    pub fn begin_part(&mut self) {
+    pub fn record_partial(&mut self) {
         self.misses = self.most_misses;
     }
 
     /// A job did not fit.
-    pub fn miss(&mut self, job: &Entrant) {
+    pub fn record_miss(&mut self, job: &PendingJob) {
         self.misses += 1;
         let blocked = self.blocked.get_or_insert(Blocked {
             class: job.class,
-            patient_until: job.patient_until,
-            least: job.least,
+            yields_until: job.yields_until,
+            min_cpu: job.min_cpu,
         });
-        blocked.patient_until = blocked.patient_until.min(job.patient_until);
+        blocked.yields_until = blocked.yields_until.min(job.yields_until);
     }
 
     /// Whether no further job is looked at: trying costs time that the entry needs to answer.
--- a/lib/src/dispatch/contention/shares.rs
+++ b/lib/src/dispatch/contention/shares.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether less of a kind is served than `least_served` times what is served of all others.
-    pub fn is_owed(&self, kind: Kind, policy: &Contention) -> bool {
+    pub fn is_underserved(&self, kind: Kind, policy: &Contention) -> bool {
         let Some(own) = self.tally(kind) else {
             return false;
         };
--- a/lib/src/dispatch/contention/tests.rs
+++ b/lib/src/dispatch/contention/tests.rs
@@ -1,16 +1,16 @@
 //! Tests of decisions about jobs that compete for room.
 
-use super::arrival::Verdict;
-use super::arrival::judge;
+use super::arrival::AdmissionDecision;
+use super::arrival::decide_admission;
 use super::backlog::Backlog;
 use super::backlog::PeerBacklogs;
 use super::backlog::Waiting;
-use super::drain::Drain;
 use super::drain::Forecast;
-use super::returning::Returns;
-use super::round::Entrant;
+use super::drain::ReleaseRate;
+use super::returning::RetrySchedule;
+use super::round::PendingJob;
 use super::round::Round;
-use super::round::Turn;
+use super::round::RoundDecision;
 use super::shares::Shares;
 use crate::dispatch::policy::Contention;
 use crate::prelude::*;
@@ -83,8 +83,8 @@
     assert_eq!(left.up_to(2), 300);
 }
 
-fn drained() -> Drain {
-    let mut drain = Drain::default();
+fn drained() -> ReleaseRate {
+    let mut drain = ReleaseRate::default();
     for _ in 0..100 {
         drain.note(2000, ms(200));
     }
@@ -95,7 +95,7 @@
 fn test_drain_is_what_is_used_through_the_time_it_is_held() {
     let rate = drained().rate(100_000).expect("enough runs");
     assert!((rate - 500_000.0).abs() < 1.0, "{rate}");
-    let mut few = Drain::default();
+    let mut few = ReleaseRate::default();
     few.note(2000, ms(200));
     assert_eq!(few.rate(100_000), None);
 }
@@ -115,67 +115,82 @@
     let policy = Contention::default();
     let slack = ms(80);
     let behind = forecast(50_000, 100_000, 0);
-    assert_eq!(judge(&behind, slack, &policy), Verdict::Refuse);
+    assert_eq!(
+        decide_admission(&behind, slack, &policy),
+        AdmissionDecision::Refuse
+    );
     let close = forecast(20_000, 30_000, 0);
     assert!(close.wait() > slack);
-    assert_eq!(judge(&close, slack, &policy), Verdict::Hold);
+    assert_eq!(
+        decide_admission(&close, slack, &policy),
+        AdmissionDecision::Hold
+    );
 }
 
 #[test]
 fn test_judge_never_refuses_while_there_is_room() {
     let policy = Contention::default();
     let room = forecast(1_000_000, 1_000_000, 10_000);
-    assert_eq!(judge(&room, ms(0), &policy), Verdict::Admit);
+    assert_eq!(
+        decide_admission(&room, ms(0), &policy),
+        AdmissionDecision::Admit
+    );
 }
 
-fn entrant(class: u8, least: u64, patient_until: u64) -> Entrant {
-    Entrant {
+fn entrant(class: u8, min_cpu: u64, yields_until: u64) -> PendingJob {
+    PendingJob {
         class,
-        owed: false,
-        least,
-        whole: least,
-        patient_until: at(patient_until),
+        underserved: false,
+        min_cpu,
+        total_cpu: min_cpu,
+        yields_until: at(yields_until),
     }
 }
 
 #[test]
 fn test_round_goes_on_behind_a_job_that_does_not_fit() {
     let mut round = Round::new(at(0), 10_000, 4);
-    round.miss(&entrant(3, 20_000, 40));
-    assert_eq!(round.turn(&entrant(3, 2000, 40), 0), Turn::Try);
-    assert_eq!(round.turn(&entrant(4, 2000, 40), 0), Turn::Yield);
+    round.record_miss(&entrant(3, 20_000, 40));
+    assert_eq!(round.decide(&entrant(3, 2000, 40), 0), RoundDecision::Try);
+    assert_eq!(round.decide(&entrant(4, 2000, 40), 0), RoundDecision::Yield);
 }
 
 #[test]
 fn test_round_leaves_room_to_a_job_that_has_waited_for_long() {
     let mut round = Round::new(at(50), 10_000, 4);
-    round.miss(&entrant(3, 20_000, 40));
-    assert_eq!(round.turn(&entrant(3, 2000, 90), 0), Turn::Yield);
+    round.record_miss(&entrant(3, 20_000, 40));
+    assert_eq!(round.decide(&entrant(3, 2000, 90), 0), RoundDecision::Yield);
 }
 
 #[test]
 fn test_round_yields_to_urgent_work_at_peers_unless_there_is_room_for_both() {
     let round = Round::new(at(0), 10_000, 4);
-    assert_eq!(round.turn(&entrant(4, 2000, 40), 9000), Turn::Yield);
-    assert_eq!(round.turn(&entrant(4, 2000, 40), 8000), Turn::Try);
-    let owed = Entrant {
-        owed: true,
+    assert_eq!(
+        round.decide(&entrant(4, 2000, 40), 9000),
+        RoundDecision::Yield
+    );
+    assert_eq!(
+        round.decide(&entrant(4, 2000, 40), 8000),
+        RoundDecision::Try
+    );
+    let underserved = PendingJob {
+        underserved: true,
         ..entrant(1, 2000, 40)
     };
-    assert_eq!(round.turn(&owed, 9000), Turn::Try);
+    assert_eq!(round.decide(&underserved, 9000), RoundDecision::Try);
 }
 
 #[test]
 fn test_round_lets_only_whole_jobs_past_one_that_does_not_fit() {
     let mut round = Round::new(at(0), 10_000, 4);
-    let part = Entrant {
-        whole: 11_000,
+    let part = PendingJob {
+        total_cpu: 11_000,
         ..entrant(3, 8000, 40)
     };
-    assert_eq!(round.turn(&part, 0), Turn::Try);
-    round.miss(&entrant(3, 20_000, 40));
-    assert_eq!(round.turn(&part, 0), Turn::Yield);
-    round.begin_part();
+    assert_eq!(round.decide(&part, 0), RoundDecision::Try);
+    round.record_miss(&entrant(3, 20_000, 40));
+    assert_eq!(round.decide(&part, 0), RoundDecision::Yield);
+    round.record_partial();
     assert!(
         round.is_over(),
         "no second job begins with a part of its tasks"
@@ -185,9 +200,9 @@
 #[test]
 fn test_round_ends_after_some_misses() {
     let mut round = Round::new(at(0), 10_000, 2);
-    round.miss(&entrant(3, 20_000, 40));
+    round.record_miss(&entrant(3, 20_000, 40));
     assert!(!round.is_over());
-    round.miss(&entrant(3, 20_000, 40));
+    round.record_miss(&entrant(3, 20_000, 40));
     assert!(round.is_over());
 }
 
@@ -208,9 +223,9 @@
     let policy = Contention::default();
     let starved = shares(3);
     let patient = starved.kind(2, 5000);
-    assert!(starved.is_owed(patient, &policy));
-    assert!(!starved.is_owed(starved.kind(0, 5000), &policy));
-    assert!(!shares(1).is_owed(patient, &policy));
+    assert!(starved.is_underserved(patient, &policy));
+    assert!(!starved.is_underserved(starved.kind(0, 5000), &policy));
+    assert!(!shares(1).is_underserved(patient, &policy));
 }
 
 #[test]
@@ -230,16 +245,16 @@
     let policy = Contention::default();
     let mut shares = shares(60);
     let patient = shares.kind(2, 5000);
-    assert!(shares.is_owed(patient, &policy));
+    assert!(shares.is_underserved(patient, &policy));
     shares.note(at(60_000), 0, 5000, true, &policy);
-    assert!(!shares.is_owed(patient, &policy));
+    assert!(!shares.is_underserved(patient, &policy));
 }
 
 #[test]
 fn test_returns_follow_each_other_as_room_comes() {
     let policy = Contention::default();
-    let mut returns = Returns::default();
-    let mut away = |wait| returns.stay_away(at(0), ms(wait), ms(100), ms(400), &policy);
+    let mut returns = RetrySchedule::default();
+    let mut away = |wait| returns.schedule_retry(at(0), ms(wait), ms(100), ms(400), &policy);
     assert_eq!(away(0), ms(400));
     assert_eq!(away(0), ms(500), "the first to be turned away comes first");
     assert_eq!(away(900), ms(900), "not before what waits has had its room");
--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -32,7 +32,7 @@
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::TaskName;
 use crate::dispatch::policy::Policy;
-use crate::dispatch::preemption::Budget;
+use crate::dispatch::preemption::LossBudget;
 use crate::dispatch::speeds::SpeedEstimate;
 use crate::dispatch::timings::RunTimings;
 use crate::dispatch::zones::ZoneRecord;
@@ -184,7 +184,7 @@
     leases_stale: Option<Mono>,
     health: Health,
     /// What stops for more urgent tasks may still throw away.
-    budget: Budget,
+    budget: LossBudget,
     /// Over all lives of the worker that this process has seen.
     speed: SpeedEstimate,
     fence: u64,
@@ -234,7 +234,7 @@
             owners: Vec::new(),
             leases_stale: None,
             health: Health::new(setup.policy.health),
-            budget: Budget::default(),
+            budget: LossBudget::default(),
             speed: SpeedEstimate::new(setup.policy.speeds),
             unclean_since: setup.started,
             kept_until: Mono::default(),
--- a/lib/src/dispatch/executor/preempting.rs
+++ b/lib/src/dispatch/executor/preempting.rs
@@ -10,9 +10,9 @@
 use crate::dispatch::model::EndKind;
 use crate::dispatch::model::TaskName;
 use crate::dispatch::preemption;
-use crate::dispatch::preemption::Bounds;
-use crate::dispatch::preemption::Stoppable;
-use crate::dispatch::preemption::Wanted;
+use crate::dispatch::preemption::CapacityRequest;
+use crate::dispatch::preemption::PreemptibleRun;
+use crate::dispatch::preemption::PreemptionLimits;
 use crate::event::Kind;
 use crate::prelude::*;
 
@@ -42,8 +42,8 @@
         why == Some(EndKind::Preempted)
     }
 
-    fn stoppable(&self, now: Mono, key: TaskName) -> Stoppable<TaskName> {
-        Stoppable {
+    fn stoppable(&self, now: Mono, key: TaskName) -> PreemptibleRun<TaskName> {
+        PreemptibleRun {
             key,
             priority: self.rank.priority,
             demand: self.demand,
@@ -65,14 +65,14 @@
             return false;
         }
         let policy = self.setup.policy.preemption;
-        let wanted = Wanted {
+        let wanted = CapacityRequest {
             priority: waiting.rank.priority,
             missing: self.missing(now, waiting.demand),
             latest: waiting.latest,
         };
         let bounds = self.bounds(now);
         let runs = self.stoppable_runs(now);
-        let Some(chosen) = preemption::choose(now, &wanted, &runs, bounds, &policy) else {
+        let Some(chosen) = preemption::select_victims(now, &wanted, &runs, bounds, &policy) else {
             let missing = wanted.missing.cpu_milli;
             let detail = format!(
                 "{}: {missing} milli-cores missing, {:.0} core-ms and {} milli-cores may be lost",
@@ -117,7 +117,7 @@
     }
 
     /// The runs that may be stopped, as far as it is known that they run.
-    fn stoppable_runs(&self, now: Mono) -> Vec<Stoppable<TaskName>> {
+    fn stoppable_runs(&self, now: Mono) -> Vec<PreemptibleRun<TaskName>> {
         let running = |run: &Run| run.state == RunState::Running;
         let running = self.runs.iter().filter(|(_, run)| running(run));
         running
@@ -131,11 +131,11 @@
     }
 
     /// What may be stopped now.
-    fn bounds(&self, now: Mono) -> Bounds {
+    fn bounds(&self, now: Mono) -> PreemptionLimits {
         let policy = self.setup.policy.preemption;
         let capacity = self.capacity().cpu_milli;
         let share = (f64::from(capacity) * policy.room_share) as u32;
-        Bounds {
+        PreemptionLimits {
             loss: self.budget.left(now, capacity, &policy),
             cpu_milli: share.saturating_sub(self.clearing()),
         }
--- a/lib/src/dispatch/forwarder/calls.rs
+++ b/lib/src/dispatch/forwarder/calls.rs
@@ -157,7 +157,7 @@
         self.wanted.insert(call.partition);
         let untried = !call.sent_before && matches!(call.request, Request::Job(_));
         let outcome = if untried {
-            JobOutcome::Refused(self.setup.admission.come_back_ms(&mut self.rng))
+            JobOutcome::Refused(self.setup.admission.retry_delay_ms(&mut self.rng))
         } else {
             JobOutcome::Unknown
         };
--- a/lib/src/dispatch/preemption.rs
+++ b/lib/src/dispatch/preemption.rs
@@ -15,7 +15,7 @@
 
 /// A run that may be stopped, named by a key of the caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stoppable<K> {
+pub struct PreemptibleRun<K> {
     /// Its key.
     pub key: K,
     /// Its priority; 0 goes first.
@@ -38,7 +38,7 @@
 
 /// A task that wants room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct CapacityRequest {
     /// Its priority.
     pub priority: u32,
     /// What of its room is missing, beside what is free and becomes free.
@@ -49,14 +49,14 @@
 
 /// What may be stopped now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct PreemptionLimits {
     /// How much work may be lost.
     pub loss: Loss,
     /// How much room may be cleared, in thousandths of a core.
     pub cpu_milli: u32,
 }
 
-impl<K> Stoppable<K> {
+impl<K> PreemptibleRun<K> {
     /// What stopping it loses: its work so far, unless that is saved, and its room until the stop is
     /// confirmed.
     pub fn loss(&self, policy: &Preemption) -> Loss {
@@ -87,17 +87,17 @@
 }
 
 /// The runs to stop for a task; none if no allowed set makes enough room in time.
-pub fn choose<K: Copy>(
+pub fn select_victims<K: Copy>(
     now: Mono,
-    wanted: &Wanted,
-    runs: &[Stoppable<K>],
-    bounds: Bounds,
+    wanted: &CapacityRequest,
+    runs: &[PreemptibleRun<K>],
+    bounds: PreemptionLimits,
     policy: &Preemption,
 ) -> Option<Vec<K>> {
     if !policy.on || now + policy.stop_time > wanted.latest {
         return None;
     }
-    let mut yielding: Vec<&Stoppable<K>> = runs.iter().collect();
+    let mut yielding: Vec<&PreemptibleRun<K>> = runs.iter().collect();
     yielding.retain(|run| run.yields_to(now, wanted.priority, policy));
     yielding.sort_by(|one, two| {
         let by_loss = one.loss(policy).total_cmp(&two.loss(policy));
@@ -123,11 +123,11 @@
 pub fn preemptible<K>(
     now: Mono,
     priority: u32,
-    runs: &[Stoppable<K>],
-    bounds: Bounds,
+    runs: &[PreemptibleRun<K>],
+    bounds: PreemptionLimits,
     policy: &Preemption,
 ) -> u32 {
-    let mut yielding: Vec<&Stoppable<K>> = runs.iter().collect();
+    let mut yielding: Vec<&PreemptibleRun<K>> = runs.iter().collect();
     yielding.retain(|run| run.yields_to(now, priority, policy));
     yielding.sort_by(|one, two| one.loss(policy).total_cmp(&two.loss(policy)));
     let mut left = bounds;
@@ -144,18 +144,18 @@
     sum
 }
 
-fn freed<K>(runs: &[&Stoppable<K>]) -> Demand {
+fn freed<K>(runs: &[&PreemptibleRun<K>]) -> Demand {
     let demands = runs.iter().map(|run| run.demand);
     demands.fold(Demand::default(), Demand::plus)
 }
 
-fn covers<K>(runs: &[&Stoppable<K>], missing: Demand) -> bool {
+fn covers<K>(runs: &[&PreemptibleRun<K>], missing: Demand) -> bool {
     missing.fits(Demand::default(), freed(runs))
 }
 
 /// Leaves out the runs that need not be stopped, those that lose most first: a small one that loses little may
 /// have been taken before a large one that suffices alone.
-fn spare<K: Copy>(chosen: &mut Vec<&Stoppable<K>>, missing: Demand) {
+fn spare<K: Copy>(chosen: &mut Vec<&PreemptibleRun<K>>, missing: Demand) {
     for at in (0..chosen.len()).rev() {
         let mut others = chosen.clone();
         others.remove(at);
@@ -168,12 +168,12 @@
 /// How much work may still be lost at a worker. It fills by a share of the worker's room and holds what comes in
 /// within a second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Budget {
+pub struct LossBudget {
     left: Loss,
     at: Option<Mono>,
 }
 
-impl Budget {
+impl LossBudget {
     /// What may be lost by now at a worker of this many thousandths of a core.
     pub fn left(&self, now: Mono, cpu_milli: u32, policy: &Preemption) -> Loss {
         let rate = policy.waste_share * f64::from(cpu_milli);
--- a/lib/src/dispatch/preemption/tests.rs
+++ b/lib/src/dispatch/preemption/tests.rs
@@ -1,9 +1,9 @@
-use super::Bounds;
-use super::Budget;
-use super::Stoppable;
-use super::Wanted;
-use super::choose;
+use super::CapacityRequest;
+use super::LossBudget;
+use super::PreemptibleRun;
+use super::PreemptionLimits;
 use super::preemptible;
+use super::select_victims;
 use crate::dispatch::model::Demand;
 use crate::dispatch::policy::Preemption;
 use crate::prelude::*;
@@ -30,8 +30,8 @@
 }
 
 /// A run of a patient queue that began `age` ms ago and can be run anew for another 400 ms.
-fn patient(key: u32, age: u64) -> Stoppable<u32> {
-    Stoppable {
+fn patient(key: u32, age: u64) -> PreemptibleRun<u32> {
+    PreemptibleRun {
         key,
         priority: 2,
         demand: cpu(1000),
@@ -44,21 +44,25 @@
     }
 }
 
-fn wanted(cpu_milli: u32) -> Wanted {
-    Wanted {
+fn wanted(cpu_milli: u32) -> CapacityRequest {
+    CapacityRequest {
         priority: 0,
         missing: cpu(cpu_milli),
         latest: NOW + ms(80),
     }
 }
 
-const PLENTY: Bounds = Bounds {
+const PLENTY: PreemptionLimits = PreemptionLimits {
     loss: 10_000.0,
     cpu_milli: 16_000,
 };
 
-fn chosen(cpu_milli: u32, runs: &[Stoppable<u32>], bounds: Bounds) -> Option<Vec<u32>> {
-    choose(NOW, &wanted(cpu_milli), runs, bounds, &on())
+fn chosen(
+    cpu_milli: u32,
+    runs: &[PreemptibleRun<u32>],
+    bounds: PreemptionLimits,
+) -> Option<Vec<u32>> {
+    select_victims(NOW, &wanted(cpu_milli), runs, bounds, &on())
 }
 
 #[test]
@@ -71,7 +75,7 @@
 
 #[test]
 fn test_preemption_prefers_a_run_that_saves_its_progress() {
-    let saving = Stoppable {
+    let saving = PreemptibleRun {
         saves: true,
         ..patient(1, 800)
     };
@@ -83,7 +87,7 @@
 
 #[test]
 fn test_preemption_leaves_out_a_small_run_that_is_not_needed() {
-    let small = Stoppable {
+    let small = PreemptibleRun {
         demand: cpu(200),
         ..patient(1, 10)
     };
@@ -95,19 +99,19 @@
 
 #[test]
 fn test_preemption_spares_runs_that_must_not_be_stopped() {
-    let equal = Stoppable {
+    let equal = PreemptibleRun {
         priority: 0,
         ..patient(1, 10)
     };
-    let spent = Stoppable {
+    let spent = PreemptibleRun {
         stops: 0,
         ..patient(2, 10)
     };
-    let late = Stoppable {
+    let late = PreemptibleRun {
         latest: NOW + ms(20),
         ..patient(3, 10)
     };
-    let ending = Stoppable {
+    let ending = PreemptibleRun {
         progress: 0.97,
         ..patient(4, 10)
     };
@@ -122,30 +126,33 @@
 fn test_preemption_stops_nothing_in_vain() {
     let runs = [patient(1, 100), patient(2, 100)];
     assert_eq!(chosen(2500, &runs, PLENTY), None, "they do not suffice");
-    let late = Wanted {
+    let late = CapacityRequest {
         latest: NOW + ms(40),
         ..wanted(1000)
     };
     assert_eq!(
-        choose(NOW, &late, &runs, PLENTY, &on()),
+        select_victims(NOW, &late, &runs, PLENTY, &on()),
         None,
         "too late for it"
     );
     let off = Preemption::default();
-    assert_eq!(choose(NOW, &wanted(1000), &runs, PLENTY, &off), None);
+    assert_eq!(
+        select_victims(NOW, &wanted(1000), &runs, PLENTY, &off),
+        None
+    );
 }
 
 #[test]
 fn test_preemption_is_bounded_by_loss_and_by_room() {
     let runs = [patient(1, 100), patient(2, 100)];
     // Each loses 150 thousandths of a core-second, the time of its stop counted in.
-    let loss = Bounds {
+    let loss = PreemptionLimits {
         loss: 200.0,
         ..PLENTY
     };
     assert_eq!(chosen(2000, &runs, loss), None);
     assert_eq!(preemptible(NOW, 0, &runs, loss, &on()), 1000);
-    let room = Bounds {
+    let room = PreemptionLimits {
         cpu_milli: 1000,
         ..PLENTY
     };
@@ -155,7 +162,7 @@
 
 #[test]
 fn test_preemption_budget_fills_by_a_share_of_the_room() {
-    let mut budget = Budget::default();
+    let mut budget = LossBudget::default();
     assert_eq!(budget.left(NOW, 10_000, &on()), 1000.0);
     budget.spend(NOW, 10_000, 900.0, &on());
     assert_eq!(budget.left(NOW, 10_000, &on()), 100.0);
@@ -169,8 +176,9 @@
 fn test_preemption_of_a_burst_throws_away_no_more_than_its_share() {
     let capacity = 16_000;
     let policy = on();
-    let mut runs: Vec<Stoppable<u32>> = (0..16).map(|n| patient(n, u64::from(n) * 20)).collect();
-    let (mut budget, mut lost, mut placed) = (Budget::default(), 0.0, 0);
+    let mut runs: Vec<PreemptibleRun<u32>> =
+        (0..16).map(|n| patient(n, u64::from(n) * 20)).collect();
+    let (mut budget, mut lost, mut placed) = (LossBudget::default(), 0.0, 0);
     let mut clearing: Vec<Mono> = Vec::new();
     for step in 0..100 {
         let now = NOW + ms(step * 10);
@@ -178,15 +186,15 @@
         for run in &mut runs {
             run.age += ms(10);
         }
-        let urgent = Wanted {
+        let urgent = CapacityRequest {
             latest: now + ms(80),
             ..wanted(1000)
         };
-        let bounds = Bounds {
+        let bounds = PreemptionLimits {
             loss: budget.left(now, capacity, &policy),
             cpu_milli: capacity / 2 - clearing.len() as u32 * 1000,
         };
-        let Some(chosen) = choose(now, &urgent, &runs, bounds, &policy) else {
+        let Some(chosen) = select_victims(now, &urgent, &runs, bounds, &policy) else {
             continue;
         };
         let stopped = runs.iter().filter(|run| chosen.contains(&run.key));
--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -8,8 +8,8 @@
 use super::jobs::Job;
 use super::jobs::Phase;
 use super::peers::Peer;
+use crate::dispatch::balance::Balancer;
 use crate::dispatch::balance::Candidate;
-use crate::dispatch::balance::Spread;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::JobOutcome;
 use crate::event::Kind;
@@ -148,8 +148,8 @@
             key,
             waiting: self.loads.peers[name].waiting_up_to(priority),
         });
-        let mut spread = Spread::new(self.waiting_up_to(priority), loads.collect());
-        if !spread.is_uneven(self.setup.policy.balance.uneven) {
+        let mut spread = Balancer::new(self.waiting_up_to(priority), loads.collect());
+        if !spread.is_overloaded(self.setup.policy.balance.uneven) {
             return 0;
         }
         let last = self.waiting.iter().rev();
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -12,16 +12,16 @@
 use super::placing::OWED;
 use crate::clock::millis;
 use crate::dispatch::contention::arrival;
-use crate::dispatch::contention::arrival::Verdict;
+use crate::dispatch::contention::arrival::AdmissionDecision;
 use crate::dispatch::contention::backlog::Backlog;
 use crate::dispatch::contention::backlog::PeerBacklogs;
 use crate::dispatch::contention::backlog::Waiting;
-use crate::dispatch::contention::drain::Drain;
 use crate::dispatch::contention::drain::Forecast;
-use crate::dispatch::contention::returning::Returns;
-use crate::dispatch::contention::round::Entrant;
+use crate::dispatch::contention::drain::ReleaseRate;
+use crate::dispatch::contention::returning::RetrySchedule;
+use crate::dispatch::contention::round::PendingJob;
 use crate::dispatch::contention::round::Round;
-use crate::dispatch::contention::round::Turn;
+use crate::dispatch::contention::round::RoundDecision;
 use crate::dispatch::contention::shares::Shares;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::JobNumber;
@@ -48,9 +48,9 @@
     peers: PeerBacklogs,
     own: Backlog,
     summed: Mono,
-    drain: Drain,
+    drain: ReleaseRate,
     shares: Shares,
-    returns: Returns,
+    returns: RetrySchedule,
     /// The room that a job needs in the mean, in thousandths of a core.
     need: f64,
     /// Since when work has waited somewhere without a break.
@@ -65,7 +65,7 @@
     /// The class of a job that has not begun.
     pub fn class(&self, job: &Job, policy: &policy::Contention) -> u8 {
         let kind = self.shares.kind(job.priority, job.first_cpu());
-        if self.shares.is_owed(kind, policy) {
+        if self.shares.is_underserved(kind, policy) {
             return OWED;
         }
         FIRST_CLASS + job.priority.min(LAST_PRIORITY) as u8
@@ -130,7 +130,7 @@
         let entrant = self.entrant(job);
         let elsewhere = told.before(job.priority);
         if let Some(entrant) = &entrant
-            && round.turn(entrant, elsewhere) == Turn::Yield
+            && round.decide(entrant, elsewhere) == RoundDecision::Yield
         {
             return;
         }
@@ -147,29 +147,29 @@
             && !confined
         {
             match after < before {
-                true => round.begin_part(),
+                true => round.record_partial(),
                 // It waits by choice for a better worker, which the jobs behind it leave alone.
                 false if self.spares_room(number) => {}
-                false => round.miss(entrant),
+                false => round.record_miss(entrant),
             }
         }
     }
 
     /// A job that has not begun, as a round sees it; none for others: what they have used is lost if they are not
     /// finished, so they yield to nobody.
-    fn entrant(&self, job: &Job) -> Option<Entrant> {
+    fn entrant(&self, job: &Job) -> Option<PendingJob> {
         let (class, latest) = job.place?;
         if class == BEGUN || class == LATE {
             return None;
         }
         let policy = &self.setup.policy;
         let patience = job.arrived.until(latest);
-        Some(Entrant {
+        Some(PendingJob {
             class,
-            owed: class == OWED,
-            least: self.least_room(job),
-            whole: job.ready_cpu(),
-            patient_until: job.arrived + patience.mul_f64(policy.contention.pass_share),
+            underserved: class == OWED,
+            min_cpu: self.least_room(job),
+            total_cpu: job.ready_cpu(),
+            yields_until: job.arrived + patience.mul_f64(policy.contention.pass_share),
         })
     }
 
@@ -237,7 +237,8 @@
             return false;
         };
         let slack = self.now.until(latest);
-        class != OWED && arrival::judge(&forecast, slack, policy) == Verdict::Refuse
+        class != OWED
+            && arrival::decide_admission(&forecast, slack, policy) == AdmissionDecision::Refuse
     }
 
     /// When a job of a class would start; none while too little is known.
@@ -271,9 +272,9 @@
     }
 
     /// How long a caller that is refused stays away, in milliseconds.
-    pub(super) fn come_back_ms(&mut self) -> u32 {
+    pub(super) fn retry_delay_ms(&mut self) -> u32 {
         let admission = self.setup.policy.admission;
-        let base = admission.come_back_ms(&mut self.rng);
+        let base = admission.retry_delay_ms(&mut self.rng);
         if !self.contends() {
             return base;
         }
@@ -288,7 +289,7 @@
         let gap = Duration::from_secs_f64((self.contention.need / part).min(60.0));
         let base = Duration::from_millis(u64::from(base));
         let returns = &mut self.contention.returns;
-        millis(returns.stay_away(self.now, wait, gap, base, &policy)) as u32
+        millis(returns.schedule_retry(self.now, wait, gap, base, &policy)) as u32
     }
 
     /// Sums what waits here.
@@ -445,8 +446,8 @@
 
     /// The room that the smallest of those tasks needs.
     fn least_cpu(&self) -> u64 {
-        let least = self.ready().map(|(d, _)| u64::from(d.cpu_milli)).min();
-        least.unwrap_or_default()
+        let min_cpu = self.ready().map(|(d, _)| u64::from(d.cpu_milli)).min();
+        min_cpu.unwrap_or_default()
     }
 
     /// The room that it needs to begin, in thousandths of a core.
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::JobOutcome;
 use crate::dispatch::model::TaskName;
-use crate::dispatch::speeds::learn_ratio;
+use crate::dispatch::speeds::update_ratio;
 use crate::event::Kind;
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
@@ -101,7 +101,7 @@
         let queue = job.request.queue.clone();
         let learned = self.learned.entry(queue).or_insert(1.0);
         *learned = match self.setup.policy.speeds.on {
-            true => learn_ratio(*learned, ratio, weight),
+            true => update_ratio(*learned, ratio, weight),
             false => *learned + weight * (ratio.min(4.0) - *learned),
         };
     }
--- a/lib/src/dispatch/scheduler/evacuations.rs
+++ b/lib/src/dispatch/scheduler/evacuations.rs
@@ -19,7 +19,7 @@
     /// The zones that the store lists as evacuated, each with the revision of its key, at revision `at`.
     pub fn set_evacuations(&mut self, now: Mono, listed: &BTreeMap<String, u64>, at: u64) {
         self.enter(now);
-        for zone in self.zones.note_list(listed, at) {
+        for zone in self.zones.apply_list(listed, at) {
             self.zone_changed(&zone, "the store");
         }
         self.zones_noted();
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -11,7 +11,7 @@
 use crate::dispatch::model::TaskName;
 use crate::dispatch::policy::Policy;
 use crate::dispatch::rank::Rank;
-use crate::dispatch::speeds::Usual;
+use crate::dispatch::speeds::TypicalSlowness;
 use crate::dispatch::zones::Zones;
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
@@ -60,7 +60,7 @@
     /// Whether it takes much longer than the others.
     pub slow: bool,
     /// The slowness that it is used to.
-    pub usual: Usual,
+    pub usual: TypicalSlowness,
     /// When that was last judged.
     pub judged: Mono,
     /// Whether it has said, in its present incarnation, that nothing runs there any more, nor will.
@@ -114,7 +114,7 @@
             usable_at: Mono::default(),
             hurried: Mono::default(),
             slow: false,
-            usual: Usual::default(),
+            usual: TypicalSlowness::default(),
             judged: now,
             departed: false,
             evacuated: false,
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -11,7 +11,7 @@
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::Step;
 use crate::dispatch::policy::Admission;
-use crate::dispatch::speeds::Outlook;
+use crate::dispatch::speeds::TaskTiming;
 use crate::event::Kind;
 use crate::prelude::*;
 
@@ -70,10 +70,10 @@
         Some(Fit::Late(-outlook.run_time(factor).as_secs_f64()))
     }
 
-    fn outlook(&self, job: &Job, step: u32) -> Outlook {
+    fn outlook(&self, job: &Job, step: u32) -> TaskTiming {
         let expected = job.expected[step as usize];
         let after = job.chain[step as usize].saturating_sub(expected);
-        Outlook {
+        TaskTiming {
             expected,
             stretch: job.stretch,
             left: self.now.until(job.objective_at - after),
@@ -146,7 +146,7 @@
         let gap = now.since(executor.judged);
         executor.judged = now;
         executor.usual.note(percent, gap, &policy);
-        let sick = executor.usual.is_sick(percent, executor.slow, &policy);
+        let sick = executor.usual.is_degraded(percent, executor.slow, &policy);
         if sick != executor.slow {
             executor.slow = sick;
             let detail = format!("{}: slowness {percent} %", executor.name);
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -190,7 +190,7 @@
 
     /// A refusal with a time to come back that spreads the callers.
     pub(super) fn refusal(&mut self) -> JobOutcome {
-        JobOutcome::Refused(self.come_back_ms())
+        JobOutcome::Refused(self.retry_delay_ms())
     }
 
     /// A caller has left. A job that nobody waits for is cancelled.
--- a/lib/src/dispatch/speeds.rs
+++ b/lib/src/dispatch/speeds.rs
@@ -165,7 +165,7 @@
 /// What is known of the times of a queue's tasks against their estimates, after one more that took `ratio` times its
 /// estimate and counts with this weight. A mean of logarithms: estimates that are too low by some factor and too high
 /// by the same one cancel out, and a task that takes many times as long as its like counts little.
-pub fn learn_ratio(learned: f64, ratio: f64, weight: f64) -> f64 {
+pub fn update_ratio(learned: f64, ratio: f64, weight: f64) -> f64 {
     if ratio <= 0.0 || !ratio.is_finite() {
         return learned;
     }
@@ -176,7 +176,7 @@
 
 /// A task that is to be placed, as far as its time goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Outlook {
+pub struct TaskTiming {
     /// How long it is expected to run at a worker of mean speed, near its data.
     pub expected: Duration,
     /// How much its objective grows with its work.
@@ -185,7 +185,7 @@
     pub left: Duration,
 }
 
-impl Outlook {
+impl TaskTiming {
     /// How long the task takes where tasks take `factor` times as long.
     pub fn run_time(&self, factor: f64) -> Duration {
         self.expected.mul_f64(factor)
@@ -201,11 +201,11 @@
 
 /// The slowness that a worker is used to, in percent, by the reports of it over time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usual {
+pub struct TypicalSlowness {
     percent: f64,
 }
 
-impl Usual {
+impl TypicalSlowness {
     /// Takes note of a report that came `gap` after the one before.
     pub fn note(&mut self, percent: u32, gap: Duration, policy: &Speeds) {
         let now = f64::from(percent);
@@ -221,7 +221,7 @@
     }
 
     /// Whether a worker at this slowness is far slower than it is used to be. One that was is so until it is back nearly.
-    pub fn is_sick(&self, percent: u32, was: bool, policy: &Speeds) -> bool {
+    pub fn is_degraded(&self, percent: u32, was: bool, policy: &Speeds) -> bool {
         let bound = self.percent * policy.sick_ratio;
         let bound = if was { bound * WELL_SHARE } else { bound };
         self.percent > 0.0 && f64::from(percent) > bound
--- a/lib/src/dispatch/speeds/tests.rs
+++ b/lib/src/dispatch/speeds/tests.rs
@@ -5,10 +5,10 @@
 use rand::rngs::SmallRng;
 
 use super::FleetSpeeds;
-use super::Outlook;
 use super::SpeedEstimate;
-use super::Usual;
-use super::learn_ratio;
+use super::TaskTiming;
+use super::TypicalSlowness;
+use super::update_ratio;
 use crate::dispatch::policy::Speeds;
 
 /// Lets a worker end so many runs at a slowness, with expected times that are off by 40 %.
@@ -121,14 +121,14 @@
     for n in 0..3000 {
         let tail = if n % 30 == 0 { 7.0 } else { 1.0 };
         let off = [0.6, 1.0 / 0.6][n % 2];
-        learned = learn_ratio(learned, 1.2 * tail * off, 0.02);
+        learned = update_ratio(learned, 1.2 * tail * off, 0.02);
     }
     assert!((1.1..1.35).contains(&learned), "{learned}");
 }
 
 #[test]
 fn test_outlook_short_tasks_are_in_time_at_a_slow_worker_and_long_ones_are_not() {
-    let of = |work: u64| Outlook {
+    let of = |work: u64| TaskTiming {
         expected: Duration::from_millis(work),
         stretch: 1.6,
         left: Duration::from_millis(48) + Duration::from_millis(work).mul_f64(1.6),
@@ -144,15 +144,15 @@
 fn test_usual_tells_a_slow_worker_from_a_sick_one() {
     let policy = Speeds::default();
     let beat = Duration::from_millis(100);
-    let mut usual = Usual::default();
+    let mut usual = TypicalSlowness::default();
     for _ in 0..100 {
         usual.note(220, beat, &policy);
     }
-    assert!(!usual.is_sick(220, false, &policy));
-    assert!(usual.is_sick(460, false, &policy));
-    assert!(usual.is_sick(400, true, &policy));
+    assert!(!usual.is_degraded(220, false, &policy));
+    assert!(usual.is_degraded(460, false, &policy));
+    assert!(usual.is_degraded(400, true, &policy));
     for _ in 0..2000 {
         usual.note(460, beat, &policy);
     }
-    assert!(!usual.is_sick(460, true, &policy));
+    assert!(!usual.is_degraded(460, true, &policy));
 }
--- a/lib/src/dispatch/zones.rs
+++ b/lib/src/dispatch/zones.rs
@@ -61,7 +61,7 @@
 
     /// Takes the store's whole list of evacuated zones, each with the revision of its key, as it stood at revision
     /// `at`: a zone that is not listed is not evacuated any more. Returns the zones that have changed.
-    pub fn note_list(&mut self, listed: &BTreeMap<String, u64>, at: u64) -> Vec<String> {
+    pub fn apply_list(&mut self, listed: &BTreeMap<String, u64>, at: u64) -> Vec<String> {
         let present = listed.iter().map(|(zone, revision)| {
             let record = ZoneRecord {
                 revision: *revision,
--- a/lib/src/dispatch/zones/tests.rs
+++ b/lib/src/dispatch/zones/tests.rs
@@ -31,9 +31,9 @@
 #[test]
 fn test_zones_list_takes_back_what_it_lacks() {
     let mut zones = Zones::default();
-    zones.note_list(&listed(&[("a", 4), ("b", 6)]), 7);
+    zones.apply_list(&listed(&[("a", 4), ("b", 6)]), 7);
     assert_eq!(zones.evacuated().collect::<Vec<_>>(), ["a", "b"]);
-    let changed = zones.note_list(&listed(&[("b", 6)]), 12);
+    let changed = zones.apply_list(&listed(&[("b", 6)]), 12);
     assert_eq!(changed, ["a"]);
     assert!(
         !zones.note("a", record(4, true)),
@@ -46,11 +46,11 @@
 fn test_zones_old_list_undoes_nothing() {
     let mut zones = Zones::default();
     zones.note("a", record(20, true));
-    assert_eq!(zones.note_list(&listed(&[]), 15), Vec::<String>::new());
+    assert_eq!(zones.apply_list(&listed(&[]), 15), Vec::<String>::new());
     assert!(zones.is_evacuated("a"));
     zones.note("a", record(25, false));
     assert_eq!(
-        zones.note_list(&listed(&[("a", 20)]), 22),
+        zones.apply_list(&listed(&[("a", 20)]), 22),
         Vec::<String>::new()
     );
     assert!(!zones.is_evacuated("a"));
@@ -59,7 +59,7 @@
 #[test]
 fn test_zones_without_a_word_have_no_edition() {
     let mut zones = Zones::default();
-    zones.note_list(&listed(&[]), 3);
+    zones.apply_list(&listed(&[]), 3);
     assert_eq!(zones.edition(), 0);
     assert_eq!(zones.proto(), []);
 }
