--- a/lib/src/dispatch/contention/backlog.rs
+++ b/lib/src/dispatch/contention/backlog.rs
@@ -147,7 +147,7 @@
 
     /// What waits at peers, by what was told within `age`. `taken` is the room that came free a second since then at
     /// most, in thousandths of a core: the most urgent of what was told has it by now.
-    pub fn now(&self, now: Mono, age: Duration, taken: f64) -> Backlog {
+    pub fn estimate_at(&self, now: Mono, age: Duration, taken: f64) -> Backlog {
         let mut sum = Backlog::default();
         let fresh = self.told.values().filter(|t| now.since(t.at) <= age);
         let fresh: Vec<&Told> = fresh.collect();
--- a/lib/src/dispatch/contention/tests.rs
+++ b/lib/src/dispatch/contention/tests.rs
@@ -61,8 +61,11 @@
 fn test_peer_backlogs_count_while_they_are_fresh() {
     let mut peers = PeerBacklogs::default();
     peers.note(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
-    assert_eq!(peers.now(at(100), AGE, 0.0).before(2), 1000);
-    assert!(peers.now(at(2000), AGE, 0.0).is_empty(), "two seconds old");
+    assert_eq!(peers.estimate_at(at(100), AGE, 0.0).before(2), 1000);
+    assert!(
+        peers.estimate_at(at(2000), AGE, 0.0).is_empty(),
+        "two seconds old"
+    );
 }
 
 #[test]
@@ -71,14 +74,14 @@
     peers.note(at(0), "a", backlog(&[(0, 1000)]));
     peers.note(at(0), "b", backlog(&[(0, 70)]));
     peers.forget("a");
-    assert_eq!(peers.now(at(10), AGE, 0.0).up_to(0), 70);
+    assert_eq!(peers.estimate_at(at(10), AGE, 0.0).up_to(0), 70);
 }
 
 #[test]
 fn test_peer_backlogs_give_the_most_urgent_what_came_free_since() {
     let mut peers = PeerBacklogs::default();
     peers.note(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
-    let left = peers.now(at(100), AGE, 12_000.0);
+    let left = peers.estimate_at(at(100), AGE, 12_000.0);
     assert_eq!(left.up_to(0), 0);
     assert_eq!(left.up_to(2), 300);
 }
--- a/lib/src/dispatch/executor/speeds.rs
+++ b/lib/src/dispatch/executor/speeds.rs
@@ -48,7 +48,7 @@
 
     fn read_speed(&mut self, ratio: f64, share: f64) {
         let before = self.speed.percent();
-        if self.speed.read(ratio, share) {
+        if self.speed.add_sample(ratio, share) {
             self.counts.speed_changes += 1;
             let after = self.speed.percent();
             let detail = format!(
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -194,7 +194,7 @@
         let age = self.setup.policy.contention.told_age;
         let rate = self.contention.drain.rate(self.room().used);
         let peers = &self.contention.peers;
-        peers.now(self.now, age, rate.unwrap_or_default())
+        peers.estimate_at(self.now, age, rate.unwrap_or_default())
     }
 
     /// Whether all executors run one service. Where they don't, what peers tell may wait for other executors than a
--- a/lib/src/dispatch/speeds.rs
+++ b/lib/src/dispatch/speeds.rs
@@ -81,7 +81,7 @@
 
     /// Takes note that a part of a run, or several parts, took `ratio` times the expected time. `weight` is the part's share of
     /// the run. Returns whether the worker's speed has changed for good.
-    pub fn read(&mut self, ratio: f64, weight: f64) -> bool {
+    pub fn add_sample(&mut self, ratio: f64, weight: f64) -> bool {
         if ratio <= 0.0 || !ratio.is_finite() || weight < LEAST_WEIGHT {
             return false;
         }
--- a/lib/src/dispatch/speeds/tests.rs
+++ b/lib/src/dispatch/speeds/tests.rs
@@ -18,7 +18,7 @@
         let error: f64 = (0..12).map(|_| rng.random_range(-0.5..0.5)).sum();
         let tail = if rng.random_bool(0.03) { 7.0 } else { 1.0 };
         let ratio = slowness * tail * (0.4 * error).exp();
-        changes += u32::from(estimate.read(ratio, 1.0));
+        changes += u32::from(estimate.add_sample(ratio, 1.0));
     }
     changes
 }
@@ -81,9 +81,9 @@
 fn test_speed_estimate_is_told_once_there_are_runs() {
     let mut estimate = SpeedEstimate::new(Speeds::default());
     assert_eq!(estimate.percent(), 0);
-    estimate.read(1.5, 1.0);
+    estimate.add_sample(1.5, 1.0);
     assert_eq!(estimate.percent(), 0);
-    estimate.read(1.5, 1.0);
+    estimate.add_sample(1.5, 1.0);
     assert_eq!(estimate.percent(), 150);
 }
 
@@ -92,10 +92,10 @@
 fn test_speed_estimate_weighs_parts_of_a_run_as_one() {
     let mut estimate = SpeedEstimate::new(Speeds::default());
     for _ in 0..40 {
-        estimate.read(1.0, 1.0);
+        estimate.add_sample(1.0, 1.0);
     }
     for _ in 0..10 {
-        estimate.read(5.0, 0.1);
+        estimate.add_sample(5.0, 0.1);
     }
     assert!(estimate.percent() < 115, "{}", estimate.percent());
 }
