--- a/lib/src/dispatch/contention.rs
+++ b/lib/src/dispatch/contention.rs
@@ -1,15 +1,15 @@
-//! Decisions about jobs that compete for too little room, apart from input and output.
+//! Decisions about jobs that compete for too little room, free of I/O.
 //!
-//! Load pattern: for seconds at a time more work comes than there is room for, often of one queue only, and at some
-//! schedulers more than at others. A scheduler that knows only its own jobs gives room to patient work while urgent
-//! work waits beside it, and keeps jobs waiting that can't be reached before their time has passed.
+//! Load pattern: for seconds at a time more work arrives than there is room for, often in one queue only, and
+//! at some schedulers more than at others. A scheduler that knows only its own jobs gives room to less urgent
+//! work while more urgent work waits at a peer, and queues jobs that cannot start before their deadline.
 //!
-//! - [`backlog`]: what waits, by priority, here and at peers.
-//! - [`drain`]: how fast room comes free, and so when a job would start.
-//! - [`arrival`]: whether a job is taken or turned away as it comes.
+//! - [`backlog`]: the waiting work by priority, here and at peers.
+//! - [`drain`]: how fast room becomes free, and so when a job would start.
+//! - [`arrival`]: whether an arriving job is admitted or refused.
 //! - [`shares`]: which jobs go before more urgent ones because too few of their kind are served.
-//! - [`round`]: which jobs of a round of placing may take room.
-//! - [`returning`]: when callers that were turned away come back.
+//! - [`round`]: which jobs of a placement round may take room.
+//! - [`returning`]: when refused callers retry.
 
 pub mod arrival;
 pub mod backlog;
--- a/lib/src/dispatch/contention/arrival.rs
+++ b/lib/src/dispatch/contention/arrival.rs
@@ -1,25 +1,26 @@
-//! Whether a job is taken or turned away as it comes.
+//! Whether an arriving job is admitted, waits or is refused, by the forecast of its start and the time it can
+//! wait.
 //!
-//! A caller whose job can't start in time is better off with a refusal at once than with one when its time has passed:
-//! it can go elsewhere, or come back when there is room. A job that is refused though it would have been served is
-//! lost for its caller, so the prediction has to be behind by a margin, and counts nothing that is not fresh.
+//! A caller whose job cannot start in time gains from an immediate refusal: it can go elsewhere, or retry
+//! when there is room. A job that is refused although it would have been served is lost to its caller, so a
+//! job is refused only if the forecast exceeds its time by a margin, and forecasts use only recent reports.
 
 use super::drain::Forecast;
 use crate::dispatch::policy::Contention;
 use crate::prelude::*;
 
-/// What becomes of a job that comes.
+/// What happens to an arriving job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// There may be room for it now.
+    /// There may be room for the job now.
     Admit,
-    /// It waits.
-    Hold,
-    /// It would start too late.
+    /// The job waits for room.
+    Wait,
+    /// The job would start too late and is refused.
     Refuse,
 }
 
-/// Judges a job that can wait for `slack` from now.
+/// Decides about a job that can wait for `slack` from now.
 pub fn decide_admission(
     forecast: &Forecast,
     slack: Duration,
@@ -28,10 +29,10 @@
     if forecast.free >= forecast.need {
         return AdmissionDecision::Admit;
     }
-    let bound = slack.mul_f64(policy.refuse_margin) + policy.refuse_after;
-    if forecast.wait() > bound {
+    let max_wait = slack.mul_f64(policy.refuse_margin) + policy.refuse_after;
+    if forecast.wait() > max_wait {
         AdmissionDecision::Refuse
     } else {
-        AdmissionDecision::Hold
+        AdmissionDecision::Wait
     }
 }
--- a/lib/src/dispatch/contention/backlog.rs
+++ b/lib/src/dispatch/contention/backlog.rs
@@ -1,4 +1,6 @@
-//! What waits for room, by priority: here, and at peers as they last told it.
+//! The work that waits for room, by priority: at this scheduler, and at peers as they last reported it.
+//! Amounts are room in thousandths of a core. They come from other processes too, so sums saturate instead of
+//! overflowing.
 
 use std::collections::BTreeMap;
 
@@ -6,17 +8,18 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// So many priorities are told to peers, so that a message stays small. Less urgent ones are told as one.
-const TOLD_PRIORITIES: usize = 8;
+/// The maximum number of priorities in a report to peers, which keeps messages small. Less urgent ones are
+/// merged.
+const MAX_REPORTED_PRIORITIES: usize = 8;
 
-/// Work of one priority that waits for room.
+/// The waiting work of one priority.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Waiting {
     /// The room that it needs, in thousandths of a core.
     pub cpu_milli: u64,
-    /// The work of it, in thousandths of a core-second.
+    /// The work it consists of, in thousandths of a core-second.
     pub work_milli: u64,
-    /// How long the oldest of it has waited.
+    /// How long the oldest job of it has waited.
     pub oldest: Duration,
 }
 
@@ -28,60 +31,60 @@
     }
 }
 
-/// What waits, by priority; 0 is the most urgent.
+/// The waiting work by priority; 0 is the most urgent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Backlog {
     rows: BTreeMap<u32, Waiting>,
 }
 
 impl Backlog {
-    /// Counts a job in.
+    /// Adds a job.
     pub fn add(&mut self, priority: u32, waiting: Waiting) {
         self.rows.entry(priority).or_default().add(waiting);
     }
 
-    /// Counts all of another backlog in.
+    /// Adds all work of another backlog.
     pub fn add_all(&mut self, other: &Backlog) {
         for (priority, waiting) in other.rows() {
             self.add(priority, waiting);
         }
     }
 
-    /// What waits of each priority, the most urgent first.
+    /// Returns the waiting work of each priority, the most urgent first.
     pub fn rows(&self) -> impl Iterator<Item = (u32, Waiting)> {
         self.rows
             .iter()
             .map(|(priority, waiting)| (*priority, *waiting))
     }
 
-    /// Whether nothing waits.
+    /// Returns whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The room that all of it needs, in thousandths of a core.
+    /// Returns the room that all of it needs, in thousandths of a core.
     pub fn cpu_milli(&self) -> u64 {
         self.up_to(u32::MAX)
     }
 
-    /// The room that work more urgent than a priority needs.
+    /// Returns the room that work more urgent than `priority` needs.
     pub fn before(&self, priority: u32) -> u64 {
         sum(self.rows.range(..priority))
     }
 
-    /// The room that work as urgent as a priority, or more so, needs.
+    /// Returns the room that work at least as urgent as `priority` needs.
     pub fn up_to(&self, priority: u32) -> u64 {
         sum(self.rows.range(..=priority))
     }
 
-    /// As it travels. What is beyond the bound is told as the least urgent, so that nobody holds it to be ahead of
-    /// more than it is.
+    /// Converts the backlog to its message. Priorities beyond the maximum number are reported with the least
+    /// urgent one, so that no peer takes that work for more urgent than it is.
     pub fn proto(&self) -> Vec<proto::Backlog> {
-        let mut told = Backlog::default();
+        let mut report = Backlog::default();
         let last = self.rows.keys().next_back().copied().unwrap_or_default();
         for (place, (priority, waiting)) in self.rows().enumerate() {
-            let kept = place + 1 < TOLD_PRIORITIES;
-            told.add(if kept { priority } else { last }, waiting);
+            let kept = place + 1 < MAX_REPORTED_PRIORITIES;
+            report.add(if kept { priority } else { last }, waiting);
         }
         let message = |(priority, waiting): (u32, Waiting)| proto::Backlog {
             priority,
@@ -89,13 +92,13 @@
             work_milli: waiting.work_milli,
             oldest_ms: u32::try_from(clock::millis(waiting.oldest)).unwrap_or(u32::MAX),
         };
-        told.rows().map(message).collect()
+        report.rows().map(message).collect()
     }
 
-    /// Reads it from a message. Rows beyond the bound are passed over.
+    /// Reads a backlog from a message. Rows beyond the maximum number are skipped.
     pub fn from_proto(rows: &[proto::Backlog]) -> Backlog {
         let mut backlog = Backlog::default();
-        for row in rows.iter().take(TOLD_PRIORITIES) {
+        for row in rows.iter().take(MAX_REPORTED_PRIORITIES) {
             let waiting = Waiting {
                 cpu_milli: row.cpu_milli,
                 work_milli: row.work_milli,
@@ -107,61 +110,63 @@
     }
 }
 
+/// The last report of a peer and when it arrived.
 #[derive(Clone, Debug)]
-struct Told {
+struct ReportedBacklog {
     at: Mono,
     backlog: Backlog,
 }
 
-/// What peers have told of their backlogs. A peer's is forgotten with its link.
+/// The backlogs that peers have reported. A peer's backlog is dropped when its link is lost.
 #[derive(Clone, Debug, Default)]
 pub struct PeerBacklogs {
-    told: BTreeMap<String, Told>,
+    reports: BTreeMap<String, ReportedBacklog>,
 }
 
 impl PeerBacklogs {
-    /// A peer tells what waits at it.
+    /// Replaces the backlog of a peer by what it reports now.
     pub fn note(&mut self, now: Mono, peer: &str, backlog: Backlog) {
         if backlog.is_empty() {
-            self.told.remove(peer);
+            self.reports.remove(peer);
             return;
         }
-        let told = Told { at: now, backlog };
-        match self.told.get_mut(peer) {
-            Some(known) => *known = told,
+        let report = ReportedBacklog { at: now, backlog };
+        match self.reports.get_mut(peer) {
+            Some(known) => *known = report,
             None => {
-                self.told.insert(peer.to_owned(), told);
+                self.reports.insert(peer.to_owned(), report);
             }
         }
     }
 
-    /// Whether no peer has told of anything that waits.
+    /// Returns whether no peer has reported waiting work.
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.reports.is_empty()
     }
 
-    /// The link to a peer is lost.
+    /// Drops the backlog of a peer whose link is lost.
     pub fn forget(&mut self, peer: &str) {
-        self.told.remove(peer);
+        self.reports.remove(peer);
     }
 
-    /// What waits at peers, by what was told within `age`. `taken` is the room that came free a second since then at
-    /// most, in thousandths of a core: the most urgent of what was told has it by now.
-    pub fn estimate_at(&self, now: Mono, age: Duration, taken: f64) -> Backlog {
+    /// Estimates what waits at peers now, from reports no older than `age`. `freed_rate` is the room that has
+    /// become free each second since then at most, in thousandths of a core: the most urgent work reported
+    /// has taken it by now.
+    pub fn estimate_at(&self, now: Mono, age: Duration, freed_rate: f64) -> Backlog {
         let mut sum = Backlog::default();
-        let fresh = self.told.values().filter(|t| now.since(t.at) <= age);
-        let fresh: Vec<&Told> = fresh.collect();
-        let Some(oldest) = fresh.iter().map(|t| now.since(t.at)).max() else {
+        let fresh = self.reports.values().filter(|r| now.since(r.at) <= age);
+        let fresh: Vec<&ReportedBacklog> = fresh.collect();
+        let Some(oldest) = fresh.iter().map(|r| now.since(r.at)).max() else {
             return sum;
         };
-        fresh.iter().for_each(|t| sum.add_all(&t.backlog));
-        sum.less((taken * oldest.as_secs_f64()) as u64)
+        fresh.iter().for_each(|r| sum.add_all(&r.backlog));
+        sum.after_granting((freed_rate * oldest.as_secs_f64()) as u64)
     }
 
-    /// The peer with the most work as urgent as a priority, or more so.
+    /// Returns the peer with the most work at least as urgent as `priority`, and that work's room.
     pub fn largest(&self, now: Mono, age: Duration, priority: u32) -> Option<(&str, u64)> {
-        let fresh = self.told.iter().filter(|(_, t)| now.since(t.at) <= age);
-        let ahead = fresh.map(|(name, t)| (name.as_str(), t.backlog.up_to(priority)));
+        let fresh = self.reports.iter().filter(|(_, r)| now.since(r.at) <= age);
+        let ahead = fresh.map(|(name, r)| (name.as_str(), r.backlog.up_to(priority)));
         ahead
             .filter(|(_, cpu)| *cpu > 0)
             .max_by_key(|(_, cpu)| *cpu)
@@ -169,16 +174,16 @@
 }
 
 impl Backlog {
-    /// What is left once so much room was given to the most urgent of it.
-    fn less(&self, mut room: u64) -> Backlog {
+    /// Returns what is left once `room` has been given to the most urgent work.
+    fn after_granting(&self, mut room: u64) -> Backlog {
         let mut left = Backlog::default();
         for (priority, waiting) in self.rows() {
-            let taken = room.min(waiting.cpu_milli);
-            room -= taken;
-            if taken == waiting.cpu_milli {
+            let granted = room.min(waiting.cpu_milli);
+            room -= granted;
+            if granted == waiting.cpu_milli {
                 continue;
             }
-            let rest = waiting.cpu_milli - taken;
+            let rest = waiting.cpu_milli - granted;
             let share = rest as f64 / waiting.cpu_milli as f64;
             let waiting = Waiting {
                 cpu_milli: rest,
@@ -191,7 +196,7 @@
     }
 }
 
-/// The room that rows need together. It comes from other processes, so it must not overflow.
+/// Returns the room that rows need together. The values come from other processes, so the sum saturates.
 fn sum<'a>(rows: impl Iterator<Item = (&'a u32, &'a Waiting)>) -> u64 {
     rows.fold(0, |sum, (_, w)| sum.saturating_add(w.cpu_milli))
 }
--- a/lib/src/dispatch/contention/returning.rs
+++ b/lib/src/dispatch/contention/returning.rs
@@ -1,22 +1,23 @@
-//! When callers that were turned away come back.
+//! When refused callers retry.
 //!
-//! Load pattern: a burst turns away hundreds of callers within a second. If all of them come back after the same time,
-//! they are a burst of their own. Each is told a time of its own: those that were turned away first come first, and
-//! they follow each other as fast as room comes.
+//! Load pattern: in a burst hundreds of callers are refused within a second. If all of them retry after the
+//! same time, they are a burst of their own. So each gets a retry time of its own: callers that were refused
+//! first retry first, and they follow each other at the rate at which room becomes free.
 
 use crate::dispatch::policy::Contention;
 use crate::prelude::*;
 
-/// The times that callers were told.
+/// The retry times that have been given to callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetrySchedule {
-    /// When the next one may come.
+    /// The earliest time for the next caller.
     next: Mono,
 }
 
 impl RetrySchedule {
-    /// How long a caller stays away. `wait` is how long what waits now needs, and `gap` how long it takes until there
-    /// is room for one job more.
+    /// Reserves the next retry time and returns the delay until then. `wait` is the time that the work
+    /// waiting now needs, `gap` the time until there is room for one more job, and `base` the shortest delay.
+    /// No delay exceeds the policy's maximum, unless `base` does.
     pub fn schedule_retry(
         &mut self,
         now: Mono,
--- a/lib/src/dispatch/contention/round.rs
+++ b/lib/src/dispatch/contention/round.rs
@@ -1,36 +1,37 @@
-//! Which jobs of a round of placing may take room.
+//! Which jobs of a placement round may take room.
 //!
-//! A job that does not fit doesn't end the round: those of its class that fit whole go past it for as long as it
-//! has time.
-//! After that the room that comes free is left to it. Less urgent jobs never go past a more urgent one, here or at a
-//! peer, unless there is room for both.
+//! A job that does not fit does not end the round: jobs of its class that fit completely overtake it until it
+//! has used up a part of its time. After that the room that becomes free is left to it. A less urgent job
+//! overtakes a more urgent one, here or at a peer, only if there is room for both.
 
 use crate::prelude::*;
 
-/// A job that has not begun, as a round sees it.
+/// A job that has not begun, as considered by a placement round.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingJob {
-    /// Its class; the lowest go first.
+    /// The class of the job; the lowest class goes first.
     pub class: u8,
-    /// Whether too few of its kind are served, so that it yields to nobody.
+    /// Whether too few jobs of its kind are served. Such a job leaves no room to more urgent ones, here or at
+    /// peers.
     pub underserved: bool,
-    /// The room that it must find to begin, in thousandths of a core.
+    /// The room that the job needs to begin, in thousandths of a core.
     pub min_cpu: u64,
-    /// The room that all of it needs.
+    /// The room that all its tasks need, in thousandths of a core.
     pub total_cpu: u64,
-    /// Until when others may go past it.
+    /// The time until which others may overtake it.
     pub yields_until: Mono,
 }
 
-/// What a round does with a job.
+/// What a placement round does with a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoundDecision {
-    /// It is tried.
+    /// The round tries to place the job.
     Try,
-    /// It yields to others.
+    /// The job yields to others and is skipped.
     Yield,
 }
 
+/// The first job of a round that did not fit.
 #[derive(Clone, Copy, Debug)]
 struct Blocked {
     class: u8,
@@ -38,38 +39,38 @@
     min_cpu: u64,
 }
 
-/// A round of placing.
+/// The state of a placement round.
 #[derive(Clone, Copy, Debug)]
 pub struct Round {
     now: Mono,
     free: u64,
     blocked: Option<Blocked>,
     misses: u32,
-    most_misses: u32,
+    max_misses: u32,
 }
 
 impl Round {
-    /// A round with so much room, in thousandths of a core, that ends after so many jobs that did not fit.
-    pub fn new(now: Mono, free: u64, most_misses: u32) -> Round {
+    /// Starts a round with `free` thousandths of a core that ends after `max_misses` jobs that did not fit.
+    pub fn new(now: Mono, free: u64, max_misses: u32) -> Round {
         Round {
             now,
             free,
             blocked: None,
             misses: 0,
-            most_misses,
+            max_misses,
         }
     }
 
-    /// Whether a job is tried. `elsewhere` is the room that more urgent work at peers needs.
-    pub fn decide(&self, job: &PendingJob, elsewhere: u64) -> RoundDecision {
-        let (beside, min_cpu) = match self.blocked {
+    /// Returns whether a job is tried. `peer_demand` is the room that more urgent work at peers needs.
+    pub fn decide(&self, job: &PendingJob, peer_demand: u64) -> RoundDecision {
+        let (reserved, min_cpu) = match self.blocked {
             Some(b) if self.now >= b.yields_until => return RoundDecision::Yield,
             Some(b) if job.class > b.class && !job.underserved => (b.min_cpu, job.total_cpu),
             Some(_) => (0, job.total_cpu),
             None => (0, job.min_cpu),
         };
-        let elsewhere = if job.underserved { 0 } else { elsewhere };
-        let taken = beside.saturating_add(elsewhere);
+        let peer_demand = if job.underserved { 0 } else { peer_demand };
+        let taken = reserved.saturating_add(peer_demand);
         let yields = taken > 0 || self.blocked.is_some();
         if yields && self.free < taken.saturating_add(min_cpu) {
             return RoundDecision::Yield;
@@ -77,18 +78,20 @@
         RoundDecision::Try
     }
 
-    /// Room was taken.
+    /// Takes the room of tasks that were placed.
     pub fn take(&mut self, cpu_milli: u64) {
         self.free = self.free.saturating_sub(cpu_milli);
     }
 
-    /// A job began with only a part of its tasks. The room that comes free next is for the rest of it, so that at most
-    /// one job stands half placed: what it has used is lost if it is not finished.
+    /// Ends the round because a job began with only a part of its tasks. The room that becomes free next is
+    /// for its other tasks, so that at most one job is partly placed: the work done for a job is lost if it
+    /// is not finished.
     pub fn record_partial(&mut self) {
-        self.misses = self.most_misses;
+        self.misses = self.max_misses;
     }
 
-    /// A job did not fit.
+    /// Records a job that did not fit. The first one is the one that others overtake, until the earliest
+    /// `yields_until` of all that did not fit.
     pub fn record_miss(&mut self, job: &PendingJob) {
         self.misses += 1;
         let blocked = self.blocked.get_or_insert(Blocked {
@@ -99,8 +102,9 @@
         blocked.yields_until = blocked.yields_until.min(job.yields_until);
     }
 
-    /// Whether no further job is looked at: trying costs time that the entry needs to answer.
+    /// Returns whether the round is over. Trying more jobs would cost time that the entry needs to answer
+    /// requests.
     pub fn is_over(&self) -> bool {
-        self.misses >= self.most_misses
+        self.misses >= self.max_misses
     }
 }
--- a/lib/src/dispatch/contention/shares.rs
+++ b/lib/src/dispatch/contention/shares.rs
@@ -1,38 +1,41 @@
-//! What share of the jobs of each kind is served, and which kinds are owed room.
+//! The share of the jobs of each kind that is served, and which kinds are underserved.
 //!
-//! Strict priorities starve what is less urgent, and large jobs find room later than small ones. A kind of which less
-//! than a set part is served, compared with all others, goes before them until that is made good.
+//! Strict priorities starve less urgent jobs, and large jobs find room later than small ones. A kind whose
+//! served share is below a set fraction of that of all others goes before them until it is no longer
+//! underserved.
 
 use crate::dispatch::policy::Contention;
 use crate::prelude::*;
 
-/// So many kinds are told apart. Jobs of further priorities count with the last.
-const KINDS: usize = 16;
-/// Shares of fewer jobs say nothing.
-const LEAST_JOBS: f64 = 8.0;
+/// The maximum number of kinds. Jobs of further kinds count with the last one.
+const MAX_KINDS: usize = 16;
+/// Shares of fewer jobs than this are not compared.
+const MIN_JOBS: f64 = 8.0;
 /// The share of jobs that are not large.
-const ORDINARY: f64 = 0.9;
-/// The step by which the bound of large jobs follows them, as a part of itself.
-const STEP: f64 = 0.02;
+const ORDINARY_SHARE: f64 = 0.9;
+/// The relative step by which the threshold of large jobs is adjusted.
+const THRESHOLD_STEP: f64 = 0.02;
 
-/// Jobs that are compared with others.
+/// A group of jobs whose served share is compared with that of all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Kind {
-    /// Their priority.
+    /// The priority of the jobs.
     pub priority: u32,
-    /// Whether they are of the largest tenth of it, by the room that they need.
+    /// Whether they are among the largest tenth of their priority, by the room that they need.
     pub large: bool,
 }
 
+/// The decaying job counts of a kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     served: f64,
     all: f64,
-    /// The room above which a job is large, in thousandths of a core.
-    bound: f64,
+    /// The room above which a job is large, in thousandths of a core; 0 if not known. It is kept with the
+    /// kind that is not large.
+    threshold: f64,
 }
 
-/// What became of jobs, by kind.
+/// The numbers of served and of all jobs, by kind.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     tallies: Vec<(Kind, Tally)>,
@@ -40,18 +43,18 @@
 }
 
 impl Shares {
-    /// The kind of a job.
+    /// Returns the kind of a job that needs `cpu_milli` thousandths of a core.
     pub fn kind(&self, priority: u32, cpu_milli: u64) -> Kind {
         let ordinary = Kind {
             priority,
             large: false,
         };
-        let bound = self.tally(ordinary).map_or(0.0, |t| t.bound);
-        let large = bound > 0.0 && cpu_milli as f64 > bound;
+        let threshold = self.tally(ordinary).map_or(0.0, |t| t.threshold);
+        let large = threshold > 0.0 && cpu_milli as f64 > threshold;
         Kind { priority, large }
     }
 
-    /// A job has begun, or was turned away before it did.
+    /// Records a job that has begun, or was refused before it did.
     pub fn note(
         &mut self,
         now: Mono,
@@ -60,20 +63,20 @@
         served: bool,
         policy: &Contention,
     ) {
-        self.fade(now, policy.share_memory);
+        self.decay(now, policy.share_memory);
         let kind = self.kind(priority, cpu_milli);
         let ordinary = Kind {
             large: false,
             ..kind
         };
-        let bound = &mut self.tally_mut(ordinary).bound;
-        *bound = follow(*bound, cpu_milli as f64);
+        let threshold = &mut self.tally_mut(ordinary).threshold;
+        *threshold = adjust_threshold(*threshold, cpu_milli as f64);
         let tally = self.tally_mut(kind);
         tally.all += 1.0;
         tally.served += f64::from(u8::from(served));
     }
 
-    /// Whether less of a kind is served than `least_served` times what is served of all others.
+    /// Returns whether the served share of a kind is below `least_served` times the served share of all others.
     pub fn is_underserved(&self, kind: Kind, policy: &Contention) -> bool {
         let Some(own) = self.tally(kind) else {
             return false;
@@ -82,7 +85,7 @@
         let (served, all) = others.fold((0.0, 0.0), |(served, all), (_, t)| {
             (served + t.served, all + t.all)
         });
-        if own.all < LEAST_JOBS || all < LEAST_JOBS {
+        if own.all < MIN_JOBS || all < MIN_JOBS {
             return false;
         }
         own.served / own.all < policy.least_served * (served / all)
@@ -96,7 +99,7 @@
     fn tally_mut(&mut self, kind: Kind) -> &mut Tally {
         let known = self.tallies.iter().position(|(k, _)| *k == kind);
         let place = known.unwrap_or_else(|| {
-            if self.tallies.len() < KINDS {
+            if self.tallies.len() < MAX_KINDS {
                 self.tallies.push((kind, Tally::default()));
             }
             self.tallies.len() - 1
@@ -104,8 +107,8 @@
         &mut self.tallies[place].1
     }
 
-    /// Lets what was noted fade, and forgets kinds of which no jobs come any more.
-    fn fade(&mut self, now: Mono, memory: Duration) {
+    /// Lets the counts decay exponentially, and drops kinds of which no more jobs arrive.
+    fn decay(&mut self, now: Mono, memory: Duration) {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         let left = (-passed / memory.as_secs_f64()).exp();
@@ -114,17 +117,17 @@
             tally.all *= left;
         }
         self.tallies
-            .retain(|(_, t)| t.all > 0.01 || t.bound > 0.0 && t.all > 0.000_1);
+            .retain(|(_, t)| t.all > 0.01 || t.threshold > 0.0 && t.all > 0.000_1);
     }
 }
 
-/// A bound that a tenth of the values lies above, moved by one of them.
-fn follow(bound: f64, value: f64) -> f64 {
-    if bound == 0.0 {
+/// Returns the threshold above which a tenth of the values lie, adjusted by one more value.
+fn adjust_threshold(threshold: f64, value: f64) -> f64 {
+    if threshold == 0.0 {
         value * 2.0
-    } else if value > bound {
-        bound * (1.0 + STEP * ORDINARY)
+    } else if value > threshold {
+        threshold * (1.0 + THRESHOLD_STEP * ORDINARY_SHARE)
     } else {
-        bound * (1.0 - STEP * (1.0 - ORDINARY))
+        threshold * (1.0 - THRESHOLD_STEP * (1.0 - ORDINARY_SHARE))
     }
 }
--- a/lib/src/dispatch/contention/tests.rs
+++ b/lib/src/dispatch/contention/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of decisions about jobs that compete for room.
+//! Tests of the decisions about jobs that compete for room.
 
 use super::arrival::AdmissionDecision;
 use super::arrival::decide_admission;
@@ -15,7 +15,7 @@
 use crate::dispatch::policy::Contention;
 use crate::prelude::*;
 
-const AGE: Duration = Duration::from_millis(350);
+const MAX_AGE: Duration = Duration::from_millis(350);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -42,61 +42,61 @@
 }
 
 #[test]
-fn test_backlog_tells_few_priorities_and_loses_no_work() {
+fn test_backlog_merged_priorities() {
     let rows: Vec<(u32, u64)> = (0..20).map(|priority| (priority, 100)).collect();
     let all = backlog(&rows);
-    let told = all.proto();
-    assert_eq!(told.len(), 8);
-    let read = Backlog::from_proto(&told);
+    let reported = all.proto();
+    assert_eq!(reported.len(), 8);
+    let read = Backlog::from_proto(&reported);
     assert_eq!(read.cpu_milli(), all.cpu_milli());
     assert_eq!(read.up_to(6), 700);
     assert_eq!(
         read.up_to(18),
         700,
-        "what is told as one is the least urgent"
+        "merged work counts with the least urgent priority"
     );
 }
 
 #[test]
-fn test_peer_backlogs_count_while_they_are_fresh() {
+fn test_peer_backlogs_stale_report() {
     let mut peers = PeerBacklogs::default();
     peers.note(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
-    assert_eq!(peers.estimate_at(at(100), AGE, 0.0).before(2), 1000);
+    assert_eq!(peers.estimate_at(at(100), MAX_AGE, 0.0).before(2), 1000);
     assert!(
-        peers.estimate_at(at(2000), AGE, 0.0).is_empty(),
+        peers.estimate_at(at(2000), MAX_AGE, 0.0).is_empty(),
         "two seconds old"
     );
 }
 
 #[test]
-fn test_peer_backlogs_are_forgotten_with_the_link() {
+fn test_peer_backlogs_lost_link() {
     let mut peers = PeerBacklogs::default();
     peers.note(at(0), "a", backlog(&[(0, 1000)]));
     peers.note(at(0), "b", backlog(&[(0, 70)]));
     peers.forget("a");
-    assert_eq!(peers.estimate_at(at(10), AGE, 0.0).up_to(0), 70);
+    assert_eq!(peers.estimate_at(at(10), MAX_AGE, 0.0).up_to(0), 70);
 }
 
 #[test]
-fn test_peer_backlogs_give_the_most_urgent_what_came_free_since() {
+fn test_peer_backlogs_freed_room() {
     let mut peers = PeerBacklogs::default();
     peers.note(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
-    let left = peers.estimate_at(at(100), AGE, 12_000.0);
+    let left = peers.estimate_at(at(100), MAX_AGE, 12_000.0);
     assert_eq!(left.up_to(0), 0);
     assert_eq!(left.up_to(2), 300);
 }
 
-fn drained() -> ReleaseRate {
-    let mut drain = ReleaseRate::default();
+fn release_rate() -> ReleaseRate {
+    let mut release = ReleaseRate::default();
     for _ in 0..100 {
-        drain.note(2000, ms(200));
+        release.note(2000, ms(200));
     }
-    drain
+    release
 }
 
 #[test]
-fn test_drain_is_what_is_used_through_the_time_it_is_held() {
-    let rate = drained().rate(100_000).expect("enough runs");
+fn test_release_rate() {
+    let rate = release_rate().rate(100_000).expect("enough runs");
     assert!((rate - 500_000.0).abs() < 1.0, "{rate}");
     let mut few = ReleaseRate::default();
     few.note(2000, ms(200));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn test_judge_refuses_what_is_behind_by_a_margin_only() {
+fn test_decide_admission_margin() {
     let policy = Contention::default();
     let slack = ms(80);
     let behind = forecast(50_000, 100_000, 0);
@@ -126,12 +126,12 @@
     assert!(close.wait() > slack);
     assert_eq!(
         decide_admission(&close, slack, &policy),
-        AdmissionDecision::Hold
+        AdmissionDecision::Wait
     );
 }
 
 #[test]
-fn test_judge_never_refuses_while_there_is_room() {
+fn test_decide_admission_free_room() {
     let policy = Contention::default();
     let room = forecast(1_000_000, 1_000_000, 10_000);
     assert_eq!(
@@ -140,7 +140,7 @@
     );
 }
 
-fn entrant(class: u8, min_cpu: u64, yields_until: u64) -> PendingJob {
+fn pending(class: u8, min_cpu: u64, yields_until: u64) -> PendingJob {
     PendingJob {
         class,
         underserved: false,
@@ -151,65 +151,63 @@
 }
 
 #[test]
-fn test_round_goes_on_behind_a_job_that_does_not_fit() {
+fn test_round_overtaking() {
     let mut round = Round::new(at(0), 10_000, 4);
-    round.record_miss(&entrant(3, 20_000, 40));
-    assert_eq!(round.decide(&entrant(3, 2000, 40), 0), RoundDecision::Try);
-    assert_eq!(round.decide(&entrant(4, 2000, 40), 0), RoundDecision::Yield);
+    round.record_miss(&pending(3, 20_000, 40));
+    assert_eq!(round.decide(&pending(3, 2000, 40), 0), RoundDecision::Try);
+    assert_eq!(round.decide(&pending(4, 2000, 40), 0), RoundDecision::Yield);
 }
 
 #[test]
-fn test_round_leaves_room_to_a_job_that_has_waited_for_long() {
+fn test_round_overtaking_expired() {
     let mut round = Round::new(at(50), 10_000, 4);
-    round.record_miss(&entrant(3, 20_000, 40));
-    assert_eq!(round.decide(&entrant(3, 2000, 90), 0), RoundDecision::Yield);
+    round.record_miss(&pending(3, 20_000, 40));
+    assert_eq!(round.decide(&pending(3, 2000, 90), 0), RoundDecision::Yield);
 }
 
 #[test]
-fn test_round_yields_to_urgent_work_at_peers_unless_there_is_room_for_both() {
+fn test_round_urgent_work_at_peers() {
     let round = Round::new(at(0), 10_000, 4);
     assert_eq!(
-        round.decide(&entrant(4, 2000, 40), 9000),
+        round.decide(&pending(4, 2000, 40), 9000),
         RoundDecision::Yield
     );
     assert_eq!(
-        round.decide(&entrant(4, 2000, 40), 8000),
+        round.decide(&pending(4, 2000, 40), 8000),
         RoundDecision::Try
     );
     let underserved = PendingJob {
         underserved: true,
-        ..entrant(1, 2000, 40)
+        ..pending(1, 2000, 40)
     };
     assert_eq!(round.decide(&underserved, 9000), RoundDecision::Try);
 }
 
 #[test]
-fn test_round_lets_only_whole_jobs_past_one_that_does_not_fit() {
+fn test_round_partial_placement() {
     let mut round = Round::new(at(0), 10_000, 4);
     let part = PendingJob {
         total_cpu: 11_000,
-        ..entrant(3, 8000, 40)
+        ..pending(3, 8000, 40)
     };
     assert_eq!(round.decide(&part, 0), RoundDecision::Try);
-    round.record_miss(&entrant(3, 20_000, 40));
+    round.record_miss(&pending(3, 20_000, 40));
     assert_eq!(round.decide(&part, 0), RoundDecision::Yield);
     round.record_partial();
-    assert!(
-        round.is_over(),
-        "no second job begins with a part of its tasks"
-    );
+    assert!(round.is_over(), "no second job is placed in part");
 }
 
 #[test]
-fn test_round_ends_after_some_misses() {
+fn test_round_max_misses() {
     let mut round = Round::new(at(0), 10_000, 2);
-    round.record_miss(&entrant(3, 20_000, 40));
+    round.record_miss(&pending(3, 20_000, 40));
     assert!(!round.is_over());
-    round.record_miss(&entrant(3, 20_000, 40));
+    round.record_miss(&pending(3, 20_000, 40));
     assert!(round.is_over());
 }
 
-/// Notes jobs of two priorities, of which one in `served_of` of the less urgent is served.
+/// Records jobs of two priorities: all of the more urgent ones are served, and one in `served_of` of the less
+/// urgent.
 fn shares(served_of: u32) -> Shares {
     let policy = Contention::default();
     let mut shares = Shares::default();
@@ -222,17 +220,17 @@
 }
 
 #[test]
-fn test_shares_owe_a_kind_that_is_served_less_than_half_as_often() {
+fn test_shares_underserved_kind() {
     let policy = Contention::default();
-    let starved = shares(3);
-    let patient = starved.kind(2, 5000);
-    assert!(starved.is_underserved(patient, &policy));
-    assert!(!starved.is_underserved(starved.kind(0, 5000), &policy));
-    assert!(!shares(1).is_underserved(patient, &policy));
+    let observed = shares(3);
+    let less_urgent = observed.kind(2, 5000);
+    assert!(observed.is_underserved(less_urgent, &policy));
+    assert!(!observed.is_underserved(observed.kind(0, 5000), &policy));
+    assert!(!shares(1).is_underserved(less_urgent, &policy));
 }
 
 #[test]
-fn test_shares_tell_the_largest_tenth() {
+fn test_shares_large_jobs() {
     let policy = Contention::default();
     let mut shares = Shares::default();
     for n in 0..2000u64 {
@@ -244,23 +242,27 @@
 }
 
 #[test]
-fn test_shares_forget_what_is_long_ago() {
+fn test_shares_decay() {
     let policy = Contention::default();
     let mut shares = shares(60);
-    let patient = shares.kind(2, 5000);
-    assert!(shares.is_underserved(patient, &policy));
+    let less_urgent = shares.kind(2, 5000);
+    assert!(shares.is_underserved(less_urgent, &policy));
     shares.note(at(60_000), 0, 5000, true, &policy);
-    assert!(!shares.is_underserved(patient, &policy));
+    assert!(!shares.is_underserved(less_urgent, &policy));
 }
 
 #[test]
-fn test_returns_follow_each_other_as_room_comes() {
+fn test_retry_schedule_spacing() {
     let policy = Contention::default();
-    let mut returns = RetrySchedule::default();
-    let mut away = |wait| returns.schedule_retry(at(0), ms(wait), ms(100), ms(400), &policy);
-    assert_eq!(away(0), ms(400));
-    assert_eq!(away(0), ms(500), "the first to be turned away comes first");
-    assert_eq!(away(900), ms(900), "not before what waits has had its room");
-    let last = (0..100).map(|_| away(0)).last();
+    let mut schedule = RetrySchedule::default();
+    let mut delay = |wait| schedule.schedule_retry(at(0), ms(wait), ms(100), ms(400), &policy);
+    assert_eq!(delay(0), ms(400));
+    assert_eq!(delay(0), ms(500), "the first refused caller retries first");
+    assert_eq!(
+        delay(900),
+        ms(900),
+        "not before the waiting work has had its room"
+    );
+    let last = (0..100).map(|_| delay(0)).last();
     assert_eq!(last, Some(policy.return_most));
 }
