--- a/lib/src/dispatch/policy.rs
+++ b/lib/src/dispatch/policy.rs
@@ -144,7 +144,8 @@
             findings.add("/leases/lapse_ms", message);
         }
         if self.claims.again_after > self.claims.warm_up {
-            let message = "must not be longer than `warm_up_ms`: a job from before a restart may be submitted again";
+            let message = "must not be longer than `warm_up_ms`: a job from before a restart may be \
+                           submitted again";
             findings.add("/claims/again_after_ms", message);
         }
         if self.health.trial_first > self.health.trial_last {
--- a/lib/src/dispatch/policy/admission.rs
+++ b/lib/src/dispatch/policy/admission.rs
@@ -51,8 +51,8 @@
 }
 
 impl Admission {
-    /// Returns the time after which a refused caller is told to retry, in milliseconds. It is random, so that callers
-    /// do not all return at once.
+    /// Returns the time after which a refused caller is told to retry, in milliseconds. It is random, so that
+    /// callers do not all return at once.
     pub fn retry_delay_ms(&self, rng: &mut impl Rng) -> u32 {
         let [base, spread] = [self.retry_base, self.retry_spread];
         let [base, spread] = [base, spread].map(|span| crate::clock::millis(span) as u32);
--- a/lib/src/dispatch/policy/section.rs
+++ b/lib/src/dispatch/policy/section.rs
@@ -1,5 +1,6 @@
-//! The types that a policy field may have, each with its reader from JSON and its text for the reference page, and
-//! the macro that declares a section of such fields. A value out of range adds a finding and leaves the default.
+//! The types that a policy field may have, each with its reader from JSON and its text for the reference
+//! page, and the macro that declares a section of such fields. A value out of range adds a finding and leaves
+//! the default.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -113,8 +114,8 @@
     }
 }
 
-/// Declares a section: a struct whose fields each have a kind, a default and a range. A field has the same name in
-/// JSON, with the suffix `_ms` if it is a time in milliseconds.
+/// Declares a section: a struct whose fields each have a kind, a default and a range. A field has the same
+/// name in JSON, with the suffix `_ms` if it is a time in milliseconds.
 macro_rules! section {
     (
         $(#[doc = $about:literal])*
--- a/lib/src/dispatch/zones/tests.rs
+++ b/lib/src/dispatch/zones/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `zones`.
+//! Tests of the records of evacuated zones.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn test_zones_newer_word_holds_whatever_order_they_come_in() {
+fn test_zones_out_of_order_records() {
     let mut zones = Zones::default();
     assert!(zones.note("a", record(5, true)));
     assert!(!zones.note("a", record(3, false)), "an old reading");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn test_zones_list_takes_back_what_it_lacks() {
+fn test_zones_list_lifts_missing() {
     let mut zones = Zones::default();
     zones.apply_list(&listed(&[("a", 4), ("b", 6)]), 7);
     assert_eq!(zones.evacuated().collect::<Vec<_>>(), ["a", "b"]);
@@ -37,13 +37,13 @@
     assert_eq!(changed, ["a"]);
     assert!(
         !zones.note("a", record(4, true)),
-        "by a peer that is behind"
+        "from a peer with an older state"
     );
     assert_eq!(zones.evacuated().collect::<Vec<_>>(), ["b"]);
 }
 
 #[test]
-fn test_zones_old_list_undoes_nothing() {
+fn test_zones_stale_list() {
     let mut zones = Zones::default();
     zones.note("a", record(20, true));
     assert_eq!(zones.apply_list(&listed(&[]), 15), Vec::<String>::new());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn test_zones_without_a_word_have_no_edition() {
+fn test_zones_empty_edition() {
     let mut zones = Zones::default();
     zones.apply_list(&listed(&[]), 3);
     assert_eq!(zones.edition(), 0);
