--- a/lib/tests/runner/test_events.rs
+++ b/lib/tests/runner/test_events.rs
@@ -1,11 +1,11 @@
-//! The catalogue of events in the docs names exactly the events of the code.
+//! Numbered log events and their table in `docs/EVENTS.md`.
 
 use stackcourse_lib::event::Kind;
 
 #[test]
-fn test_events_stand_in_the_catalogue() {
+fn test_events_match_docs() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/EVENTS.md");
-    let page = std::fs::read_to_string(path).expect("the catalogue");
+    let page = std::fs::read_to_string(path).expect("docs/EVENTS.md is readable");
     let rows: Vec<&str> = page.lines().filter(|l| l.starts_with("| SC")).collect();
     let expected: Vec<String> = Kind::ALL
         .iter()
@@ -17,16 +17,16 @@
     assert_eq!(
         rows.len(),
         expected.len(),
-        "rows and events differ in number"
+        "the numbers of rows and events differ"
     );
     for (row, start) in rows.iter().zip(&expected) {
         assert!(row.starts_with(start), "{row} does not begin with {start}");
-        assert!(row.len() > start.len() + 4, "{row} gives no advice");
+        assert!(row.len() > start.len() + 4, "{row} does not say what to do");
     }
 }
 
 #[test]
-fn test_events_have_distinct_rising_numbers() {
+fn test_events_ascending_numbers() {
     let numbers: Vec<u16> = Kind::ALL.iter().map(|k| k.number()).collect();
     assert!(numbers.windows(2).all(|w| w[0] < w[1]), "{numbers:?}");
 }
