--- a/lib/daemon/src/dispatch/division.rs
+++ b/lib/daemon/src/dispatch/division.rs
@@ -258,7 +258,7 @@
         return Err(fault.clone());
     }
     let path = item.key.strip_prefix(prefix);
-    let name = path.and_then(partition::name_at);
+    let name = path.and_then(partition::name_from_path);
     name.ok_or_else(|| "not the key of a process".to_owned())
 }
 
@@ -272,6 +272,6 @@
     if let Err(error) = store.create(KEY, json.into()).await
         && error != StoreError::Conflict
     {
-        host.log(Kind::StoreAway, format!("writing {KEY}: {error}"));
+        host.log(Kind::StoreUnavailable, format!("writing {KEY}: {error}"));
     }
 }
--- a/lib/daemon/src/dispatch/follow.rs
+++ b/lib/daemon/src/dispatch/follow.rs
@@ -149,13 +149,16 @@
 fn note_away<F: Follower>(follower: &F, away: &Cell<bool>, prefix: &str, error: &StoreError) {
     if !away.replace(true) {
         follower.away();
-        follower.log(Kind::StoreAway, format!("watching {prefix}: {error}"));
+        follower.log(
+            Kind::StoreUnavailable,
+            format!("watching {prefix}: {error}"),
+        );
     }
 }
 
 fn note_back<F: Follower>(follower: &F, away: &Cell<bool>, prefix: &str) {
     if away.replace(false) {
-        follower.log(Kind::StoreBack, format!("watching {prefix}"));
+        follower.log(Kind::StoreRecovered, format!("watching {prefix}"));
     }
 }
 
--- a/lib/daemon/src/dispatch/forwarding.rs
+++ b/lib/daemon/src/dispatch/forwarding.rs
@@ -188,7 +188,7 @@
                 }
             }
             let now = host.inner.host.now();
-            host.with(|f| f.unreached(now, &name));
+            host.with(|f| f.connect_failed(now, &name));
         });
     }
 }
--- a/lib/src/dispatch/executor/lists.rs
+++ b/lib/src/dispatch/executor/lists.rs
@@ -240,7 +240,7 @@
                 "{} run {}: number {}, after {seen}",
                 row.run.task, row.run.run, row.number
             );
-            self.log(Kind::EndPassed, detail);
+            self.log(Kind::EndSkipped, detail);
         }
     }
 
@@ -285,7 +285,7 @@
     fn stop_stranger(&mut self, name: RunName) {
         self.counts.strangers += 1;
         let detail = format!("{} run {}", name.task, name.run);
-        self.log(Kind::StrangerRun, detail);
+        self.log(Kind::UnknownRun, detail);
         self.send_stop(name);
     }
 
--- a/lib/src/dispatch/executor/lives.rs
+++ b/lib/src/dispatch/executor/lives.rs
@@ -161,7 +161,7 @@
     /// A heartbeat changes nothing.
     fn reject_beat(&mut self, detail: String) {
         self.counts.beats_rejected += 1;
-        self.log(Kind::BadBeat, detail);
+        self.log(Kind::InvalidHeartbeat, detail);
     }
 
     /// A heartbeat could not be read.
--- a/lib/src/dispatch/executor/preempting.rs
+++ b/lib/src/dispatch/executor/preempting.rs
@@ -78,7 +78,7 @@
                 "{}: {missing} milli-cores missing, {:.0} core-ms and {} milli-cores may be lost",
                 waiting.task, bounds.loss, bounds.cpu_milli
             );
-            self.log(Kind::RoomKept, detail);
+            self.log(Kind::PreemptionDenied, detail);
             return false;
         };
         if !chosen.is_empty() {
--- a/lib/src/dispatch/executor/reports.rs
+++ b/lib/src/dispatch/executor/reports.rs
@@ -9,7 +9,7 @@
 use super::Executor;
 use super::runs::Run;
 use super::sessions::Session;
-use crate::dispatch::model::Free;
+use crate::dispatch::model::FreeCapacity;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::TaskName;
 use crate::prelude::*;
@@ -148,7 +148,7 @@
             return proto::WorkerReport::default();
         };
         let capacity = worker.beat.capacity;
-        let mut free = Free::of(capacity).less(self.used);
+        let mut free = FreeCapacity::of(capacity).less(self.used);
         for waiting in &self.queue {
             free = free.less(waiting.demand);
         }
--- a/lib/src/dispatch/forwarder.rs
+++ b/lib/src/dispatch/forwarder.rs
@@ -61,7 +61,7 @@
 
 /// A scheduler, as the store names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Scheduled {
+pub struct SchedulerAddress {
     /// Its name.
     pub name: String,
     /// Where it is reached.
@@ -260,7 +260,7 @@
     }
 
     /// A scheduler could not be reached.
-    pub fn unreached(&mut self, now: Mono, name: &str) {
+    pub fn connect_failed(&mut self, now: Mono, name: &str) {
         self.enter(now);
         let Some(key) = self.named.get(name).copied() else {
             return;
@@ -302,7 +302,7 @@
         &mut self,
         now: Mono,
         partition: Partition,
-        list: Vec<Scheduled>,
+        list: Vec<SchedulerAddress>,
         freshness: Freshness,
     ) {
         self.enter(now);
--- a/lib/src/dispatch/forwarder/targets.rs
+++ b/lib/src/dispatch/forwarder/targets.rs
@@ -5,7 +5,7 @@
 use super::Action;
 use super::Forwarder;
 use super::Freshness;
-use super::Scheduled;
+use super::SchedulerAddress;
 use crate::dispatch::partition::Partition;
 use crate::dispatch::rank::Rank;
 use crate::dispatch::scheduler::CallerId;
@@ -37,7 +37,7 @@
     met: bool,
     dialling: bool,
     /// Whether the last try to reach it failed.
-    unreached: bool,
+    connect_failed: bool,
     /// It is not chosen before, since it could not be reached.
     avoided_until: Mono,
     ready: bool,
@@ -55,7 +55,7 @@
         self.link = Some(link);
         self.met = false;
         self.dialling = false;
-        self.unreached = false;
+        self.connect_failed = false;
         self.avoided_until = Mono::default();
         self.heard = now;
         self.used = now;
@@ -65,13 +65,13 @@
 
     pub fn avoid(&mut self, until: Mono) {
         self.dialling = false;
-        self.unreached = true;
+        self.connect_failed = true;
         self.avoided_until = until;
     }
 
     /// Whether it stays though a list does not name it.
     pub fn outlasts(&self, freshness: Freshness) -> bool {
-        let may_be_there = freshness == Freshness::Recent && !self.unreached;
+        let may_be_there = freshness == Freshness::Recent && !self.connect_failed;
         self.link.is_some() || may_be_there
     }
 
@@ -149,7 +149,7 @@
 
 impl Forwarder {
     /// The place of a scheduler in the order in which they are chosen.
-    pub(super) fn rank(&self, scheduled: &Scheduled) -> Rank {
+    pub(super) fn rank(&self, scheduled: &SchedulerAddress) -> Rank {
         let same_zone = scheduled.zone == self.setup.zone;
         Rank::of(&self.setup.name, &scheduled.name, same_zone)
     }
@@ -163,7 +163,11 @@
     }
 
     /// The target of this name, which may not have been known. Another address makes it another one.
-    pub(super) fn target_named(&mut self, partition: Partition, scheduled: Scheduled) -> TargetKey {
+    pub(super) fn target_named(
+        &mut self,
+        partition: Partition,
+        scheduled: SchedulerAddress,
+    ) -> TargetKey {
         if let Some(key) = self.named.get(&scheduled.name).copied() {
             let target = &mut self.targets[key];
             if target.address != scheduled.address {
@@ -182,7 +186,7 @@
             link: None,
             met: false,
             dialling: false,
-            unreached: false,
+            connect_failed: false,
             avoided_until: Mono::default(),
             ready: true,
             heard: Mono::default(),
--- a/lib/src/dispatch/forwarder/tests.rs
+++ b/lib/src/dispatch/forwarder/tests.rs
@@ -54,7 +54,7 @@
     }
 
     fn name_schedulers(&mut self, now: Mono) {
-        let scheduled = |name: &String, zone: &str| Scheduled {
+        let scheduled = |name: &String, zone: &str| SchedulerAddress {
             name: name.clone(),
             address: format!("{name}:7700"),
             zone: zone.to_owned(),
@@ -162,7 +162,7 @@
     rig.submit(at(0), 0);
     rig.act();
     let near = rig.near.clone();
-    rig.forwarder.unreached(at(60), &near);
+    rig.forwarder.connect_failed(at(60), &near);
     let dialled = rig.act();
     assert_matches!(&dialled[..], [Action::Dial(name, _)] if rig.far.contains(name));
 }
@@ -238,7 +238,7 @@
     let mut rig = Rig::new();
     rig.submit(at(0), 0);
     for name in [rig.near.clone(), rig.far[0].clone(), rig.far[1].clone()] {
-        rig.forwarder.unreached(at(10), &name);
+        rig.forwarder.connect_failed(at(10), &name);
     }
     let actions = rig.act();
     let refused = |a: &Action| matches!(a, Action::Answer(CallerId(0), JobOutcome::Refused(_)));
@@ -277,7 +277,7 @@
     let mut rig = Rig::new();
     rig.submit(at(0), 0);
     let near = rig.near.clone();
-    rig.forwarder.unreached(at(10), &near);
+    rig.forwarder.connect_failed(at(10), &near);
     let dialled = rig.act();
     let Some(Action::Dial(far, _)) = dialled.last().cloned() else {
         panic!("another one is dialled");
@@ -350,7 +350,7 @@
     for partition in partitions.all().filter(|p| *p != own) {
         let members = names.iter().enumerate();
         let members = members.filter(|(_, name)| partitions.of_name(name) == partition);
-        let scheduled = |(i, name): (usize, &String)| Scheduled {
+        let scheduled = |(i, name): (usize, &String)| SchedulerAddress {
             name: name.clone(),
             address: name.clone(),
             zone: zone(i),
@@ -433,7 +433,7 @@
 fn test_forwarder_keeps_whom_it_can_reach_when_an_old_list_does_not_name_them() {
     let mut rig = Rig::new();
     let far = rig.far[0].clone();
-    rig.forwarder.unreached(at(10), &far);
+    rig.forwarder.connect_failed(at(10), &far);
     let other = rig.other;
     rig.forwarder
         .set_schedulers(at(20), other, Vec::new(), Freshness::Recent);
--- a/lib/src/dispatch/model.rs
+++ b/lib/src/dispatch/model.rs
@@ -130,7 +130,7 @@
 
 /// Room that is left; negative where more is spoken for than there is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Free {
+pub struct FreeCapacity {
     /// Thousandths of a core.
     pub cpu_milli: i64,
     /// Memory, in MiB.
@@ -139,10 +139,10 @@
     pub gpu: i64,
 }
 
-impl Free {
+impl FreeCapacity {
     /// What `capacity` leaves beside nothing else.
-    pub fn of(capacity: Demand) -> Free {
-        Free {
+    pub fn of(capacity: Demand) -> FreeCapacity {
+        FreeCapacity {
             cpu_milli: i64::from(capacity.cpu_milli),
             memory_mb: i64::from(capacity.memory_mb),
             gpu: i64::from(capacity.gpu),
@@ -150,8 +150,8 @@
     }
 
     /// What is left after `demand`.
-    pub fn less(self, demand: Demand) -> Free {
-        Free {
+    pub fn less(self, demand: Demand) -> FreeCapacity {
+        FreeCapacity {
             cpu_milli: self.cpu_milli - i64::from(demand.cpu_milli),
             memory_mb: self.memory_mb - i64::from(demand.memory_mb),
             gpu: self.gpu - i64::from(demand.gpu),
--- a/lib/src/dispatch/partition.rs
+++ b/lib/src/dispatch/partition.rs
@@ -120,7 +120,7 @@
 }
 
 /// The name of the process that stands under a path.
-pub fn name_at(path: &str) -> Option<&str> {
+pub fn name_from_path(path: &str) -> Option<&str> {
     let (_, name) = path.split_once('/')?;
     (path_of(name) == path).then_some(name)
 }
--- a/lib/src/dispatch/partition/tests.rs
+++ b/lib/src/dispatch/partition/tests.rs
@@ -77,10 +77,10 @@
 
 #[test]
 fn test_partitions_a_path_names_its_process_only() {
-    assert_eq!(name_at(&path_of("edge-1")), Some("edge-1"));
-    assert_eq!(name_at("edge-1"), None, "no hash");
+    assert_eq!(name_from_path(&path_of("edge-1")), Some("edge-1"));
+    assert_eq!(name_from_path("edge-1"), None, "no hash");
     let strange = format!("{}/edge-2", digits(name_hash("edge-1"), MAX_BITS));
-    assert_eq!(name_at(&strange), None, "the hash of another name");
+    assert_eq!(name_from_path(&strange), None, "the hash of another name");
 }
 
 #[test]
--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -85,9 +85,9 @@
         }
         self.loads.short = short;
         let kind = if short {
-            Kind::EntryBusy
+            Kind::EntryOverloaded
         } else {
-            Kind::EntryRelieved
+            Kind::EntryRecovered
         };
         self.log(kind, format!("{percent} % of its processor time"));
     }
@@ -206,7 +206,7 @@
         let waited = crate::clock::millis(self.now.since(job.arrived)) as u32;
         let call = &job.request.call;
         let detail = format!("{number} to {name} after {waited} ms request {call}");
-        self.log(Kind::JobEvenedOut, detail);
+        self.log(Kind::JobRebalanced, detail);
         self.counts.handed += 1;
         if let Some(load) = self.loads.peers.get_mut(name) {
             *load.waiting.entry(job.priority).or_default() += job.ready_cpu();
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -207,7 +207,7 @@
         let over: Vec<String> = over.map(|(queue, _)| queue.clone()).collect();
         for queue in over {
             self.bulkheads.closed.remove(&queue);
-            self.log(Kind::QueueOpen, queue);
+            self.log(Kind::QueueReleased, queue);
         }
     }
 
--- a/lib/src/dispatch/scheduler/catalog_sync.rs
+++ b/lib/src/dispatch/scheduler/catalog_sync.rs
@@ -111,7 +111,7 @@
             self.version(),
             crate::clock::millis(age)
         );
-        self.log(Kind::ConfigUnsure, detail);
+        self.log(Kind::ConfigUnconfirmed, detail);
     }
 
     /// Asks a peer for its catalog, if that is newer and the store has had the time to tell it. One
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -295,7 +295,7 @@
         let after = crate::clock::millis(self.now.since(self.setup.started));
         let linked = self.executors.values().filter(|e| e.link.is_some()).count();
         self.log(
-            Kind::ClaimsSettle,
+            Kind::ClaimsResolved,
             format!("after {after} ms, {linked} executors linked"),
         );
     }
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -362,7 +362,7 @@
             );
             state.since = None;
             state.told = false;
-            self.log(Kind::BacklogGone, format!("it lasted {lasted} ms"));
+            self.log(Kind::BacklogCleared, format!("it lasted {lasted} ms"));
         }
     }
 
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -158,7 +158,7 @@
         *self.counts.again.entry(cause).or_default() += 1;
         let place = self.executors.get(key).map(|e| e.name.clone());
         let place = place.unwrap_or_default();
-        self.log(Kind::TaskAgain, format!("{name} at {place}: {cause}"));
+        self.log(Kind::TaskRetried, format!("{name} at {place}: {cause}"));
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -7,7 +7,7 @@
 use super::members::Told;
 use super::silent::Hearsay;
 use crate::dispatch::model::Demand;
-use crate::dispatch::model::Free;
+use crate::dispatch::model::FreeCapacity;
 use crate::dispatch::model::TaskName;
 use crate::dispatch::policy::Policy;
 use crate::dispatch::rank::Rank;
@@ -32,7 +32,7 @@
     pub profile: proto::Profile,
     pub capacity: Demand,
     /// What is free, as reported and less what was sent since.
-    pub free: Free,
+    pub free: FreeCapacity,
     /// What was sent and is not counted in by a report, by sequence.
     sent: VecDeque<(u64, Demand)>,
     sequence: u64,
@@ -97,7 +97,7 @@
             report: proto::WorkerReport::default(),
             profile: proto::Profile::default(),
             capacity: Demand::default(),
-            free: Free::default(),
+            free: FreeCapacity::default(),
             sent: VecDeque::new(),
             sequence: 0,
             placed: BTreeMap::new(),
@@ -269,7 +269,7 @@
         while self.sent.front().is_some_and(|(s, _)| *s <= counted) {
             self.sent.pop_front();
         }
-        let mut free = Free {
+        let mut free = FreeCapacity {
             cpu_milli: report.free_cpu_milli,
             memory_mb: report.free_memory_mb,
             gpu: report.free_gpu,
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -38,7 +38,7 @@
             peer.hand(request.proto());
         }
         let detail = format!("{number} to {name} request {}", request.call);
-        self.log(Kind::JobHanded, detail);
+        self.log(Kind::JobHandedOff, detail);
         // Whoever has this job handed in again meanwhile must not take it for a new one.
         self.announce(number);
         let following = Following {
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -81,9 +81,9 @@
         }
         executor.slow = slow;
         let kind = if slow {
-            Kind::WorkerSick
+            Kind::WorkerUnhealthy
         } else {
-            Kind::WorkerWell
+            Kind::WorkerRecovered
         };
         let name = &executor.name;
         let detail = format!("{name}: pace {pace} % of the estimates, the others {median} %");
--- a/lib/src/dispatch/scheduler/placing.rs
+++ b/lib/src/dispatch/scheduler/placing.rs
@@ -10,7 +10,7 @@
 use super::jobs::TaskState;
 use super::speeds::Fit;
 use crate::dispatch::model::Demand;
-use crate::dispatch::model::Free;
+use crate::dispatch::model::FreeCapacity;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::TaskName;
 use crate::dispatch::timings::Stage;
@@ -153,7 +153,7 @@
 
     /// Where each of the ready tasks would go, as far as there is room.
     fn plan(&mut self, job: &mut Job) -> Vec<Placing> {
-        let mut free: SecondaryMap<ExecutorKey, Free> = SecondaryMap::new();
+        let mut free: SecondaryMap<ExecutorKey, FreeCapacity> = SecondaryMap::new();
         let barred = self.barred_from(&job.request.queue);
         for key in &self.cell.near {
             let executor = &self.executors[*key];
@@ -173,7 +173,7 @@
         &mut self,
         job: &mut Job,
         step: u32,
-        free: &mut SecondaryMap<ExecutorKey, Free>,
+        free: &mut SecondaryMap<ExecutorKey, FreeCapacity>,
         plan: &mut Vec<Placing>,
     ) {
         let ready = |t: &super::jobs::Task| t.step == step && t.state == TaskState::Ready;
@@ -317,7 +317,7 @@
         job: &Job,
         step: u32,
         avoid: Option<ExecutorKey>,
-        free: &SecondaryMap<ExecutorKey, Free>,
+        free: &SecondaryMap<ExecutorKey, FreeCapacity>,
         plan: &[Placing],
     ) -> Choice {
         let s = &job.request.steps[step as usize];
--- a/lib/src/dispatch/scheduler/preempting.rs
+++ b/lib/src/dispatch/scheduler/preempting.rs
@@ -138,6 +138,6 @@
         let number = job.request.number;
         let detail = format!("{number}: {tasks} tasks at {}", names.join(" "));
         job.preempted_at = Some(self.now);
-        self.log(Kind::RoomTaken, detail);
+        self.log(Kind::PreemptionPlanned, detail);
     }
 }
--- a/lib/src/dispatch/scheduler/silent.rs
+++ b/lib/src/dispatch/scheduler/silent.rs
@@ -71,7 +71,7 @@
             let executor = &mut self.executors[key];
             executor.silence_logged = true;
             let detail = executor.name.clone();
-            self.log(Kind::ExecutorAccounted, detail);
+            self.log(Kind::ExecutorBypassed, detail);
         }
     }
 
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -151,9 +151,9 @@
             executor.slow = sick;
             let detail = format!("{}: slowness {percent} %", executor.name);
             let kind = if sick {
-                Kind::WorkerSlower
+                Kind::WorkerDegraded
             } else {
-                Kind::WorkerSteady
+                Kind::WorkerSpeedRestored
             };
             self.log(kind, detail);
         }
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -31,7 +31,7 @@
         self.waiting_told = self.now;
         let after = crate::clock::millis(self.now.since(self.present_since));
         let detail = format!("{jobs} jobs after {after} ms, for {}", self.waited_for());
-        self.log(Kind::ClaimsOpen, detail);
+        self.log(Kind::ClaimsPending, detail);
     }
 
     /// In words, the first that holds of: the list of executors, peers, executors not met, confirmations.
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -641,7 +641,7 @@
         let kind = match (before, after) {
             (_, Standing::Lapsed) => Kind::RightLapsed,
             (_, Standing::Promised) => Kind::RightExtended,
-            (_, Standing::Confirmed) => Kind::RightBack,
+            (_, Standing::Confirmed) => Kind::RightRestored,
         };
         self.log(kind, String::new());
     }
--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/changing.rs
@@ -128,7 +128,7 @@
             }
             _ => {
                 // It may still take effect, until the record has moved on.
-                self.log(Kind::SwapLost, String::new());
+                self.log(Kind::WriteUnconfirmed, String::new());
             }
         }
     }
@@ -252,7 +252,7 @@
             .map(|m| (m.incarnation, m.name.clone()))
             .collect();
         for (incarnation, name) in &silent {
-            self.log(Kind::TakeoverSwap, name.clone());
+            self.log(Kind::TakeoverStarted, name.clone());
             next.cut(*incarnation, now.wall_ms);
         }
         !silent.is_empty()
--- a/lib/src/entry/record.rs
+++ b/lib/src/entry/record.rs
@@ -61,7 +61,7 @@
             return self.note_away(now);
         };
         if !self.read_fresh(now) && self.read_ok.is_some() {
-            self.log(Kind::StoreBack, String::new());
+            self.log(Kind::StoreRecovered, String::new());
         }
         self.read_ok = Some(sent);
         let Some(Stored { value, index }) = value else {
@@ -76,7 +76,7 @@
     fn note_away(&mut self, now: Now) {
         let just = self.read_ok.map(|at| now.mono.since(at));
         if just.is_some_and(|age| age < self.setup.confirm * 3) {
-            self.log(Kind::StoreAway, String::new());
+            self.log(Kind::StoreUnavailable, String::new());
         }
     }
 
--- a/lib/src/entry/sealing.rs
+++ b/lib/src/entry/sealing.rs
@@ -242,7 +242,7 @@
             let detail = format!("{} shards after {took} ms", shards.len());
             self.log(Kind::ShardActive, detail);
             if lost > 0 {
-                self.log(Kind::WitnessLost, format!("{lost} agents"));
+                self.log(Kind::ReadbackIncomplete, format!("{lost} agents"));
             }
             self.route_parked(now);
             self.tend_held(now);
--- a/lib/src/entry/watching.rs
+++ b/lib/src/entry/watching.rs
@@ -71,9 +71,9 @@
             match worker.health.judge(now.mono, peers, sick < most) {
                 Some(true) => {
                     sick += 1;
-                    changes.push((Kind::WorkerSick, worker.name.to_string()));
+                    changes.push((Kind::WorkerUnhealthy, worker.name.to_string()));
                 }
-                Some(false) => changes.push((Kind::WorkerWell, worker.name.to_string())),
+                Some(false) => changes.push((Kind::WorkerRecovered, worker.name.to_string())),
                 None => {}
             }
         }
--- a/lib/tests/runner/test_executor/lives.rs
+++ b/lib/tests/runner/test_executor/lives.rs
@@ -198,7 +198,7 @@
         &[run(2, 0, 1)],
         vec![finished(2, run(2, 0, 1), WorkerEnd::Done)],
     );
-    let told = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::EndPassed);
+    let told = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::EndSkipped);
     assert!(bench.actions.iter().any(told));
     assert_eq!(bench.executor.counts().ends_passed, 1);
 }
--- a/lib/tests/runner/test_executor/preempting.rs
+++ b/lib/tests/runner/test_executor/preempting.rs
@@ -162,7 +162,7 @@
     bench.start_like(THREE, &urgent(), 8, 1);
     assert_eq!(bench.stopped(), [YOUNGER]);
     assert_eq!(bench.ends(THREE), [(1, EndKind::NoRoom)]);
-    let logged = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::RoomKept);
+    let logged = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::PreemptionDenied);
     assert_eq!(bench.actions.iter().filter(|a| logged(a)).count(), 1);
 }
 
--- a/lib/tests/runner/test_scheduler/returning.rs
+++ b/lib/tests/runner/test_scheduler/returning.rs
@@ -330,7 +330,7 @@
         bench.pass(20);
     }
     let told = bench.actions.iter().filter_map(|a| match a {
-        Action::Log(event) if event.kind == Kind::ClaimsOpen => Some(event.detail.clone()),
+        Action::Log(event) if event.kind == Kind::ClaimsPending => Some(event.detail.clone()),
         _ => None,
     });
     let told: Vec<String> = told.collect();
--- a/lib/tests/runner/test_scheduler/slow.rs
+++ b/lib/tests/runner/test_scheduler/slow.rs
@@ -83,7 +83,7 @@
     bench.pace(OTHERS[0], 100, 4000, Vec::new());
     bench.pace(EXECUTOR, 500, 3000, slow(1900));
     assert_eq!(bench.stops(), 1);
-    assert!(bench.has_logged(Kind::WorkerSick));
+    assert!(bench.has_logged(Kind::WorkerUnhealthy));
     assert!(bench.has_logged(Kind::TaskMoved));
     assert_eq!(bench.starts(), [], "its end is waited for");
     bench.actions.clear();
--- a/lib/tests/runner/test_scheduler/speeds.rs
+++ b/lib/tests/runner/test_scheduler/speeds.rs
@@ -175,7 +175,7 @@
     let mut bench = uneven();
     bench.submit_of(1, 7, 3, 60);
     assert_eq!(bench.starts().len(), 3);
-    assert_eq!(bench.logged(Kind::WorkerSlower), 0);
+    assert_eq!(bench.logged(Kind::WorkerDegraded), 0);
 }
 
 /// The worker's speed falls to a third of what it was, and the scheduler hears of it.
@@ -183,11 +183,11 @@
 fn test_scheduler_tries_a_worker_that_is_slower_than_it_was() {
     let mut bench = uneven();
     bench.speed(SLOW, 560, ROOM, Vec::new());
-    assert_eq!(bench.logged(Kind::WorkerSlower), 1);
+    assert_eq!(bench.logged(Kind::WorkerDegraded), 1);
     bench.submit_of(1, 7, 3, 60);
     assert_eq!(bench.starts().len(), 1, "on trial");
     bench.speed(SLOW, 182, ROOM, Vec::new());
-    assert_eq!(bench.logged(Kind::WorkerSteady), 1);
+    assert_eq!(bench.logged(Kind::WorkerSpeedRestored), 1);
     assert_eq!(bench.starts().len(), 3);
 }
 
