--- a/lib/src/dispatch/catalog.rs
+++ b/lib/src/dispatch/catalog.rs
@@ -1,37 +1,40 @@
-//! The catalog: queues and services as the operator's newest configuration gives them.
+//! The catalog: the queues and request limits of one version of the operator's configuration.
+//!
+//! Schedulers exchange it as JSON, so the field names are part of the format. They replace a catalog only
+//! by one with a higher version.
 
 use std::collections::HashMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A queue: the jobs of one route.
+/// A queue, which holds the jobs of one HTTP route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Queue {
-    /// Its name.
+    /// The name of the queue.
     pub name: String,
-    /// The host its callers name.
+    /// The host name in the requests of its callers.
     pub host: String,
-    /// The start of the paths that lead to it.
+    /// The prefix of the request paths that belong to it.
     pub path_prefix: String,
     /// The service whose workers run its tasks.
     pub service: String,
-    /// 0 goes first.
+    /// The priority of its jobs; 0 is the most urgent.
     pub priority: u32,
-    /// A task that has failed so often fails its job.
+    /// The number of failed attempts of a task after which its job fails.
     pub max_attempts: u32,
-    /// The objective of a job is this many times its work, and `objective_ms`.
+    /// The time objective of a job is this factor times its expected duration, plus `objective_ms`.
     pub extension: f64,
-    /// See `extension`; in milliseconds.
+    /// The constant part of the time objective, in milliseconds. See `extension`.
     pub objective_ms: u32,
 }
 
-/// Bounds on requests.
+/// Limits on requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RequestLimits {
-    /// The largest body, in bytes.
+    /// The largest request body, in bytes.
     pub max_body_bytes: usize,
 }
 
@@ -47,15 +50,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Catalog {
-    /// Rises from one configuration to the next.
+    /// The version of the configuration; a newer configuration has a higher version.
     pub version: u64,
-    /// The queues.
+    /// The queues of this version.
     pub queues: Vec<Queue>,
-    /// Bounds on requests.
+    /// The limits on requests.
     pub limits: RequestLimits,
 }
 
-/// A catalog with an index for finding queues.
+/// A catalog with an index of its queues by host.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogIndex {
     catalog: Catalog,
@@ -63,7 +66,7 @@
 }
 
 impl CatalogIndex {
-    /// Indexes a catalog.
+    /// Builds the index of a catalog.
     pub fn new(catalog: Catalog) -> CatalogIndex {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (i, queue) in catalog.queues.iter().enumerate() {
@@ -76,12 +79,12 @@
         CatalogIndex { catalog, by_host }
     }
 
-    /// The catalog itself.
+    /// Returns the catalog itself.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// The queue with the longest prefix of `path` among those of `host`.
+    /// Returns the queue of `host` whose path prefix is the longest that matches `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let lower = host.to_ascii_lowercase();
         let candidates = self.by_host.get(&lower)?;
@@ -89,7 +92,7 @@
         queues.find(|q| path.starts_with(&q.path_prefix))
     }
 
-    /// The queue of this name.
+    /// Returns the queue with this name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.catalog.queues.iter().find(|q| q.name == name)
     }
--- a/lib/src/dispatch/model.rs
+++ b/lib/src/dispatch/model.rs
@@ -1,4 +1,7 @@
-//! The model of work: jobs, steps, tasks, what they take of a worker, and how they end.
+//! The data model of the dispatch plane: jobs, steps and tasks, the resources that they need, and how they end.
+//!
+//! Converts these types from and to messages. The numbers of [`EndKind`] and [`JobOutcome`] are part of the wire
+//! format.
 
 use std::fmt;
 use std::rc::Rc;
@@ -24,16 +27,16 @@
     }
 }
 
-/// One task of a job.
+/// Identifies one task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskName {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobNumber,
-    /// Which time of a job that runs repeatedly; 0 for all others.
+    /// The repetition of a job that runs repeatedly; 0 for all other jobs.
     pub occurrence: u32,
-    /// The step, from 0.
+    /// The index of the step, from 0.
     pub step: u32,
-    /// The task within its step, from 0.
+    /// The index of the task within its step, from 0.
     pub index: u32,
 }
 
@@ -49,7 +52,7 @@
         (name, task.attempt)
     }
 
-    /// This name with an attempt, as it travels.
+    /// Converts this name and an attempt to a message.
     pub fn proto(self, attempt: u32) -> proto::TaskRef {
         proto::TaskRef {
             job: self.job.0,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Whether both are of the same step of the same occurrence of a job.
+    /// Whether both tasks belong to the same step and the same occurrence of a job.
     pub fn same_step(self, other: TaskName) -> bool {
         self.job == other.job && self.occurrence == other.occurrence && self.step == other.step
     }
@@ -78,7 +81,7 @@
     }
 }
 
-/// What a task takes of a worker, or what a worker has.
+/// Resources that a task needs or that a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Demand {
@@ -91,7 +94,7 @@
 }
 
 impl Demand {
-    /// Both together.
+    /// Returns the sum of both, saturating.
     pub fn plus(self, other: Demand) -> Demand {
         Demand {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Whether it fits into `capacity` on top of `used`.
+    /// Whether this demand fits into `capacity` in addition to `used`.
     pub fn fits(self, used: Demand, capacity: Demand) -> bool {
         let sum = self.plus(used);
         sum.cpu_milli <= capacity.cpu_milli
@@ -108,7 +111,7 @@
             && sum.gpu <= capacity.gpu
     }
 
-    /// As it travels.
+    /// Converts the demand to a message.
     pub fn proto(self) -> proto::Demand {
         proto::Demand {
             cpu_milli: self.cpu_milli,
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Reads it from a message; an absent one is nothing.
+    /// Reads a demand from a message; an absent one is zero.
     pub fn from_proto(demand: Option<proto::Demand>) -> Demand {
         let d = demand.unwrap_or_default();
         Demand {
@@ -128,7 +131,7 @@
     }
 }
 
-/// Room that is left; negative where more is spoken for than there is.
+/// Free capacity of a worker; negative where more is reserved than the worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FreeCapacity {
     /// Thousandths of a core.
@@ -140,7 +143,7 @@
 }
 
 impl FreeCapacity {
-    /// What `capacity` leaves beside nothing else.
+    /// Returns the free capacity of a worker on which nothing is reserved.
     pub fn of(capacity: Demand) -> FreeCapacity {
         FreeCapacity {
             cpu_milli: i64::from(capacity.cpu_milli),
@@ -149,7 +152,7 @@
         }
     }
 
-    /// What is left after `demand`.
+    /// Returns what is left once `demand` is subtracted.
     pub fn less(self, demand: Demand) -> FreeCapacity {
         FreeCapacity {
             cpu_milli: self.cpu_milli - i64::from(demand.cpu_milli),
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Whether `demand` fits. What a task does not ask for does not bind it.
+    /// Whether `demand` fits. A resource that is not requested is not checked, even if it is overcommitted.
     pub fn holds(self, demand: Demand) -> bool {
         let fits = |free: i64, need: u32| need == 0 || i64::from(need) <= free;
         fits(self.cpu_milli, demand.cpu_milli)
@@ -167,123 +170,122 @@
     }
 }
 
-/// One step of a job: tasks that are alike.
+/// One step of a job: a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// How many tasks it has.
+    /// The number of tasks.
     pub count: u32,
-    /// What each takes of a worker.
+    /// The resources that each task needs.
     pub demand: Demand,
-    /// A rough guess of a task's time, in milliseconds.
+    /// A rough estimate of the duration of a task, in milliseconds.
     pub estimate_ms: u32,
-    /// Earlier steps that must be complete first.
+    /// Indexes of earlier steps that must complete first.
     pub after: Vec<u32>,
-    /// Whether a run that ends early leaves a checkpoint.
+    /// Whether a run that ends early leaves a checkpoint from which the next run continues.
     pub saves_progress: bool,
     /// A label that the worker must have; empty for none.
     pub requirement: String,
-    /// The rack that holds the data; empty for none.
+    /// The rack that holds the input data; empty for none.
     pub rack: String,
-    /// At most this many of its tasks at one worker; 0 for no bound.
+    /// The most tasks of the step that one worker may have; 0 for no limit.
     pub spread: u32,
 }
 
-/// What a caller hands in.
+/// A job as its caller submits it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobRequest {
-    /// Its id.
+    /// The id of the job.
     pub number: JobNumber,
     /// The name of its queue in the catalog.
     pub queue: String,
-    /// What its tasks run; opaque here.
+    /// What the tasks run; opaque to the dispatch plane.
     pub spec: Rc<str>,
-    /// Its steps, in order.
+    /// The steps, in order.
     pub steps: Vec<Step>,
-    /// How long its caller waits, in milliseconds; 0 if not said.
+    /// How long the caller waits for the answer, in milliseconds; 0 if it did not say.
     pub patience_ms: u64,
-    /// The id that the caller has given this call, for the logs; empty for none. A job that is
-    /// handed in again comes with another one.
+    /// The request id of this call, for the logs; empty for none. Each resubmission of a job has another one.
     pub call: Rc<str>,
 }
 
-/// Why a job's steps can not be carried out by anybody.
+/// Why the steps of a job are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JobError {
-    /// There are none.
+    /// The job has no steps.
     #[error("steps: a job has at least one step")]
     NoSteps,
-    /// A step without tasks.
-    #[error("steps/{step}/count: must be 1 to {most}, is {count}")]
-    Count {
-        /// The step.
+    /// A step has no tasks or too many.
+    #[error("steps/{step}/count: must be 1 to {limit}, is {count}")]
+    InvalidCount {
+        /// The index of the step.
         step: usize,
-        /// What it says.
+        /// The number of tasks that it names.
         count: u32,
-        /// The most there may be.
-        most: u32,
+        /// The largest number that is allowed.
+        limit: u32,
     },
-    /// A step that comes after itself or a later one.
-    #[error("steps/{step}/after: {after} is not an earlier step")]
-    After {
-        /// The step.
+    /// A step depends on itself or on a later step.
+    #[error("steps/{step}/after: {dependency} is not an earlier step")]
+    InvalidDependency {
+        /// The index of the step.
         step: usize,
-        /// What it names.
-        after: u32,
+        /// The index of the step on which it depends.
+        dependency: u32,
     },
 }
 
-/// The most tasks a step may have.
+/// The largest number of tasks in a step.
 pub const MAX_TASKS: u32 = 10_000;
 
 impl JobRequest {
-    /// Checks that the steps can be followed.
+    /// Checks that the steps are valid and can run in order.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong, with its place.
+    /// Returns the first error, with its position in the request.
     pub fn check(&self) -> Result<(), JobError> {
         if self.steps.is_empty() {
             return Err(JobError::NoSteps);
         }
         for (step, s) in self.steps.iter().enumerate() {
             if s.count == 0 || s.count > MAX_TASKS {
-                let (count, most) = (s.count, MAX_TASKS);
-                return Err(JobError::Count { step, count, most });
+                let (count, limit) = (s.count, MAX_TASKS);
+                return Err(JobError::InvalidCount { step, count, limit });
             }
-            if let Some(after) = s.after.iter().find(|a| **a as usize >= step) {
-                let after = *after;
-                return Err(JobError::After { step, after });
+            if let Some(dependency) = s.after.iter().find(|a| **a as usize >= step) {
+                let dependency = *dependency;
+                return Err(JobError::InvalidDependency { step, dependency });
             }
         }
         Ok(())
     }
 }
 
-/// How a task's stay at an executor ended.
+/// How an attempt of a task at an executor ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndKind {
-    /// It ran to its end.
+    /// It ran and succeeded.
     Done,
     /// It ran and failed.
     Failed,
-    /// Its run was stopped on request.
+    /// Its run was stopped at the scheduler's request.
     Stopped,
-    /// Its run ended because the worker's lease ran out or the worker was lost.
+    /// Its run ended because a lease expired or the worker was lost.
     Lost,
-    /// Its run stood still and was stopped.
+    /// Its run was stopped since it made no progress or its start got no answer.
     Stalled,
-    /// It never ran: the worker takes no new tasks.
+    /// It never ran: the worker accepts no new tasks.
     Unavailable,
-    /// It never ran: its time had passed before there was room.
+    /// It never ran: its latest start time passed before there was free capacity.
     Expired,
-    /// It never ran, or was stopped: another scheduler has claimed the job.
+    /// It never ran or was stopped: another scheduler has claimed the job.
     Claimed,
-    /// It never ran: there was no room when it arrived, nor would there be any soon.
+    /// It never ran: there was no free capacity when it arrived, and none was expected soon.
     NoRoom,
-    /// The worker crashed while it ran there, or it never ran, since too many have.
+    /// The worker crashed while it ran, or it was not started because too many workers had crashed while running it.
     Crashed,
-    /// Its run was stopped to make room for a more urgent task.
+    /// Its run was preempted by a more urgent task.
     Preempted,
 }
 
@@ -302,12 +304,12 @@
         EndKind::Preempted,
     ];
 
-    /// Its number in messages.
+    /// Returns the number that stands for it in messages.
     pub fn code(self) -> u32 {
         self as u32 + 1
     }
 
-    /// Its word, for logs and metrics.
+    /// Returns its label in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             EndKind::Done => "done",
@@ -324,32 +326,32 @@
         }
     }
 
-    /// Reads it from a message.
+    /// Reads the number from a message; `None` if it is unknown.
     pub fn from_code(code: u32) -> Option<EndKind> {
         EndKind::ALL.into_iter().find(|k| k.code() == code)
     }
 }
 
-/// What became of a job, as its caller is told.
+/// The final state of a job, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum JobOutcome {
-    /// Every task ran to its end.
+    /// All tasks succeeded.
     Completed,
-    /// It ran and did not succeed.
+    /// It ran and failed.
     Failed,
     /// It was cancelled.
     Cancelled,
-    /// No task of it was started, nor will be; come back after this many milliseconds.
+    /// None of its tasks was or will be started; the caller may retry after this many milliseconds.
     Refused(u32),
-    /// It was given up after some task had been started; nothing of it runs any more. It is not
-    /// known to have failed by a fault of its own.
+    /// It was given up after some of its tasks had been started; none of them runs any more. The job itself is not
+    /// known to be the cause.
     GivenUp,
-    /// It is not known here, or was given up while tasks may have run; it may be handed in again.
+    /// It is not known here, or was given up while its tasks may have run; the caller may submit it again.
     Unknown,
 }
 
 impl JobOutcome {
-    /// Its number in messages; the time to come back stands above the lowest byte.
+    /// Returns the number that stands for it in messages; the retry delay is above the lowest byte.
     pub fn code(self) -> u32 {
         match self {
             JobOutcome::Completed => 1,
@@ -361,7 +363,7 @@
         }
     }
 
-    /// Reads it from a message; what can't be read is unknown.
+    /// Reads the number from a message; one that is not known becomes [`JobOutcome::Unknown`].
     pub fn from_code(code: u32) -> JobOutcome {
         match code & 0xff {
             1 => JobOutcome::Completed,
@@ -373,7 +375,7 @@
         }
     }
 
-    /// Its word, for logs and metrics.
+    /// Returns its label in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             JobOutcome::Completed => "completed",
--- a/lib/src/dispatch/timings.rs
+++ b/lib/src/dispatch/timings.rs
@@ -1,4 +1,6 @@
-//! How long things take, as histograms for the metrics page.
+//! Durations of jobs and runs, collected in histograms for the metrics page.
+//!
+//! The names of the histograms and their labels are read by operators and do not change.
 
 use std::time::Duration;
 
@@ -10,19 +12,19 @@
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4,
 ];
 
-/// What is timed of a job, from when it was taken.
+/// The stages of a job whose delay is measured, from when the job was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Until the first of its tasks was sent to an executor.
+    /// The first of its tasks was sent to an executor.
     Placed,
-    /// Until it was complete.
+    /// It was complete.
     Completed,
-    /// Until it was refused or given up.
+    /// It was refused or given up.
     TurnedAway,
 }
 
 impl Stage {
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Stage::Placed => "placed",
             Stage::Completed => "completed",
@@ -31,7 +33,7 @@
     }
 }
 
-/// Times of jobs, by queue and stage.
+/// Histograms of the delays of jobs, by queue and stage.
 #[derive(Clone, Debug)]
 pub struct JobTimings {
     seconds: HistogramVec,
@@ -47,20 +49,20 @@
 }
 
 impl JobTimings {
-    /// Notes that a job of a queue has reached a stage.
+    /// Records that a job of a queue has reached a stage `span` after it was accepted.
     pub fn note(&self, queue: &str, stage: Stage, span: Duration) {
-        let labels = [queue, stage.word()];
-        let one = self.seconds.with_label_values(&labels);
-        one.observe(span.as_secs_f64());
+        let labels = [queue, stage.label()];
+        let histogram = self.seconds.with_label_values(&labels);
+        histogram.observe(span.as_secs_f64());
     }
 
-    /// For the metrics page.
+    /// Returns the collector to register for the metrics page.
     pub fn collector(&self) -> HistogramVec {
         self.seconds.clone()
     }
 }
 
-/// Times of runs at a worker, by how they ended.
+/// Histograms of the durations of runs at a worker, by how they ended.
 #[derive(Clone, Debug)]
 pub struct RunTimings {
     seconds: HistogramVec,
@@ -76,13 +78,13 @@
 }
 
 impl RunTimings {
-    /// Notes that a run has ended.
+    /// Records a run that ended after `span`, where `end` is the label of how it ended.
     pub fn note(&self, end: &str, span: Duration) {
-        let one = self.seconds.with_label_values(&[end]);
-        one.observe(span.as_secs_f64());
+        let histogram = self.seconds.with_label_values(&[end]);
+        histogram.observe(span.as_secs_f64());
     }
 
-    /// For the metrics page.
+    /// Returns the collector to register for the metrics page.
     pub fn collector(&self) -> HistogramVec {
         self.seconds.clone()
     }
@@ -90,5 +92,5 @@
 
 fn histogram(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
     let opts = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
-    HistogramVec::new(opts, labels).expect("constant names and rising bounds")
+    HistogramVec::new(opts, labels).expect("the names are valid and the bounds ascend")
 }
