--- a/lib/src/dispatch/catalog.rs
+++ b/lib/src/dispatch/catalog.rs
@@ -1,7 +1,7 @@
 //! The catalog: the queues and request limits of one version of the operator's configuration.
 //!
-//! Schedulers exchange it as JSON, so the field names are part of the format. They replace a catalog only
-//! by one with a higher version.
+//! Schedulers exchange it as JSON, so the field names are part of the format. They replace a catalog only by
+//! one with a higher version.
 
 use std::collections::HashMap;
 
--- a/lib/src/dispatch/model.rs
+++ b/lib/src/dispatch/model.rs
@@ -1,7 +1,8 @@
-//! The data model of the dispatch plane: jobs, steps and tasks, the resources that they need, and how they end.
+//! The data model of the dispatch plane: jobs, steps and tasks, the resources that they need, and how they
+//! end.
 //!
-//! Converts these types from and to messages. The numbers of [`EndKind`] and [`JobOutcome`] are part of the wire
-//! format.
+//! Converts these types from and to messages. The numbers of [`EndKind`] and [`JobOutcome`] are part of the
+//! wire format.
 
 use std::fmt;
 use std::rc::Rc;
@@ -283,7 +284,8 @@
     Claimed,
     /// It never ran: there was no free capacity when it arrived, and none was expected soon.
     NoRoom,
-    /// The worker crashed while it ran, or it was not started because too many workers had crashed while running it.
+    /// The worker crashed while it ran, or it was not started because too many workers had crashed while
+    /// running it.
     Crashed,
     /// Its run was preempted by a more urgent task.
     Preempted,
@@ -343,8 +345,8 @@
     Cancelled,
     /// None of its tasks was or will be started; the caller may retry after this many milliseconds.
     Refused(u32),
-    /// It was given up after some of its tasks had been started; none of them runs any more. The job itself is not
-    /// known to be the cause.
+    /// It was given up after some of its tasks had been started; none of them runs any more. The job itself
+    /// is not known to be the cause.
     GivenUp,
     /// It is not known here, or was given up while its tasks may have run; the caller may submit it again.
     Unknown,
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -1,7 +1,7 @@
 //! Numbered log events: their kinds, levels and texts.
 //!
-//! A number never changes its meaning. `docs/EVENTS.md` lists the same events in the same order
-//! and tells operators what to do; a test compares the two.
+//! A number never changes its meaning. `docs/EVENTS.md` lists the same events in the same order and tells
+//! operators what to do; a test compares the two.
 
 use std::fmt;
 
