--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -1,9 +1,11 @@
-//! The scheduler's state machine: decides for the jobs that its entry was handed.
+//! The scheduler's state machine: it accepts jobs from its entry, places their tasks at executors and reports
+//! their outcomes. Its input is the time, requests and messages on links, its output a list of [`Action`]s;
+//! it performs no I/O itself.
 //!
-//! A job stays with the scheduler it arrived at. Schedulers tell each other at once which jobs
-//! they have, so that a job that is handed in again elsewhere is followed rather than run anew.
-//! Where the other scheduler can't be asked, the job is claimed at the executors first: they end
-//! what the other one runs of it and start nothing more of it.
+//! A job is run by the scheduler that accepted it, unless it is handed over to a peer. Schedulers announce
+//! their jobs to each other at once, so that a job that is submitted again elsewhere is followed instead of
+//! run twice. If the other scheduler can't be asked, the job is first claimed at the executors: they end what
+//! they run of it for other schedulers and start nothing more of it for them.
 
 mod announcements;
 mod balance;
@@ -72,120 +74,125 @@
 pub use crate::dispatch::scheduler::figures::BeliefAges;
 pub use crate::dispatch::scheduler::figures::SchedulerCounts;
 
-/// The scheduler's settings that concern decisions.
+/// Identity, timeouts and policy of a scheduler.
 #[derive(Clone, Debug)]
 pub struct SchedulerSetup {
     /// Its name, unique among schedulers.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where other processes reach it.
+    /// Address at which other processes reach it.
     pub address: String,
-    /// Drawn when the process starts.
+    /// Random number drawn when the process starts.
     pub incarnation: u64,
-    /// A link on which nothing arrives for so long is closed.
+    /// A link on which nothing arrives for this long is closed.
     pub silence: Duration,
-    /// So long after an executor was last heard of, nothing runs there any more for this
-    /// scheduler.
+    /// This long after an executor was last heard, nothing runs there any more for this scheduler.
     pub lapse: Duration,
     /// When the process started.
     pub started: Mono,
-    /// Seeds the choice among workers that are alike.
+    /// Seed for random choices, as among equivalent workers.
     pub seed: u64,
-    /// The figures that decide.
+    /// Tunable parameters of all decisions.
     pub policy: Policy,
 }
 
-/// A caller that waits for the end of a job, numbered by the daemon.
+/// Identifies a caller that waits for the end of a job; numbered by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// What the scheduler wants done.
+/// A side effect that the daemon carries out for the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message on a link.
     Send(LinkId, Box<proto::frame::Body>),
     /// Close a link.
     Close(LinkId),
-    /// Tell a caller what became of its job.
+    /// Tell a caller the outcome of its job.
     Answer(CallerId, JobOutcome),
-    /// Connect to schedulers that are not linked yet.
+    /// Connect to schedulers that were just learned of.
     Dial(Vec<proto::Member>),
     /// Write a log line.
     Log(Event),
 }
 
-/// Who is at the other end of a link.
+/// The remote process of a link.
 #[derive(Clone, Debug)]
 enum LinkEnd {
     Executor(ExecutorKey),
     Peer(String),
 }
 
+/// How and when a job ended.
 #[derive(Clone, Copy, Debug)]
 struct Ended {
     at: Mono,
     outcome: JobOutcome,
-    /// Whether anything of it had been started here.
+    /// Whether any of its tasks may have been started.
     began: bool,
 }
 
-/// The scheduler.
+/// The state of a scheduler: its jobs, and what it knows of executors and peers.
 pub struct Scheduler {
     setup: SchedulerSetup,
     catalog: CatalogSync,
     jobs: BTreeMap<JobNumber, Job>,
-    /// Jobs with tasks to place, by what is urgent.
+    /// Jobs with tasks to place, ordered by class and latest start.
     waiting: BTreeSet<(u8, Mono, JobNumber)>,
+    /// Recently ended jobs, kept for `claims.memory`.
     ended: BTreeMap<JobNumber, Ended>,
+    /// Jobs run by peers whose outcome callers here wait for.
     following: BTreeMap<JobNumber, Following>,
+    /// Recent cancels that were passed on to peers; repeated if a link is lost.
     cancels_sent: Vec<SentCancel>,
-    /// When peers said that they have given jobs up.
-    given_up: BTreeMap<JobNumber, Mono>,
-    /// When it was told last what claims wait for.
-    waiting_told: Mono,
-    /// Jobs that peers have.
+    /// When a peer reported that it no longer has a job; kept for one lapse.
+    withdrawn: BTreeMap<JobNumber, Mono>,
+    /// When open claims were last logged.
+    claims_logged: Mono,
+    /// Jobs that peers have announced.
     announced: Announcements,
     executors: SlotMap<ExecutorKey, ExecutorView>,
-    /// The executors by name.
+    /// Keys of the executors by name.
     named: HashMap<String, ExecutorKey>,
-    /// Who is at the other end of a link.
+    /// The remote process of each link.
     ends: HashMap<LinkId, LinkEnd>,
-    /// Executors for which something has been gathered.
+    /// Executors with collected orders that may not have been sent yet.
     pending: Vec<ExecutorKey>,
-    /// Whether heartbeats are looked at with the next flush.
+    /// Whether the next flush checks all executors and peers for due heartbeats.
     sweep: bool,
-    /// How many linked executors have granted a lease to a scheduler, by its name.
+    /// Schedulers that hold leases at executors.
     leases: Leases,
     cell: Cell,
     contention: Contention,
     paces: Paces,
     speeds: FleetSpeeds,
-    /// In a round of placing: where jobs that wait by choice leave room to those behind them; none while no job does.
+    /// In a placement round: the executors still open to the remaining jobs, once a held-back job leaves room
+    /// to them; `None` if all are.
     spared: Option<BTreeSet<ExecutorKey>>,
     bulkheads: Bulkheads,
     peers: BTreeMap<String, Peer>,
-    /// What is known of its own load and that of peers.
+    /// Loads of this scheduler and of its peers.
     loads: Loads,
-    /// Peers that can't be heard here, though some executor hears them.
-    doubtful: BTreeSet<String>,
-    /// Whether `doubtful` is to be worked out anew before it is used.
-    doubt_stale: bool,
-    /// When some peer was last not heard.
+    /// Peers that are not linked here but hold a lease at some executor, so they may be running jobs.
+    unreachable_peers: BTreeSet<String>,
+    /// Whether `unreachable_peers` must be recomputed before it is used.
+    unreachable_stale: bool,
+    /// The latest time at which a peer may have taken a job without this scheduler being told: a peer was not
+    /// heard, was found to have the same job, or this process was paused.
     gap: Mono,
-    /// The executors that there are, by the store, once that is known.
+    /// The names of all executors that the store lists, once known.
     roster: Option<BTreeSet<String>>,
     roster_sync: RosterSync,
     /// Whether claims have been settled since the start of the process.
-    has_met: bool,
+    claims_settled: bool,
     members: Members,
     /// Which availability zones are evacuated.
     zones: Zones,
-    /// The edition of that which was last told to others.
+    /// The edition of `zones` that was last passed on.
     zones_flushed: u64,
-    /// How long tasks take against their estimates, by queue.
+    /// Running mean by queue of how long tasks take relative to their estimates.
     learned: HashMap<String, f64>,
-    /// When the process ends, once it is leaving.
+    /// When the process will end, once it is leaving.
     leaving: Option<Mono>,
     last_taken: Mono,
     rng: SmallRng,
@@ -193,15 +200,15 @@
     timings: JobTimings,
     actions: Vec<Action>,
     now: Mono,
-    /// Since when this process has run without a pause.
+    /// Since when this process has run without a pause of `claims.pause`.
     awake_since: Mono,
-    /// Since when this process has taken part without a pause in which the others have given it
-    /// up. Until it has met them again it does not know which jobs they have.
+    /// Since when this process has run without a pause long enough for the others to close their links to it.
+    /// Until it has met them again, it does not know which jobs they have.
     present_since: Mono,
 }
 
 impl Scheduler {
-    /// A scheduler without catalog, executors and peers.
+    /// Creates a scheduler without catalog, executors and peers.
     pub fn new(setup: SchedulerSetup) -> Scheduler {
         let rng = SmallRng::seed_from_u64(setup.seed);
         let present_since = setup.started;
@@ -213,8 +220,8 @@
             ended: BTreeMap::new(),
             following: BTreeMap::new(),
             cancels_sent: Vec::new(),
-            given_up: BTreeMap::new(),
-            waiting_told: Mono::default(),
+            withdrawn: BTreeMap::new(),
+            claims_logged: Mono::default(),
             announced: Announcements::default(),
             executors: SlotMap::with_key(),
             named: HashMap::new(),
@@ -230,12 +237,12 @@
             bulkheads: Bulkheads::default(),
             peers: BTreeMap::new(),
             loads: Loads::default(),
-            doubtful: BTreeSet::new(),
-            doubt_stale: false,
+            unreachable_peers: BTreeSet::new(),
+            unreachable_stale: false,
             gap: Mono::default(),
             roster: None,
             roster_sync: RosterSync::default(),
-            has_met: false,
+            claims_settled: false,
             members: Members::default(),
             zones: Zones::default(),
             zones_flushed: 0,
@@ -252,22 +259,22 @@
         }
     }
 
-    /// Takes note of the time. After a pause of this process others seem to have been silent that
-    /// only were not listened to.
+    /// Advances the clock. After a pause of this process, silence counts from now on: the others may have
+    /// sent messages that were not read. After a pause of `silence`, drops all links.
     fn enter(&mut self, now: Mono) {
-        let begun = self.now != Mono::default();
+        let has_run = self.now != Mono::default();
         let pause = now.since(self.now);
         self.now = now;
         if pause >= self.setup.policy.claims.pause {
             self.awake_since = now;
         }
-        if pause >= self.setup.silence && begun {
+        if pause >= self.setup.silence && has_run {
             self.drop_links();
         }
     }
 
-    /// Gives up all links, as the others have done by now: what waits in them is old, and must not
-    /// be taken for a sign of life.
+    /// Closes all links, as the other sides have done by now: messages still queued in them are old and must
+    /// not count as signs of life.
     fn drop_links(&mut self) {
         self.log(Kind::Paused, self.setup.name.clone());
         self.gap = self.now;
@@ -281,56 +288,57 @@
         self.drop_peer_links();
     }
 
-    /// For how long nothing was heard from somebody who was last heard then, while this process
-    /// listened.
+    /// Returns how long nothing was heard from a process last heard at `heard`, counting only time in which
+    /// this process ran.
     fn silence(&self, heard: Mono) -> Duration {
         self.now.since(heard.max(self.awake_since))
     }
 
-    /// Takes what is to be done.
+    /// Flushes collected messages and returns the actions to carry out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.flush();
         std::mem::take(&mut self.actions)
     }
 
-    /// The catalog in force.
+    /// Returns the catalog in force.
     pub fn catalog(&self) -> Option<&CatalogIndex> {
         self.catalog.index()
     }
 
-    /// The version of the catalog in force; 0 for none.
+    /// Returns the version of the catalog in force, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.catalog.version()
     }
 
-    /// Whether requests should be sent here: a catalog is in force, a worker can be reached, and
-    /// the process is not leaving. One that has just started has to claim each job at all executors
-    /// first, so it leaves them to a neighbour that need not: beside 240 executors the 23 jobs a second
-    /// of one entry would make 5,500 claims.
+    /// Returns whether requests should be sent here: a catalog is in force, an executor is linked, and the
+    /// process is not leaving. A scheduler that has just started has to claim each job at all executors
+    /// first, so it leaves requests to a settled peer in its zone if there is one: with 240 executors, the 23
+    /// jobs a second of one entry would make 5,500 claims a second.
     pub fn is_ready(&self) -> bool {
         let reachable = self.executors.values().any(|e| e.link.is_some());
-        let better_elsewhere = self.is_young() && self.has_settled_neighbour();
-        self.leaving.is_none() && self.catalog.index().is_some() && reachable && !better_elsewhere
+        let has_alternative = self.is_young() && self.has_settled_neighbour();
+        self.leaving.is_none() && self.catalog.index().is_some() && reachable && !has_alternative
     }
 
-    /// Whether no job is held and nobody waits.
+    /// Returns whether no job is held and no caller waits for a peer's job.
     pub fn is_idle(&self) -> bool {
         self.jobs.is_empty() && self.following.is_empty()
     }
 
-    /// Begins to leave: not ready any more. What still comes is served if it can end in time.
+    /// Starts leaving: the scheduler is no longer ready, but still accepts jobs that can end before
+    /// `ends_at`.
     pub fn leave(&mut self, now: Mono, ends_at: Mono) {
         self.enter(now);
         self.leaving = Some(ends_at);
         self.log(Kind::Leaving, self.setup.name.clone());
     }
 
-    /// Whether it has been asked to leave.
+    /// Returns whether the process is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_some()
     }
 
-    /// Whether a job can't be expected to end before this process does.
+    /// Returns whether a job is expected to outlast this process.
     fn ends_too_late(&self, job: &Job) -> bool {
         let whole = job.chain.iter().copied().max().unwrap_or_default();
         let needed = whole.mul_f64(self.setup.policy.leaving.room_to_end)
@@ -338,12 +346,12 @@
         self.leaving.is_some_and(|at| self.now + needed > at)
     }
 
-    /// How long no job has been taken.
+    /// Returns how long ago the last job was accepted.
     pub fn untaken(&self, now: Mono) -> Duration {
         now.since(self.last_taken)
     }
 
-    /// Gives up all that is held, so that every caller has an answer.
+    /// Gives up all jobs and answers every waiting caller, so that the process can exit.
     pub fn abandon(&mut self, now: Mono) {
         self.enter(now);
         let numbers: Vec<JobNumber> = self.jobs.keys().copied().collect();
@@ -358,7 +366,7 @@
         }
     }
 
-    /// Passing time.
+    /// Runs the periodic work: timeouts, claims and placement.
     pub fn tick(&mut self, now: Mono) {
         self.enter(now);
         self.sweep = true;
@@ -371,22 +379,23 @@
         self.tell_waiting();
         self.watch_bulkheads();
         self.watch_contention();
-        self.forget();
+        self.drop_expired();
         self.settle_claims();
         self.place();
         self.even_out();
     }
 
-    fn forget(&mut self) {
+    /// Drops records of ended, announced and given-up jobs that have expired.
+    fn drop_expired(&mut self) {
         let now = self.now;
         let memory = self.setup.policy.claims.memory;
         self.ended.retain(|_, e| now.since(e.at) < memory);
         self.announced.forget_before(now - memory);
         let lapse = self.setup.lapse;
-        self.given_up.retain(|_, at| now.since(*at) < lapse);
+        self.withdrawn.retain(|_, at| now.since(*at) < lapse);
     }
 
-    /// Names members that were learned elsewhere.
+    /// Learns schedulers from another source, and connects to those that are new.
     pub fn add_members(&mut self, now: Mono, members: Vec<proto::Member>) {
         self.enter(now);
         let own = (&self.setup.name, &self.setup.address);
@@ -398,7 +407,7 @@
         }
     }
 
-    /// The greeting to executors and peers.
+    /// Returns the greeting that is sent first on each link.
     pub fn greeting(&self) -> proto::Greeting {
         proto::Greeting {
             executor: false,
@@ -410,7 +419,7 @@
         }
     }
 
-    /// Sends what has been gathered for executors and peers.
+    /// Sends the collected messages and due heartbeats to executors and peers.
     fn flush(&mut self) {
         let now = self.now;
         self.settle_cell();
@@ -427,8 +436,7 @@
         }
     }
 
-    /// Sends what is due to the executors for which something has been gathered, or a heartbeat may
-    /// be due.
+    /// Sends orders to the executors in `pending` for which any are due, a heartbeat included.
     fn flush_executors(&mut self, now: Mono) {
         let mut pending = std::mem::take(&mut self.pending);
         pending.retain(|key| {
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -1,4 +1,6 @@
-//! Claims: when a job may be at work elsewhere, and asking the executors to end that.
+//! Claims: makes sure that a job runs for one scheduler only. Decides when a job may be running for another
+//! scheduler, asks the executors to end what they run of it for others, and lets it be placed once nobody
+//! else runs it, or will. A job for which that can't be established ends with the outcome `Unknown`.
 
 use std::collections::BTreeSet;
 
@@ -13,63 +15,64 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// How far a claim is.
+/// Progress of a claim.
 enum ClaimState {
-    /// Executors have yet to confirm it.
+    /// Executors have yet to confirm the claim.
     Open,
     /// Nobody else runs the job, nor will.
     Settled,
-    /// The job may be at work where it can't be claimed.
+    /// The job may be running at an executor that can't be asked.
     OutOfReach,
 }
 
 impl Scheduler {
-    /// Notes that what doubt rests on has changed: links, and which schedulers executors hear.
+    /// Marks the set of unreachable peers as outdated, after links or executors' lists of leases have
+    /// changed.
     pub(super) fn refresh_doubt(&mut self) {
-        self.doubt_stale = true;
+        self.unreachable_stale = true;
     }
 
-    /// Works out anew which peers can't be heard here, though some executor hears them: they may
-    /// be at work. Done before decisions only: in a large fleet reports change it far more often.
-    fn settle_doubt(&mut self) {
-        if !std::mem::take(&mut self.doubt_stale) {
+    /// Recomputes the set of unreachable peers if it is outdated. This is done only before decisions: in a
+    /// large fleet, executors' reports change what it depends on far more often.
+    fn refresh_unreachable(&mut self) {
+        if !std::mem::take(&mut self.unreachable_stale) {
             return;
         }
         let heard = self.leases.names();
         let away = heard.filter(|name| **name != self.setup.name && !self.is_linked(name));
-        self.doubtful = away.cloned().collect();
+        self.unreachable_peers = away.cloned().collect();
     }
 
-    /// When a peer was last heard of.
+    /// Returns when a peer was last heard; for an unknown peer, the start of this process.
     fn last_heard(&self, name: &str) -> Mono {
         let heard = self.peers.get(name).map(|p| p.heard);
         heard.unwrap_or_default().max(self.setup.started)
     }
 
-    /// Whether a job that comes in for the first time here may be at work elsewhere without this
-    /// scheduler knowing: it has only just started, or a peer may be at work that has not been
-    /// heard for so long that a job of its may come again here without having been announced.
-    pub(super) fn in_doubt(&mut self) -> bool {
-        self.settle_doubt();
+    /// Returns whether a job that is submitted here for the first time may be running elsewhere without this
+    /// scheduler knowing: it has just started, it has just lost a link, or a peer that may be running was not
+    /// heard for so long that one of its jobs may be submitted again here before it was announced.
+    pub(super) fn may_run_elsewhere(&mut self) -> bool {
+        self.refresh_unreachable();
         let now = self.now;
-        if self.is_young() || self.has_lost_a_link() {
+        if self.is_young() || self.has_lost_link() {
             return true;
         }
         let bound = self.setup.policy.claims.unheard;
         let unheard = |name: &String| now.since(self.last_heard(name)) >= bound;
-        self.doubtful.iter().any(unheard) || self.is_minority()
+        self.unreachable_peers.iter().any(unheard) || self.is_minority()
     }
 
-    /// Whether the link to a peer was lost only just now. What it had to announce went with the
-    /// link, and what it has ended since is not listed on the next one.
-    fn has_lost_a_link(&self) -> bool {
+    /// Returns whether the link to a peer was lost recently. Announcements that were still to be sent on it
+    /// are gone, and jobs that the peer has ended since then are not listed on the next link.
+    fn has_lost_link(&self) -> bool {
         let bound = self.setup.policy.claims.link_lost;
         let recent = |p: &Peer| p.lost.is_some_and(|at| self.now.since(at) < bound);
         self.peers.values().any(recent)
     }
 
-    /// Whether peers can't be heard, and neither can half of the executors: then it can't be known
-    /// here whether those peers are at work.
+    /// Returns whether some peer is not heard and fewer than half of the executors are linked. Then the
+    /// executors linked here can't tell whether that peer is running.
     fn is_minority(&self) -> bool {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
@@ -78,30 +81,31 @@
         self.peers.values().any(away) && linked.count() * 2 < self.executors.len()
     }
 
-    /// Whether a peer was met in a new incarnation only just now. What its earlier one had placed where this scheduler has
-    /// no link may still run, though the peer is heard; without this a task would run twice at once.
-    fn has_renewed_peer(&self) -> bool {
+    /// Returns whether a peer was recently met in a new incarnation. What its earlier incarnation placed at
+    /// executors without a link to this scheduler may still run, though the peer is heard; without this check
+    /// a task would run twice at once.
+    fn has_restarted_peer(&self) -> bool {
         let bound = self.setup.lapse;
         let recent = |p: &Peer| p.renewed.is_some_and(|at| self.now.since(at) < bound);
         self.peers.values().any(recent)
     }
 
-    /// Whether a claim must reach every executor that is known: a peer may be at work that could
-    /// use one that can't be reached here.
+    /// Returns whether a claim must reach every known executor, because a peer may be running that can use
+    /// executors not linked here.
     fn must_reach_all(&self) -> bool {
-        !self.doubtful.is_empty() || self.is_minority()
+        !self.unreachable_peers.is_empty() || self.is_minority()
     }
 
-    /// Whether a job that was placed before may have been taken by a peer meanwhile: it has been
-    /// here for long enough to come again, and some peer was not heard for as long. It has to be
-    /// claimed before anything more of it is placed.
+    /// Returns whether a job must be claimed before more of it is placed. A peer may have taken it meanwhile:
+    /// it was held here for long enough to be submitted again elsewhere, and a peer was not heard, or found
+    /// to have it too, since the job was last known to be exclusive.
     pub(super) fn is_exposed(&self, job: &Job) -> bool {
         let now = self.now;
         now.since(job.safe_since) >= self.setup.policy.claims.again_after
             && self.gap > job.safe_since
     }
 
-    /// Notes whether some peer is not heard at present.
+    /// Records whether some peer is not heard at present.
     pub(super) fn note_gap(&mut self) {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
@@ -111,9 +115,9 @@
         }
     }
 
-    /// Whether every peer that can't be heard has had the time to notice that, and to stop its
-    /// runs where a claim of this scheduler does not reach; and whether executors had the time
-    /// to connect here.
+    /// Returns whether all peers are accounted for and executors had `claims.meeting` to connect here. A peer
+    /// is accounted for if it is linked and has named its jobs, or has been silent for the lapse: by then it
+    /// has noticed that, and its runs have ended where a claim of this scheduler does not reach.
     fn peers_settled(&self) -> bool {
         let (now, lapse) = (self.now, self.setup.lapse);
         let settled = |p: &Peer| match p.link {
@@ -123,84 +127,85 @@
         let heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
         now.since(self.present_since) >= self.setup.policy.claims.meeting
             && self.peers.values().all(settled)
-            && self.doubtful.iter().all(heard)
+            && self.unreachable_peers.iter().all(heard)
     }
 
-    /// Whether this scheduler has only just started, or come back from a long pause: jobs of a life
-    /// before may still be at work, and it may not have met everybody yet.
+    /// Returns whether this scheduler has just started, or come back from a long pause. Jobs of its earlier
+    /// incarnation may still be running, and it may not have met all other processes yet.
     pub(super) fn is_young(&self) -> bool {
         self.now.since(self.present_since) < self.setup.policy.claims.warm_up
     }
 
-    /// Whether every executor is linked that there is. One that was lost when this scheduler
-    /// started has left runs at its worker that end by themselves only.
+    /// Returns whether every executor in the store's list has been met, and the list is complete. An executor
+    /// that was lost when this scheduler started may have left runs at its worker that only end by
+    /// themselves.
     fn has_met_roster(&self) -> bool {
         let roster = self.roster.as_ref();
         let met = roster.is_some_and(|names| names.iter().all(|name| self.is_met(name)));
         met && !self.lacks_executors()
     }
 
-    /// Whether the store's list lacks an executor that is linked here: keys can be missing while their
-    /// owners live, so others may be missing as well. Without this a task would run twice where the list was empty,
-    /// two of four executors were linked, and a peer had the task at work at a third.
+    /// Returns whether the store's list lacks an executor that is linked here. A key can be missing while its
+    /// owner is alive, so others may be missing as well. Without this check a task would run twice if the
+    /// list is empty, only some of the executors are linked, and a peer runs the task at another one.
     pub(super) fn lacks_executors(&self) -> bool {
         let listed = |name: &String| self.roster.as_ref().is_some_and(|r| r.contains(name));
         let mut linked = self.executors.values().filter(|e| e.link.is_some());
         linked.any(|e| !listed(&e.name))
     }
 
-    /// Whether the store's list of the executors should be read again soon: this scheduler has just
-    /// started, and the list is not known or lacks some, or a peer waits for it.
+    /// Returns whether the store's list of the executors should be read again soon: this scheduler has just
+    /// started and the list is unknown or incomplete, or a peer waits for it.
     pub fn wants_roster(&self) -> bool {
         let own = self.is_young() && (self.roster.is_none() || self.lacks_executors());
         own || self.roster_sync.is_wanted()
     }
 
-    /// Whether a claim made now reaches every executor that it must reach.
-    fn reaches_enough(&self) -> bool {
+    /// Returns whether a claim made now reaches every executor that it must reach.
+    fn reaches_required(&self) -> bool {
         !self.must_reach_all() || self.executors.values().all(|e| e.link.is_some())
     }
 
-    /// Ends a job of which it can't be known whether it is at work elsewhere.
+    /// Ends a job with the outcome `Unknown`, since it can't be established whether it runs elsewhere.
     fn end_unclaimable(&mut self, number: JobNumber) {
         self.count_cause("unclaimable");
         self.end_job(number, JobOutcome::Unknown, "unclaimable");
     }
 
-    /// Jobs that are being claimed.
+    /// Returns the jobs with open claims.
     pub(super) fn claiming(&self) -> Vec<JobNumber> {
         let claiming = self.jobs.iter();
         let claiming = claiming.filter(|(_, j)| matches!(j.phase, Phase::Claiming(_)));
         claiming.map(|(n, _)| *n).collect()
     }
 
-    /// Asks all executors to end what others have of a job; the job waits for that.
+    /// Claims a job: asks executors to end what they run of it for other schedulers. The job is not placed
+    /// until the claim is settled.
     ///
-    /// What is placed already runs on: a claim by another scheduler would have ended it.
+    /// Its own runs go on: if another scheduler had claimed the job, they would have been ended.
     pub(super) fn claim(&mut self, number: JobNumber) {
-        self.settle_doubt();
+        self.refresh_unreachable();
         self.counts.claims += 1;
-        // Nobody has said that it has the job: only what went with the link may have.
+        // No peer is known to have the job: only one whose link was lost may have it unannounced.
         let unheard = !self.announced.knows(number) && !self.ended.contains_key(&number);
-        let lost = !self.is_young() && unheard && self.has_lost_a_link();
-        if !self.is_young() && !lost && !self.reaches_enough() {
+        let lost = !self.is_young() && unheard && self.has_lost_link();
+        if !self.is_young() && !lost && !self.reaches_required() {
             return self.end_unclaimable(number);
         }
         let now = self.now;
-        // Nobody else is known to have the job: only a forerunner of this scheduler may have.
-        let young =
+        // No peer is known to have the job: only an earlier incarnation of this scheduler may have had it.
+        let starting =
             self.is_young() && !self.announced.knows(number) && !self.ended.contains_key(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.phase = Phase::Claiming(BTreeSet::new());
-            // Executors may confirm at once and others much later: from when they were asked on
-            // a peer may have taken the job.
+            // Some executors may confirm much later than others: from now on a peer may take the job.
             job.safe_since = now;
             job.ran_elsewhere = true;
-            job.claimed_young = young;
-            job.claimed_lost = lost;
+            job.startup_claim = starting;
+            job.loss_claim = lost;
         }
         let asked = if lost {
-            self.reach_of_lost()
+            self.lost_peer_executors()
         } else {
             self.executors.keys().collect()
         };
@@ -211,13 +216,14 @@
         self.settle_claims();
     }
 
-    /// The executors at which peers whose link was only just lost may have placed tasks.
+    /// Returns the executors at which peers whose link was recently lost may have placed tasks.
     ///
-    /// Load pattern: one of 55 schedulers is lost, and for half a second each new job at each of the others is
-    /// claimed. At all of 240 executors that is 300,000 claims; at those that list the lost one it is a fifth. A
-    /// scheduler places tasks at an executor once that has had the time to list it for all others
+    /// If one of 55 schedulers is lost, each of the others claims every new job for half a second. At all of
+    /// 240 executors that would be 300,000 claims; at the executors that list the lost scheduler as a lease
+    /// holder it is a fifth of them. The lists suffice, because a scheduler places tasks at an executor only
+    /// after the executor has had the time to list it for all others
     /// ([`CELL_SETTLE`](super::cell::CELL_SETTLE)).
-    fn reach_of_lost(&self) -> Vec<ExecutorKey> {
+    fn lost_peer_executors(&self) -> Vec<ExecutorKey> {
         let bound = self.setup.policy.claims.link_lost;
         let recent = |at: Mono| self.now.since(at) < bound;
         let lost = self.peers.iter();
@@ -233,7 +239,7 @@
         reach.map(|(key, _)| key).collect()
     }
 
-    /// Asks an executor to end what others have of a job, and waits for its word.
+    /// Asks an executor to confirm the claim of a job, and waits for its answer.
     pub(super) fn ask_claim(&mut self, number: JobNumber, key: ExecutorKey) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -254,6 +260,7 @@
         self.pending.push(key);
     }
 
+    /// Handles an executor's confirmation of a claim.
     pub(super) fn claim_confirmed(&mut self, number: JobNumber, key: ExecutorKey) {
         if let Some(job) = self.jobs.get_mut(&number)
             && let Phase::Claiming(asked) = &mut job.phase
@@ -266,30 +273,30 @@
         self.settle_claims();
     }
 
-    /// Begins the jobs that every executor has confirmed, or that can't run where it has not.
+    /// Activates the claimed jobs that nobody else runs, and ends those that can't be claimed.
     pub(super) fn settle_claims(&mut self) {
-        self.settle_doubt();
-        let grown = !self.is_young();
-        self.begin_confirmed();
-        if !self.peers_settled() || !(grown || self.has_met_roster()) {
+        self.refresh_unreachable();
+        let warmed_up = !self.is_young();
+        self.activate_loss_claims();
+        if !self.peers_settled() || !(warmed_up || self.has_met_roster()) {
             return;
         }
-        self.note_meeting();
-        if grown && !self.reaches_enough() {
-            self.end_claimed_young();
+        self.log_claims_settled();
+        if warmed_up && !self.reaches_required() {
+            self.end_startup_claims();
         }
         for number in self.claiming() {
             match self.claim_state(number) {
                 ClaimState::Open => {}
-                ClaimState::Settled => self.begin_claimed(number),
+                ClaimState::Settled => self.activate_job(number),
                 ClaimState::OutOfReach => self.end_unclaimable(number),
             }
         }
     }
 
-    /// Logs once that claims no longer wait for anybody to be met.
-    fn note_meeting(&mut self) {
-        if std::mem::replace(&mut self.has_met, true) {
+    /// Logs, once after the start, that all other processes have been met and claims can be settled.
+    fn log_claims_settled(&mut self) {
+        if std::mem::replace(&mut self.claims_settled, true) {
             return;
         }
         let after = crate::clock::millis(self.now.since(self.setup.started));
@@ -300,21 +307,22 @@
         );
     }
 
-    /// Begins the jobs that were claimed only because a link broke, once every executor that is
-    /// known has confirmed: whoever else has one can't run it any more, heard or not.
-    fn begin_confirmed(&mut self) {
+    /// Activates the jobs that were claimed only because a link was lost, once every executor that was asked
+    /// has confirmed: no other scheduler can run them any more, whether it is heard or not.
+    fn activate_loss_claims(&mut self) {
         for number in self.claiming() {
             let confirmed = |j: &Job| {
                 let asked = matches!(&j.phase, Phase::Claiming(asked) if asked.is_empty());
-                j.claimed_lost && asked
+                j.loss_claim && asked
             };
             let confirmed = self.jobs.get(&number).is_some_and(confirmed);
             if confirmed && self.linked_holder(number).is_none() {
-                self.begin_claimed(number);
+                self.activate_job(number);
             }
         }
     }
 
+    /// Returns how far the claim of a job is.
     fn claim_state(&self, number: JobNumber) -> ClaimState {
         let Some(job) = self.jobs.get(&number) else {
             return ClaimState::Open;
@@ -322,22 +330,22 @@
         let Phase::Claiming(asked) = &job.phase else {
             return ClaimState::Open;
         };
-        // A peer that has it and is heard may be at work on it where it can't be claimed.
+        // A linked peer that has the job may be running it at an executor that can't be asked.
         let rival = self.linked_holder(number).is_some();
         if rival && self.executors.values().any(|e| self.is_lost(e)) {
             return ClaimState::OutOfReach;
         }
         let all = self.must_reach_all();
-        let wait = all || self.has_renewed_peer() || self.was_just_given_up(number);
-        // Nobody is known to have the job: where all that runs is known, it is not among it.
-        let unheard = job.claimed_young && !self.announced.knows(number);
+        let wait = all || self.has_restarted_peer() || self.was_recently_withdrawn(number);
+        // No peer is known to have the job: an executor whose runs are all known does not run it.
+        let unheard = job.startup_claim && !self.announced.knows(number);
         let over = |e: &ExecutorView| self.is_lost(e) || (unheard && self.is_accounted(e));
         let may_run = |e: &ExecutorView| wait || !over(e);
         let open = |key: &ExecutorKey| self.executors.get(*key).is_some_and(may_run);
         let confirmed = !asked.iter().any(open);
-        // What a forerunner of this scheduler had started is over by then, asked about or not,
-        // unless a peer may be at work unheard.
-        let over = !self.is_young() && job.claimed_young && !all;
+        // What an earlier incarnation of this scheduler had started has ended by now, confirmed or not,
+        // unless an unreachable peer may be running.
+        let over = !self.is_young() && job.startup_claim && !all;
         if confirmed || over {
             ClaimState::Settled
         } else {
@@ -345,31 +353,35 @@
         }
     }
 
-    /// Whether a peer gave the job up only just now. What it had placed at an executor that can't be reached from here is
-    /// being stopped there, or ends with the peer's lease; without this a task would run twice at once.
-    fn was_just_given_up(&self, number: JobNumber) -> bool {
-        let at = self.given_up.get(&number);
+    /// Returns whether a peer recently reported that it no longer has the job. What it had placed at an
+    /// executor that can't be reached from here is still being stopped there, or ends with the peer's lease;
+    /// without this check a task would run twice at once.
+    fn was_recently_withdrawn(&self, number: JobNumber) -> bool {
+        let at = self.withdrawn.get(&number);
         at.is_some_and(|at| self.now.since(*at) < self.setup.lapse)
     }
 
-    /// Whether nothing that was placed at an executor runs there any more. One that has said so before it left need not be
-    /// waited for: jobs would be refused meanwhile for executors that are taken away.
+    /// Returns whether nothing that was placed at an executor runs there any more. An executor that has
+    /// announced this before it departed is not waited for: otherwise jobs would be refused for a while
+    /// whenever executors are removed.
     fn is_lost(&self, executor: &ExecutorView) -> bool {
         let over = executor.departed || self.silence(executor.heard) >= self.setup.lapse;
         executor.link.is_none() && over
     }
 
-    fn begin_claimed(&mut self, number: JobNumber) {
+    /// Lets a claimed job be placed.
+    fn activate_job(&mut self, number: JobNumber) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.phase = Phase::Active;
         }
         self.queue_job(number);
     }
 
-    /// Jobs that came in while this scheduler was young, and that it can't claim now either.
-    fn end_claimed_young(&mut self) {
+    /// Ends the jobs that were claimed while this scheduler had just started, if it still can't reach every
+    /// executor that it must reach.
+    fn end_startup_claims(&mut self) {
         for number in self.claiming() {
-            if self.jobs.get(&number).is_some_and(|j| j.claimed_young) {
+            if self.jobs.get(&number).is_some_and(|j| j.startup_claim) {
                 self.end_unclaimable(number);
             }
         }
--- a/lib/src/dispatch/scheduler/following.rs
+++ b/lib/src/dispatch/scheduler/following.rs
@@ -118,7 +118,7 @@
     fn follow_elsewhere(&mut self, name: &str, number: JobNumber) {
         if self.announced.withdraw(number, name) {
             self.remember(number, JobOutcome::Unknown, true);
-            self.given_up.insert(number, self.now);
+            self.withdrawn.insert(number, self.now);
         }
         let Some(following) = self.following.remove(&number) else {
             return;
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -87,7 +87,7 @@
             let outcome = self.refusal();
             return self.tell_peer_end(name, number, outcome);
         }
-        let claim = known || self.in_doubt();
+        let claim = known || self.may_run_elsewhere();
         let waited = Duration::from_millis(u64::from(handed.waited_ms));
         self.counts.taken += 1;
         self.run_for_peer(name, request, waited, claim);
--- a/lib/src/dispatch/scheduler/jobs.rs
+++ b/lib/src/dispatch/scheduler/jobs.rs
@@ -77,9 +77,9 @@
     /// Whether it was held here before, and ended after something of it had been started.
     pub renewed: bool,
     /// Whether it is claimed only because this scheduler has just started.
-    pub claimed_young: bool,
+    pub startup_claim: bool,
     /// Whether it is claimed because the link to a peer broke just before it came.
-    pub claimed_lost: bool,
+    pub loss_claim: bool,
     /// When it was last known that no other scheduler has it.
     pub safe_since: Mono,
     /// When its caller's objective ends.
@@ -142,8 +142,8 @@
             began: false,
             ran_elsewhere: false,
             renewed: false,
-            claimed_young: false,
-            claimed_lost: false,
+            startup_claim: false,
+            loss_claim: false,
             safe_since: now,
             objective_at: now + objective.saturating_sub(policy.travel),
             sure_start: now + sure.saturating_sub(policy.travel),
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -48,7 +48,7 @@
         if let Some(peer) = self.linked_holder(number) {
             return self.follow(&peer, caller, request);
         }
-        let doubt = self.announced.knows(number) || self.in_doubt();
+        let doubt = self.announced.knows(number) || self.may_run_elsewhere();
         self.run_here(caller, request, doubt);
         self.place();
     }
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -18,7 +18,7 @@
 impl Scheduler {
     /// Logs for what jobs wait that are claimed, while this scheduler is young.
     pub(super) fn tell_waiting(&mut self) {
-        let since = self.now.since(self.waiting_told.max(self.present_since));
+        let since = self.now.since(self.claims_logged.max(self.present_since));
         if !self.is_young() || since < TOLD_EVERY {
             return;
         }
@@ -28,7 +28,7 @@
         if jobs == 0 {
             return;
         }
-        self.waiting_told = self.now;
+        self.claims_logged = self.now;
         let after = crate::clock::millis(self.now.since(self.present_since));
         let detail = format!("{jobs} jobs after {after} ms, for {}", self.waited_for());
         self.log(Kind::ClaimsOpen, detail);
