--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -153,13 +153,13 @@
     announced: Announcements,
     executors: SlotMap<ExecutorKey, ExecutorView>,
     /// Keys of the executors by name.
-    named: HashMap<String, ExecutorKey>,
+    executor_keys: HashMap<String, ExecutorKey>,
     /// The remote process of each link.
     ends: HashMap<LinkId, LinkEnd>,
     /// Executors with collected orders that may not have been sent yet.
     pending: Vec<ExecutorKey>,
     /// Whether the next flush checks all executors and peers for due heartbeats.
-    sweep: bool,
+    flush_all: bool,
     /// Schedulers that hold leases at executors.
     leases: Leases,
     cell: Cell,
@@ -168,7 +168,7 @@
     speeds: FleetSpeeds,
     /// In a placement round: the executors still open to the remaining jobs, once a held-back job leaves room
     /// to them; `None` if all are.
-    spared: Option<BTreeSet<ExecutorKey>>,
+    allowed_executors: Option<BTreeSet<ExecutorKey>>,
     bulkheads: Bulkheads,
     peers: BTreeMap<String, Peer>,
     /// Loads of this scheduler and of its peers.
@@ -224,16 +224,16 @@
             claims_logged: Mono::default(),
             announced: Announcements::default(),
             executors: SlotMap::with_key(),
-            named: HashMap::new(),
+            executor_keys: HashMap::new(),
             ends: HashMap::new(),
             pending: Vec::new(),
-            sweep: true,
+            flush_all: true,
             leases: Leases::default(),
             cell: Cell::default(),
             contention: Contention::default(),
             paces: Paces::default(),
             speeds: FleetSpeeds::default(),
-            spared: None,
+            allowed_executors: None,
             bulkheads: Bulkheads::default(),
             peers: BTreeMap::new(),
             loads: Loads::default(),
@@ -261,7 +261,7 @@
 
     /// Advances the clock. After a pause of this process, silence counts from now on: the others may have
     /// sent messages that were not read. After a pause of `silence`, drops all links.
-    fn enter(&mut self, now: Mono) {
+    fn advance_clock(&mut self, now: Mono) {
         let has_run = self.now != Mono::default();
         let pause = now.since(self.now);
         self.now = now;
@@ -284,7 +284,7 @@
             let link = self.unlink_executor(key);
             self.actions.extend(link.map(Action::Close));
         }
-        self.refresh_doubt();
+        self.invalidate_unreachable();
         self.drop_peer_links();
     }
 
@@ -316,7 +316,7 @@
     /// jobs a second of one entry would make 5,500 claims a second.
     pub fn is_ready(&self) -> bool {
         let reachable = self.executors.values().any(|e| e.link.is_some());
-        let has_alternative = self.is_young() && self.has_settled_neighbour();
+        let has_alternative = self.is_warming_up() && self.has_settled_neighbour();
         self.leaving.is_none() && self.catalog.index().is_some() && reachable && !has_alternative
     }
 
@@ -328,7 +328,7 @@
     /// Starts leaving: the scheduler is no longer ready, but still accepts jobs that can end before
     /// `ends_at`.
     pub fn leave(&mut self, now: Mono, ends_at: Mono) {
-        self.enter(now);
+        self.advance_clock(now);
         self.leaving = Some(ends_at);
         self.log(Kind::Leaving, self.setup.name.clone());
     }
@@ -340,7 +340,7 @@
 
     /// Returns whether a job is expected to outlast this process.
     fn ends_too_late(&self, job: &Job) -> bool {
-        let whole = job.chain.iter().copied().max().unwrap_or_default();
+        let whole = job.critical_path.iter().copied().max().unwrap_or_default();
         let needed = whole.mul_f64(self.setup.policy.leaving.room_to_end)
             + self.setup.policy.reports.heartbeat;
         self.leaving.is_some_and(|at| self.now + needed > at)
@@ -353,7 +353,7 @@
 
     /// Gives up all jobs and answers every waiting caller, so that the process can exit.
     pub fn abandon(&mut self, now: Mono) {
-        self.enter(now);
+        self.advance_clock(now);
         let numbers: Vec<JobNumber> = self.jobs.keys().copied().collect();
         for number in numbers {
             self.give_up(number, "leaving");
@@ -368,8 +368,8 @@
 
     /// Runs the periodic work: timeouts, claims and placement.
     pub fn tick(&mut self, now: Mono) {
-        self.enter(now);
-        self.sweep = true;
+        self.advance_clock(now);
+        self.flush_all = true;
         self.expire_jobs();
         self.watch_executors();
         self.watch_peers();
@@ -397,7 +397,7 @@
 
     /// Learns schedulers from another source, and connects to those that are new.
     pub fn add_members(&mut self, now: Mono, members: Vec<proto::Member>) {
-        self.enter(now);
+        self.advance_clock(now);
         let own = (&self.setup.name, &self.setup.address);
         let others = members.into_iter();
         let others = others.filter(|m| m.name != *own.0 && m.address != *own.1);
@@ -423,7 +423,7 @@
     fn flush(&mut self) {
         let now = self.now;
         self.settle_cell();
-        if std::mem::take(&mut self.sweep) {
+        if std::mem::take(&mut self.flush_all) {
             self.pending.clear();
             self.pending.extend(self.executors.keys());
             self.flush_executors(now);
--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -55,7 +55,7 @@
 impl Job {
     /// Whether nobody can have started anything of it, nor has had it before.
     fn is_untouched(&self) -> bool {
-        let fresh = !self.began && !self.renewed && !self.ran_elsewhere;
+        let fresh = !self.began && !self.began_before && !self.ran_elsewhere;
         fresh && self.phase == Phase::Active && self.followers.is_empty()
     }
 
@@ -63,15 +63,15 @@
     pub(super) fn arrived_earlier(&mut self, waited: Duration) {
         self.arrived = self.arrived - waited;
         self.objective_at = self.objective_at - waited;
-        self.sure_start = self.sure_start - waited;
-        self.useless_at = self.useless_at - waited;
+        self.start_deadline = self.start_deadline - waited;
+        self.expires_at = self.expires_at - waited;
     }
 }
 
 impl Scheduler {
     /// What this process uses of the processor time that it may use, in percent, as measured outside.
     pub fn set_busy(&mut self, now: Mono, percent: u32) {
-        self.enter(now);
+        self.advance_clock(now);
         let most = self.setup.policy.balance.busy * 100.0;
         let bound = if self.loads.short {
             most * RELIEVED
@@ -192,7 +192,7 @@
         let waited = self.now.since(job.arrived) >= policy.wait;
         let reaches = at >= self.now + policy.least_left;
         let confined = self.bulkheads.confines(&job.request.queue);
-        waited && reaches && !confined && job.is_untouched() && !self.is_exposed(job)
+        waited && reaches && !confined && job.is_untouched() && !self.needs_reclaim(job)
     }
 
     /// Hands a job that waits here to a peer, and follows it there.
@@ -200,7 +200,7 @@
         let Some(job) = self.jobs.remove(&number) else {
             return;
         };
-        if let Some((class, at)) = job.place {
+        if let Some((class, at)) = job.waiting_key {
             self.waiting.remove(&(class, at, number));
         }
         let waited = crate::clock::millis(self.now.since(job.arrived)) as u32;
--- a/lib/src/dispatch/scheduler/catalog_sync.rs
+++ b/lib/src/dispatch/scheduler/catalog_sync.rs
@@ -64,7 +64,7 @@
 impl Scheduler {
     /// Puts a catalog that the store holds in force, unless a newer one is.
     pub fn set_catalog(&mut self, now: Mono, catalog: Catalog) {
-        self.enter(now);
+        self.advance_clock(now);
         self.take_catalog(catalog, "the store");
     }
 
@@ -84,7 +84,7 @@
 
     /// The store has answered: it holds no newer catalog than it has told of.
     pub fn catalog_confirmed(&mut self, now: Mono) {
-        self.enter(now);
+        self.advance_clock(now);
         if self.catalog.unsure {
             self.catalog.unsure = false;
             let away = crate::clock::millis(now.since(self.catalog.checked));
--- a/lib/src/dispatch/scheduler/cell.rs
+++ b/lib/src/dispatch/scheduler/cell.rs
@@ -38,8 +38,8 @@
     pub(super) fn settle_cell(&mut self) {
         let now = self.now;
         let over = |key: &ExecutorKey| self.executors.get(*key).is_none_or(|e| e.loan_is_over(now));
-        let ended = self.sweep && self.cell.near.iter().any(over);
-        let resized = self.sweep && self.cell.size != self.cell_size();
+        let ended = self.flush_all && self.cell.near.iter().any(over);
+        let resized = self.flush_all && self.cell.size != self.cell_size();
         if !std::mem::take(&mut self.cell.stale) && !ended && !resized {
             return;
         }
@@ -74,7 +74,7 @@
     fn cell_size(&self) -> usize {
         let policy = self.setup.policy.cells;
         let least = policy.size as usize;
-        if self.is_young() {
+        if self.is_warming_up() {
             return least;
         }
         let schedulers = 1 + self.peers.values().filter(|p| p.link.is_some()).count();
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -28,7 +28,7 @@
 impl Scheduler {
     /// Marks the set of unreachable peers as outdated, after links or executors' lists of leases have
     /// changed.
-    pub(super) fn refresh_doubt(&mut self) {
+    pub(super) fn invalidate_unreachable(&mut self) {
         self.unreachable_stale = true;
     }
 
@@ -55,7 +55,7 @@
     pub(super) fn may_run_elsewhere(&mut self) -> bool {
         self.refresh_unreachable();
         let now = self.now;
-        if self.is_young() || self.has_lost_link() {
+        if self.is_warming_up() || self.has_lost_link() {
             return true;
         }
         let bound = self.setup.policy.claims.unheard;
@@ -99,14 +99,14 @@
     /// Returns whether a job must be claimed before more of it is placed. A peer may have taken it meanwhile:
     /// it was held here for long enough to be submitted again elsewhere, and a peer was not heard, or found
     /// to have it too, since the job was last known to be exclusive.
-    pub(super) fn is_exposed(&self, job: &Job) -> bool {
+    pub(super) fn needs_reclaim(&self, job: &Job) -> bool {
         let now = self.now;
-        now.since(job.safe_since) >= self.setup.policy.claims.again_after
-            && self.gap > job.safe_since
+        now.since(job.exclusive_since) >= self.setup.policy.claims.again_after
+            && self.gap > job.exclusive_since
     }
 
     /// Records whether some peer is not heard at present.
-    pub(super) fn note_gap(&mut self) {
+    pub(super) fn note_unheard_peers(&mut self) {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
         let unheard = |p: &Peer| now.since(p.heard) >= bound;
@@ -132,7 +132,7 @@
 
     /// Returns whether this scheduler has just started, or come back from a long pause. Jobs of its earlier
     /// incarnation may still be running, and it may not have met all other processes yet.
-    pub(super) fn is_young(&self) -> bool {
+    pub(super) fn is_warming_up(&self) -> bool {
         self.now.since(self.present_since) < self.setup.policy.claims.warm_up
     }
 
@@ -157,7 +157,7 @@
     /// Returns whether the store's list of the executors should be read again soon: this scheduler has just
     /// started and the list is unknown or incomplete, or a peer waits for it.
     pub fn wants_roster(&self) -> bool {
-        let own = self.is_young() && (self.roster.is_none() || self.lacks_executors());
+        let own = self.is_warming_up() && (self.roster.is_none() || self.lacks_executors());
         own || self.roster_sync.is_wanted()
     }
 
@@ -188,18 +188,19 @@
         self.counts.claims += 1;
         // No peer is known to have the job: only one whose link was lost may have it unannounced.
         let unheard = !self.announced.knows(number) && !self.ended.contains_key(&number);
-        let lost = !self.is_young() && unheard && self.has_lost_link();
-        if !self.is_young() && !lost && !self.reaches_required() {
+        let lost = !self.is_warming_up() && unheard && self.has_lost_link();
+        if !self.is_warming_up() && !lost && !self.reaches_required() {
             return self.end_unclaimable(number);
         }
         let now = self.now;
         // No peer is known to have the job: only an earlier incarnation of this scheduler may have had it.
-        let starting =
-            self.is_young() && !self.announced.knows(number) && !self.ended.contains_key(&number);
+        let starting = self.is_warming_up()
+            && !self.announced.knows(number)
+            && !self.ended.contains_key(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.phase = Phase::Claiming(BTreeSet::new());
             // Some executors may confirm much later than others: from now on a peer may take the job.
-            job.safe_since = now;
+            job.exclusive_since = now;
             job.ran_elsewhere = true;
             job.startup_claim = starting;
             job.loss_claim = lost;
@@ -252,7 +253,7 @@
             executor.hurried = self.now;
         }
         let orders = &mut executor.orders;
-        if job.renewed {
+        if job.began_before {
             orders.renewals.push(number.0);
         } else {
             orders.claims.push(number.0);
@@ -261,7 +262,7 @@
     }
 
     /// Handles an executor's confirmation of a claim.
-    pub(super) fn claim_confirmed(&mut self, number: JobNumber, key: ExecutorKey) {
+    pub(super) fn confirm_claim(&mut self, number: JobNumber, key: ExecutorKey) {
         if let Some(job) = self.jobs.get_mut(&number)
             && let Phase::Claiming(asked) = &mut job.phase
         {
@@ -276,7 +277,7 @@
     /// Activates the claimed jobs that nobody else runs, and ends those that can't be claimed.
     pub(super) fn settle_claims(&mut self) {
         self.refresh_unreachable();
-        let warmed_up = !self.is_young();
+        let warmed_up = !self.is_warming_up();
         self.activate_loss_claims();
         if !self.peers_settled() || !(warmed_up || self.has_met_roster()) {
             return;
@@ -345,7 +346,7 @@
         let confirmed = !asked.iter().any(open);
         // What an earlier incarnation of this scheduler had started has ended by now, confirmed or not,
         // unless an unreachable peer may be running.
-        let over = !self.is_young() && job.startup_claim && !all;
+        let over = !self.is_warming_up() && job.startup_claim && !all;
         if confirmed || over {
             ClaimState::Settled
         } else {
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -9,7 +9,7 @@
 use super::jobs::TaskState;
 use super::placing::BEGUN;
 use super::placing::LATE;
-use super::placing::OWED;
+use super::placing::UNDERSERVED;
 use crate::clock::millis;
 use crate::dispatch::contention::arrival;
 use crate::dispatch::contention::arrival::Verdict;
@@ -34,7 +34,7 @@
 pub(super) const BACKLOG: &str = "backlog";
 
 /// The class of the most urgent jobs that have not begun; those of each priority below have the next one.
-const FIRST_CLASS: u8 = OWED + 1;
+const FIRST_CLASS: u8 = UNDERSERVED + 1;
 /// Priorities beyond this are one class.
 const LAST_PRIORITY: u32 = 200;
 /// What waits here is summed anew for peers this often at most: summing takes time that the entry needs to answer.
@@ -66,7 +66,7 @@
     pub fn class(&self, job: &Job, policy: &policy::Contention) -> u8 {
         let kind = self.shares.kind(job.priority, job.first_cpu());
         if self.shares.is_owed(kind, policy) {
-            return OWED;
+            return UNDERSERVED;
         }
         FIRST_CLASS + job.priority.min(LAST_PRIORITY) as u8
     }
@@ -102,9 +102,9 @@
         let policy = self.setup.policy;
         let most = policy.admission.round_jobs as usize;
         let numbers: Vec<JobNumber> = self.waiting.iter().take(most).map(|w| w.2).collect();
-        self.note_gap();
+        self.note_unheard_peers();
         self.settle_cell();
-        self.spared = None;
+        self.allowed_executors = None;
         let free = self.free_room();
         let mut round = Round::new(self.now, free, policy.contention.round_misses);
         // Summed once a round: it takes time that the entry needs to answer.
@@ -113,7 +113,11 @@
             if round.is_over() {
                 break;
             }
-            if self.jobs.get(&number).is_some_and(|j| self.is_exposed(j)) {
+            if self
+                .jobs
+                .get(&number)
+                .is_some_and(|j| self.needs_reclaim(j))
+            {
                 self.claim(number);
                 self.queue_job(number);
                 continue;
@@ -158,7 +162,7 @@
     /// A job that has not begun, as a round sees it; none for others: what they have used is lost if they are not
     /// finished, so they yield to nobody.
     fn entrant(&self, job: &Job) -> Option<Entrant> {
-        let (class, latest) = job.place?;
+        let (class, latest) = job.waiting_key?;
         if class == BEGUN || class == LATE {
             return None;
         }
@@ -166,7 +170,7 @@
         let patience = job.arrived.until(latest);
         Some(Entrant {
             class,
-            owed: class == OWED,
+            owed: class == UNDERSERVED,
             least: self.least_room(job),
             whole: job.ready_cpu(),
             patient_until: job.arrived + patience.mul_f64(policy.contention.pass_share),
@@ -237,15 +241,15 @@
             return false;
         };
         let slack = self.now.until(latest);
-        class != OWED && arrival::judge(&forecast, slack, policy) == Verdict::Refuse
+        class != UNDERSERVED && arrival::judge(&forecast, slack, policy) == Verdict::Refuse
     }
 
     /// When a job of a class would start; none while too little is known.
     fn forecast(&self, job: &Job, class: u8) -> Option<Forecast> {
         let room = self.room();
         let latest = job.latest_start()?;
-        let place = (class, latest, job.request.number);
-        let ahead = self.waiting.range(..place).map(|w| w.2);
+        let waiting_key = (class, latest, job.request.number);
+        let ahead = self.waiting.range(..waiting_key).map(|w| w.2);
         let ahead = ahead.filter_map(|number| self.jobs.get(&number));
         Some(Forecast {
             own: ahead.map(Job::ready_cpu).sum(),
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -15,7 +15,7 @@
 
 impl Scheduler {
     /// An executor tells of the end of a task.
-    pub(super) fn task_ended(&mut self, key: ExecutorKey, end: &proto::TaskEnd) {
+    pub(super) fn handle_task_end(&mut self, key: ExecutorKey, end: &proto::TaskEnd) {
         if !self.note_end(key, end.number) {
             return;
         }
@@ -40,7 +40,7 @@
         if end.sole && self.is_confined(name.job) {
             return self.give_up(name.job, "crashes");
         }
-        self.task_gone(key, name, attempt, kind);
+        self.finish_attempt(key, name, attempt, kind);
     }
 
     /// Takes note of what an executor knows of a task from workers that crashed.
@@ -54,7 +54,7 @@
 
     /// An executor where a job was claimed tells what it knows of its tasks: the scheduler that had the
     /// job before may have learned it, and be lost.
-    pub(super) fn task_crashed_before(&mut self, crashed: &proto::CrashedTask) {
+    pub(super) fn handle_crashed_task(&mut self, crashed: &proto::CrashedTask) {
         let Some(task) = &crashed.task else {
             return;
         };
@@ -107,7 +107,7 @@
     }
 
     /// A task is not at an executor any more.
-    pub(super) fn task_gone(
+    pub(super) fn finish_attempt(
         &mut self,
         key: ExecutorKey,
         name: TaskName,
--- a/lib/src/dispatch/scheduler/evacuations.rs
+++ b/lib/src/dispatch/scheduler/evacuations.rs
@@ -18,7 +18,7 @@
 impl Scheduler {
     /// The zones that the store lists as evacuated, each with the revision of its key, at revision `at`.
     pub fn set_evacuations(&mut self, now: Mono, listed: &BTreeMap<String, u64>, at: u64) {
-        self.enter(now);
+        self.advance_clock(now);
         for zone in self.zones.note_list(listed, at) {
             self.zone_changed(&zone, "the store");
         }
@@ -27,7 +27,7 @@
 
     /// The store tells of one zone.
     pub fn set_evacuation(&mut self, now: Mono, zone: &str, record: ZoneRecord) {
-        self.enter(now);
+        self.advance_clock(now);
         self.note_zone(zone, record, "the store");
     }
 
@@ -52,7 +52,7 @@
     fn zones_noted(&mut self) {
         if self.zones.edition() != self.zones_flushed {
             self.zones_flushed = self.zones.edition();
-            self.sweep = true;
+            self.flush_all = true;
         }
     }
 
@@ -72,7 +72,7 @@
             self.executors[key].evacuated = evacuated;
         }
         self.cell.stale = true;
-        if evacuated && self.is_cut_off() {
+        if evacuated && self.has_no_executor() {
             self.refuse_waiting();
         }
         self.place();
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -5,7 +5,7 @@
 
 use super::members::Members;
 use super::members::Told;
-use super::silent::Hearsay;
+use super::silent::PeerReport;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::Free;
 use crate::dispatch::model::TaskName;
@@ -77,7 +77,7 @@
     /// Schedulers for whom things may run there and that its profile does not name yet, by incarnation.
     pub newcomers: Vec<u64>,
     /// What a peer has said of it.
-    pub hearsay: Option<Hearsay>,
+    pub peer_report: Option<PeerReport>,
     /// Whether it was logged that claims do not wait for it.
     pub silence_logged: bool,
     policy: Policy,
@@ -122,7 +122,7 @@
             renewed: None,
             accounted: false,
             newcomers: Vec::new(),
-            hearsay: None,
+            peer_report: None,
             silence_logged: false,
         }
     }
@@ -155,7 +155,7 @@
         self.zone_told = 0;
         self.departed = false;
         self.accounted = false;
-        self.hearsay = None;
+        self.peer_report = None;
         self.silence_logged = false;
     }
 
--- a/lib/src/dispatch/scheduler/fleet.rs
+++ b/lib/src/dispatch/scheduler/fleet.rs
@@ -41,19 +41,19 @@
         self.log(Kind::LinkUp, format!("executor {}", greeting.name));
         self.cell.stale = true;
         self.pending.push(key);
-        self.refresh_doubt();
+        self.invalidate_unreachable();
         self.claim_at(key);
         self.tell_executor(&greeting.name);
     }
 
     /// The executor that a greeting names, which may not have been known.
     fn executor_named(&mut self, greeting: &proto::Greeting) -> ExecutorKey {
-        if let Some(key) = self.named.get(&greeting.name) {
+        if let Some(key) = self.executor_keys.get(&greeting.name) {
             return *key;
         }
         let executor = ExecutorView::new(self.now, greeting, self.setup.policy);
         let key = self.executors.insert(executor);
-        self.named.insert(greeting.name.clone(), key);
+        self.executor_keys.insert(greeting.name.clone(), key);
         key
     }
 
@@ -80,7 +80,7 @@
     /// Whether an executor is linked, or has said that nothing runs there any more.
     pub(super) fn is_met(&self, name: &str) -> bool {
         let met = |e: &ExecutorView| e.link.is_some() || e.departed || self.is_accounted(e);
-        let key = self.named.get(name);
+        let key = self.executor_keys.get(name);
         key.is_some_and(|key| met(&self.executors[*key]))
     }
 
@@ -88,7 +88,7 @@
     /// be reached from here.
     pub(super) fn hear_of_executors(&mut self, names: &[String]) {
         for name in names {
-            if self.named.contains_key(name) {
+            if self.executor_keys.contains_key(name) {
                 continue;
             }
             let greeting = proto::Greeting {
@@ -122,7 +122,7 @@
             self.leases.add(&profile.leased);
             let before = std::mem::replace(&mut executor.profile, profile);
             self.leases.remove(&before.leased);
-            self.refresh_doubt();
+            self.invalidate_unreachable();
         }
         if let Some(state) = update.zone {
             let executor = &mut self.executors[key];
@@ -139,9 +139,9 @@
             executor.take_report(report);
         }
         for end in update.ends {
-            self.task_ended(key, &end);
+            self.handle_task_end(key, &end);
         }
-        self.judge_pace(key);
+        self.update_slow_state(key);
         for run in &update.slow {
             self.move_slow(key, run);
         }
@@ -154,10 +154,10 @@
             self.lose_job(JobNumber(job));
         }
         for task in &update.crashed {
-            self.task_crashed_before(task);
+            self.handle_crashed_task(task);
         }
         for job in update.claimed {
-            self.claim_confirmed(JobNumber(job), key);
+            self.confirm_claim(JobNumber(job), key);
         }
         self.place();
     }
@@ -186,7 +186,7 @@
         let lost = placed.iter().map(|(t, a)| (*t, *a));
         let lost: Vec<(TaskName, u32)> = lost.filter(|t| !held.contains(t)).collect();
         for (task, attempt) in lost {
-            self.task_gone(key, task, attempt, EndKind::Lost);
+            self.finish_attempt(key, task, attempt, EndKind::Lost);
         }
     }
 
@@ -199,7 +199,7 @@
         );
         self.unlink_executor(key);
         self.log(Kind::LinkDown, detail);
-        self.refresh_doubt();
+        self.invalidate_unreachable();
     }
 
     /// Closes silent links, and gives up the tasks of executors that are gone.
@@ -227,7 +227,7 @@
     fn forget_executor(&mut self, key: ExecutorKey) {
         self.unlink_executor(key);
         if let Some(executor) = self.executors.remove(key) {
-            self.named.remove(&executor.name);
+            self.executor_keys.remove(&executor.name);
         }
     }
 
@@ -241,7 +241,7 @@
         let placed = self.executors[key].placed.iter();
         let placed: Vec<(TaskName, u32)> = placed.map(|(t, a)| (*t, *a)).collect();
         for (task, attempt) in placed {
-            self.task_gone(key, task, attempt, EndKind::Lost);
+            self.finish_attempt(key, task, attempt, EndKind::Lost);
         }
     }
 
--- a/lib/src/dispatch/scheduler/following.rs
+++ b/lib/src/dispatch/scheduler/following.rs
@@ -96,7 +96,12 @@
     }
 
     /// A peer has ended a job that callers here wait for.
-    pub(super) fn followed_end(&mut self, name: &str, number: JobNumber, outcome: JobOutcome) {
+    pub(super) fn handle_followed_end(
+        &mut self,
+        name: &str,
+        number: JobNumber,
+        outcome: JobOutcome,
+    ) {
         if outcome == JobOutcome::Unknown {
             return self.follow_elsewhere(name, number);
         }
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -62,7 +62,7 @@
     }
 
     /// A peer hands a job over: it leaves, or more waits there.
-    pub(super) fn take_handed(&mut self, name: &str, handed: &proto::HandedJob) {
+    pub(super) fn accept_handoff(&mut self, name: &str, handed: &proto::HandedJob) {
         let number = JobNumber(handed.job);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.followers.push(name.to_owned());
--- a/lib/src/dispatch/scheduler/jobs.rs
+++ b/lib/src/dispatch/scheduler/jobs.rs
@@ -75,23 +75,23 @@
     /// Whether another scheduler may have started tasks of it.
     pub ran_elsewhere: bool,
     /// Whether it was held here before, and ended after something of it had been started.
-    pub renewed: bool,
+    pub began_before: bool,
     /// Whether it is claimed only because this scheduler has just started.
     pub startup_claim: bool,
     /// Whether it is claimed because the link to a peer broke just before it came.
     pub loss_claim: bool,
     /// When it was last known that no other scheduler has it.
-    pub safe_since: Mono,
+    pub exclusive_since: Mono,
     /// When its caller's objective ends.
     pub objective_at: Mono,
     /// Until when it will meet the objective quite surely if it begins.
-    pub sure_start: Mono,
+    pub start_deadline: Mono,
     /// When it is of no use to anybody any more.
-    pub useless_at: Mono,
+    pub expires_at: Mono,
     /// When it was last placed where runs are stopped for it.
     pub preempted_at: Option<Mono>,
     /// Its place among the jobs that wait, if it does.
-    pub place: Option<(u8, Mono)>,
+    pub waiting_key: Option<(u8, Mono)>,
     /// How much its objective grows with its work.
     pub stretch: f64,
     /// Whether tasks of it have waited although there was room, since they would have been late there.
@@ -99,7 +99,7 @@
     /// The expected time of a task of each step at a worker of ordinary pace.
     pub expected: Vec<Duration>,
     /// The expected time from the start of each step to the end of the job.
-    pub chain: Vec<Duration>,
+    pub critical_path: Vec<Duration>,
 }
 
 impl Job {
@@ -116,16 +116,16 @@
             Duration::from_millis(u64::from(s.estimate_ms.max(1))).mul_f64(learned.max(0.01))
         };
         let expected: Vec<Duration> = request.steps.iter().map(estimate).collect();
-        let chain = chains(&request.steps, &expected);
-        let whole = chain.iter().copied().max().unwrap_or_default();
+        let critical_path = critical_paths(&request.steps, &expected);
+        let whole = critical_path.iter().copied().max().unwrap_or_default();
         let objective = whole.mul_f64(queue.extension.max(1.0))
             + Duration::from_millis(u64::from(queue.objective_ms));
         let spare = (queue.extension - policy.slow_allowance).max(0.0) * policy.sure_share;
         let sure = Duration::from_millis(u64::from(queue.objective_ms)) + whole.mul_f64(spare);
         let patience = Duration::from_millis(request.patience_ms);
-        let mut useless_at = now + objective.mul_f64(policy.late_factor);
+        let mut expires_at = now + objective.mul_f64(policy.late_factor);
         if !patience.is_zero() {
-            useless_at = useless_at.min(now + patience);
+            expires_at = expires_at.min(now + patience);
         }
         let tasks: Vec<Task> = tasks_of(&request.steps);
         Job {
@@ -141,19 +141,19 @@
             tasks,
             began: false,
             ran_elsewhere: false,
-            renewed: false,
+            began_before: false,
             startup_claim: false,
             loss_claim: false,
-            safe_since: now,
+            exclusive_since: now,
             objective_at: now + objective.saturating_sub(policy.travel),
-            sure_start: now + sure.saturating_sub(policy.travel),
-            useless_at,
+            start_deadline: now + sure.saturating_sub(policy.travel),
+            expires_at,
             preempted_at: None,
-            place: None,
+            waiting_key: None,
             stretch: queue.extension.max(1.0),
             held_back: false,
             expected,
-            chain,
+            critical_path,
             request,
         }
     }
@@ -179,12 +179,12 @@
     /// and a job that is late has used as much as one that is in time.
     pub fn latest_start(&self) -> Option<Mono> {
         let ready = self.tasks.iter().filter(|t| t.state == TaskState::Ready);
-        let needed = ready.map(|t| self.chain[t.step as usize]).max()?;
+        let needed = ready.map(|t| self.critical_path[t.step as usize]).max()?;
         let latest = self.objective_at - needed;
         if self.began {
             Some(latest)
         } else {
-            Some(latest.min(self.sure_start))
+            Some(latest.min(self.start_deadline))
         }
     }
 
@@ -244,13 +244,14 @@
 }
 
 /// For each step, the longest sum of expected times from its start to the end of the job.
-fn chains(steps: &[Step], expected: &[Duration]) -> Vec<Duration> {
-    let mut chain = expected.to_vec();
+fn critical_paths(steps: &[Step], expected: &[Duration]) -> Vec<Duration> {
+    let mut critical_path = expected.to_vec();
     for later in (0..steps.len()).rev() {
         for earlier in &steps[later].after {
             let earlier = *earlier as usize;
-            chain[earlier] = chain[earlier].max(expected[earlier] + chain[later]);
+            critical_path[earlier] =
+                critical_path[earlier].max(expected[earlier] + critical_path[later]);
         }
     }
-    chain
+    critical_path
 }
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -64,7 +64,7 @@
 
 impl Scheduler {
     /// Judges whether an executor that has just reported takes much longer than the others.
-    pub(super) fn judge_pace(&mut self, key: ExecutorKey) {
+    pub(super) fn update_slow_state(&mut self, key: ExecutorKey) {
         if self.judge_usual(key) {
             return;
         }
@@ -110,7 +110,7 @@
             return;
         };
         let here = self.now + Duration::from_millis(u64::from(run.remaining_ms));
-        let there = self.now + policy.move_time + job.chain[name.step as usize];
+        let there = self.now + policy.move_time + job.critical_path[name.step as usize];
         let gains = here > job.objective_at && there <= job.objective_at;
         let slow = self.executors[key].slow;
         if !policy.move_slow || !slow || !gains || !self.has_room_elsewhere(job, key, name.step) {
--- a/lib/src/dispatch/scheduler/peer_links.rs
+++ b/lib/src/dispatch/scheduler/peer_links.rs
@@ -53,7 +53,7 @@
             address: greeting.address.clone(),
         };
         self.log(Kind::LinkUp, format!("scheduler {}", greeting.name));
-        self.refresh_doubt();
+        self.invalidate_unreachable();
         self.add_members(now, vec![member]);
     }
 
@@ -159,7 +159,7 @@
         let unheard = crate::clock::millis(unheard);
         let detail = format!("scheduler {name}, heard {unheard} ms ago");
         self.log(Kind::LinkDown, detail);
-        self.refresh_doubt();
+        self.invalidate_unreachable();
         let orphans = self.following.iter().filter(|(_, f)| f.peer == name);
         let orphans: Vec<JobNumber> = orphans.map(|(n, _)| *n).collect();
         for number in orphans {
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -131,7 +131,7 @@
 impl Scheduler {
     /// A link is up.
     pub fn link_up(&mut self, now: Mono, link: LinkId, greeting: &proto::Greeting) {
-        self.enter(now);
+        self.advance_clock(now);
         if greeting.executor {
             self.executor_up(link, greeting);
         } else {
@@ -141,7 +141,7 @@
 
     /// A link is down.
     pub fn link_down(&mut self, now: Mono, link: LinkId) {
-        self.enter(now);
+        self.advance_clock(now);
         match self.ends.remove(&link) {
             Some(LinkEnd::Executor(key)) => self.executor_down(key),
             Some(LinkEnd::Peer(name)) => self.peer_link_down(&name, link),
@@ -151,7 +151,7 @@
 
     /// A message has come in.
     pub fn message(&mut self, now: Mono, link: LinkId, body: proto::frame::Body) {
-        self.enter(now);
+        self.advance_clock(now);
         match body {
             proto::frame::Body::Update(update) => {
                 if let Some(LinkEnd::Executor(key)) = self.ends.get(&link) {
@@ -194,7 +194,7 @@
 
     fn peer_update(&mut self, name: &str, update: proto::PeerUpdate) {
         let now = self.now;
-        self.note_gap();
+        self.note_unheard_peers();
         if let Some(peer) = self.peers.get_mut(name) {
             peer.heard = now;
             peer.met = true;
@@ -214,10 +214,10 @@
         }
         for end in update.ends {
             let outcome = JobOutcome::from_code(end.outcome);
-            self.followed_end(name, JobNumber(end.job), outcome);
+            self.handle_followed_end(name, JobNumber(end.job), outcome);
         }
         for job in &update.handed {
-            self.take_handed(name, job);
+            self.accept_handoff(name, job);
         }
         for job in update.cancel {
             self.cancel(now, JobNumber(job));
@@ -241,11 +241,11 @@
         }
         self.hear_of_executors(&update.executors);
         for silent in update.silent {
-            self.hear_silent(silent);
+            self.handle_silent_executor(silent);
         }
-        self.hear_roster(name, update.roster);
+        self.handle_roster(name, update.roster);
         if update.roster_wanted {
-            self.roster_wanted_by(name);
+            self.handle_roster_request(name);
         }
         if !update.catalog.is_empty() {
             self.read_catalog(name, &update.catalog);
@@ -278,7 +278,7 @@
         for peer in self.peers.values_mut() {
             peer.last_sent = Mono::default();
         }
-        self.sweep = true;
+        self.flush_all = true;
     }
 
     /// Tells every peer of a job that was taken.
@@ -295,7 +295,7 @@
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(&number) {
             self.gap = now;
-            job.safe_since = Mono::default();
+            job.exclusive_since = Mono::default();
         }
     }
 
@@ -306,7 +306,7 @@
         let version = self.version();
         let edition = self.zones.edition();
         let leaving = self.leaving.is_some();
-        let settled = !leaving && !self.is_young() && version > 0;
+        let settled = !leaving && !self.is_warming_up() && version > 0;
         let roster_read = self.setup.policy.recovery.on && self.roster_sync.is_read();
         let silent = self.silent_executors();
         let backlog = self.backlog_news();
--- a/lib/src/dispatch/scheduler/placing.rs
+++ b/lib/src/dispatch/scheduler/placing.rs
@@ -25,13 +25,13 @@
 /// Other jobs that have not begun.
 const FRESH: u8 = 2;
 /// Jobs that have not begun, of a kind of which too few are served. Those of each priority come next; see `contention`.
-pub(super) const OWED: u8 = 1;
+pub(super) const UNDERSERVED: u8 = 1;
 /// Jobs that have begun and will be late.
 pub(super) const LATE: u8 = u8::MAX;
 
 /// A task and where it goes.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Placing {
+pub(super) struct TaskPlacement {
     pub task: usize,
     pub step: u32,
     pub key: ExecutorKey,
@@ -62,7 +62,7 @@
             Phase::Active => job.latest_start(),
             Phase::Claiming(_) => None,
         };
-        let place = latest.map(|at| {
+        let key = latest.map(|at| {
             let class = match (job.began, at >= now) {
                 (true, true) => BEGUN,
                 (true, false) if job.waiting_share() <= finish_share => BEGUN,
@@ -73,15 +73,15 @@
             };
             (class, at)
         });
-        if place == job.place {
+        if key == job.waiting_key {
             return;
         }
-        if let Some((class, at)) = job.place.take() {
+        if let Some((class, at)) = job.waiting_key.take() {
             self.waiting.remove(&(class, at, number));
         }
-        if let Some((class, at)) = place {
+        if let Some((class, at)) = key {
             self.waiting.insert((class, at, number));
-            job.place = place;
+            job.waiting_key = key;
         }
     }
 
@@ -96,11 +96,15 @@
         let most = self.setup.policy.admission.round_jobs as usize;
         let numbers: Vec<(u8, JobNumber)> =
             self.waiting.iter().take(most).map(|w| (w.0, w.2)).collect();
-        self.note_gap();
+        self.note_unheard_peers();
         self.settle_cell();
-        self.spared = None;
+        self.allowed_executors = None;
         for (class, number) in numbers {
-            if self.jobs.get(&number).is_some_and(|j| self.is_exposed(j)) {
+            if self
+                .jobs
+                .get(&number)
+                .is_some_and(|j| self.needs_reclaim(j))
+            {
                 self.claim(number);
                 self.queue_job(number);
                 continue;
@@ -152,7 +156,7 @@
     }
 
     /// Where each of the ready tasks would go, as far as there is room.
-    fn plan(&mut self, job: &mut Job) -> Vec<Placing> {
+    fn plan(&mut self, job: &mut Job) -> Vec<TaskPlacement> {
         let mut free: SecondaryMap<ExecutorKey, Free> = SecondaryMap::new();
         let barred = self.barred_from(&job.request.queue);
         for key in &self.cell.near {
@@ -161,7 +165,7 @@
                 free.insert(*key, executor.free);
             }
         }
-        let mut plan: Vec<Placing> = Vec::new();
+        let mut plan: Vec<TaskPlacement> = Vec::new();
         for step in 0..job.request.steps.len() as u32 {
             self.plan_step(job, step, &mut free, &mut plan);
         }
@@ -174,7 +178,7 @@
         job: &mut Job,
         step: u32,
         free: &mut SecondaryMap<ExecutorKey, Free>,
-        plan: &mut Vec<Placing>,
+        plan: &mut Vec<TaskPlacement>,
     ) {
         let ready = |t: &super::jobs::Task| t.step == step && t.state == TaskState::Ready;
         let todo: Vec<usize> = (0..job.tasks.len())
@@ -197,7 +201,7 @@
             let most = if trial || suspect { 1 } else { share };
             let mut placed = 0;
             while placed < most && next < todo.len() && free[key].holds(demand) {
-                plan.push(Placing {
+                plan.push(TaskPlacement {
                     task: todo[next],
                     step,
                     key,
@@ -215,7 +219,7 @@
     }
 
     /// Sends the tasks of a plan.
-    fn carry_out(&mut self, job: &mut Job, plan: &[Placing]) {
+    fn carry_out(&mut self, job: &mut Job, plan: &[TaskPlacement]) {
         let mut used: Vec<(u32, ExecutorKey)> = Vec::new();
         for placing in plan {
             let demand = job.request.steps[placing.step as usize].demand;
@@ -234,7 +238,7 @@
         }
         self.note_preempting(job, plan);
         for (step, key) in used {
-            let here = |p: &&Placing| p.step == step && p.key == key;
+            let here = |p: &&TaskPlacement| p.step == step && p.key == key;
             let preempts = plan.iter().filter(here).any(|p| p.preempts);
             self.send_starts(job, step, key, preempts);
         }
@@ -318,7 +322,7 @@
         step: u32,
         avoid: Option<ExecutorKey>,
         free: &SecondaryMap<ExecutorKey, Free>,
-        plan: &[Placing],
+        plan: &[TaskPlacement],
     ) -> Choice {
         let s = &job.request.steps[step as usize];
         let now = self.now;
@@ -328,7 +332,7 @@
         let mut reachable = false;
         for (key, room) in free {
             let executor = &self.executors[key];
-            if Some(key) == avoid || !suits(executor, s) {
+            if Some(key) == avoid || !satisfies(executor, s) {
                 continue;
             }
             let fit = self.fit(job, step, executor);
@@ -384,7 +388,7 @@
     /// Ends the jobs that wait for nothing.
     pub(super) fn expire_jobs(&mut self) {
         let now = self.now;
-        let useless = self.jobs.iter().filter(|(_, j)| j.useless_at <= now);
+        let useless = self.jobs.iter().filter(|(_, j)| j.expires_at <= now);
         let useless: Vec<JobNumber> = useless.map(|(n, _)| *n).collect();
         for number in useless {
             self.give_up(number, "too-late");
@@ -428,7 +432,7 @@
 }
 
 /// Whether a worker has what a step requires.
-pub(super) fn suits(
+pub(super) fn satisfies(
     executor: &super::executor_view::ExecutorView,
     step: &crate::dispatch::model::Step,
 ) -> bool {
--- a/lib/src/dispatch/scheduler/preempting.rs
+++ b/lib/src/dispatch/scheduler/preempting.rs
@@ -6,9 +6,9 @@
 use super::jobs::Job;
 use super::jobs::Task;
 use super::jobs::TaskState;
-use super::placing::Placing;
+use super::placing::TaskPlacement;
 use super::placing::count_at;
-use super::placing::suits;
+use super::placing::satisfies;
 use crate::dispatch::policy::Preemption;
 use crate::event::Kind;
 use crate::prelude::*;
@@ -28,7 +28,7 @@
 impl Scheduler {
     /// Adds the tasks of an urgent job that find no room to its plan, at executors where runs may be stopped for
     /// them, most room first.
-    pub(super) fn plan_preempting(&mut self, job: &Job, plan: &mut Vec<Placing>) {
+    pub(super) fn plan_preempting(&mut self, job: &Job, plan: &mut Vec<TaskPlacement>) {
         if !self.may_preempt(job) {
             return;
         }
@@ -54,7 +54,7 @@
             for (_, room) in rooms.iter_mut().filter(|(k, _)| *k == key) {
                 *room -= i64::from(demand.cpu_milli);
             }
-            plan.push(Placing {
+            plan.push(TaskPlacement {
                 task: at,
                 step,
                 key,
@@ -76,13 +76,13 @@
     /// much longer. Stops cost work, and most urgent jobs find room in time without them.
     fn is_last_call(&self, job: &Job, step: u32) -> bool {
         let policy = &self.setup.policy.preemption;
-        let latest = job.objective_at - job.chain[step as usize];
+        let latest = job.objective_at - job.critical_path[step as usize];
         let confirmed = self.now + policy.stop_time;
         confirmed <= latest && latest <= confirmed + policy.margin
     }
 
     /// What is free at each executor or may be cleared there, less what is planned, in thousandths of a core.
-    fn preemptible_rooms(&self, job: &Job, plan: &[Placing]) -> Vec<(ExecutorKey, i64)> {
+    fn preemptible_rooms(&self, job: &Job, plan: &[TaskPlacement]) -> Vec<(ExecutorKey, i64)> {
         let barred = self.barred_from(&job.request.queue);
         let mut rooms = Vec::new();
         for key in &self.cell.near {
@@ -109,7 +109,7 @@
         job: &Job,
         at: usize,
         rooms: &[(ExecutorKey, i64)],
-        plan: &[Placing],
+        plan: &[TaskPlacement],
     ) -> Option<ExecutorKey> {
         let task = &job.tasks[at];
         let step = &job.request.steps[task.step as usize];
@@ -118,14 +118,14 @@
             let here = count_at(job, task.step, key) + planned.count();
             let spread = step.spread == 0 || here < step.spread as usize;
             let fits = i64::from(step.demand.cpu_milli) <= room;
-            Some(key) != task.avoid && spread && fits && suits(&self.executors[key], step)
+            Some(key) != task.avoid && spread && fits && satisfies(&self.executors[key], step)
         };
         let able = rooms.iter().filter(|(key, room)| takes(*key, *room));
         able.max_by_key(|(_, room)| *room).map(|(key, _)| *key)
     }
 
     /// Takes note of the tasks of a plan for which runs may be stopped.
-    pub(super) fn note_preempting(&mut self, job: &mut Job, plan: &[Placing]) {
+    pub(super) fn note_preempting(&mut self, job: &mut Job, plan: &[TaskPlacement]) {
         let mut names: Vec<&str> = Vec::new();
         let preempting = plan.iter().filter(|p| p.preempts);
         names.extend(preempting.map(|p| self.executors[p.key].name.as_str()));
--- a/lib/src/dispatch/scheduler/roster.rs
+++ b/lib/src/dispatch/scheduler/roster.rs
@@ -51,7 +51,7 @@
 
     /// The same, by a reading of the store that was begun earlier.
     pub fn set_roster_read(&mut self, now: Mono, began: Mono, names: Vec<String>) {
-        self.enter(now);
+        self.advance_clock(now);
         self.roster_sync.read = Some(began);
         self.take_roster(names);
         self.hand_out_rosters();
@@ -75,7 +75,7 @@
         let policy = self.setup.policy.recovery;
         let missing = self.roster.is_none() || self.lacks_executors();
         let early = self.now.since(self.setup.started) < policy.roster_first;
-        if !policy.on || early || !missing || !self.is_young() || self.roster_sync.is_read() {
+        if !policy.on || early || !missing || !self.is_warming_up() || self.roster_sync.is_read() {
             return;
         }
         let open =
@@ -109,7 +109,7 @@
     }
 
     /// A peer that has just started asks for the names.
-    pub(super) fn roster_wanted_by(&mut self, name: &str) {
+    pub(super) fn handle_roster_request(&mut self, name: &str) {
         if !self.roster_sync.wanted_by.iter().any(|n| n == name) {
             self.roster_sync.wanted_by.push(name.to_owned());
         }
@@ -135,7 +135,7 @@
     }
 
     /// A peer tells which executors there are.
-    pub(super) fn hear_roster(&mut self, name: &str, names: Vec<String>) {
+    pub(super) fn handle_roster(&mut self, name: &str, names: Vec<String>) {
         let asked = self
             .roster_sync
             .asked
--- a/lib/src/dispatch/scheduler/silent.rs
+++ b/lib/src/dispatch/scheduler/silent.rs
@@ -16,7 +16,7 @@
 
 /// What a peer has said of an executor that it hears no more.
 #[derive(Clone, Debug)]
-pub(super) struct Hearsay {
+pub(super) struct PeerReport {
     at: Mono,
     /// The incarnations of the schedulers for which things may run there.
     owners: Vec<u64>,
@@ -28,10 +28,10 @@
         if self.is_accounted_here(executor) {
             return true;
         }
-        let recent = |h: &Hearsay| self.now.since(h.at) < self.setup.policy.recovery.silent;
-        let hearsay = executor.hearsay.as_ref().filter(|h| recent(h));
+        let recent = |h: &PeerReport| self.now.since(h.at) < self.setup.policy.recovery.silent;
+        let peer_report = executor.peer_report.as_ref().filter(|h| recent(h));
         let silent = executor.link.is_none() || self.does_not_answer(executor);
-        silent && hearsay.is_some_and(|h| self.have_met(h.owners.iter().copied()))
+        silent && peer_report.is_some_and(|h| self.have_met(h.owners.iter().copied()))
     }
 
     /// Whether an executor that is linked should have been heard, and was not. One on standby is heard seldom unless it is
@@ -61,7 +61,7 @@
 
     /// Logs executors that claims no longer wait for.
     pub(super) fn note_silent(&mut self) {
-        if !self.setup.policy.recovery.on || !self.is_young() {
+        if !self.setup.policy.recovery.on || !self.is_warming_up() {
             return;
         }
         let news = |e: &ExecutorView| !e.silence_logged && self.is_accounted(e);
@@ -92,13 +92,13 @@
     }
 
     /// A peer tells of an executor that it hears no more.
-    pub(super) fn hear_silent(&mut self, silent: proto::SilentExecutor) {
+    pub(super) fn handle_silent_executor(&mut self, silent: proto::SilentExecutor) {
         if !self.setup.policy.recovery.on {
             return;
         }
         self.hear_of_executors(std::slice::from_ref(&silent.name));
         let (now, recent) = (self.now, self.setup.policy.recovery.silent);
-        let Some(key) = self.named.get(&silent.name) else {
+        let Some(key) = self.executor_keys.get(&silent.name) else {
             return;
         };
         let executor = &mut self.executors[*key];
@@ -108,13 +108,13 @@
         if met && !later {
             return;
         }
-        let hearsay = &mut executor.hearsay;
-        let known = hearsay.take().filter(|h| now.since(h.at) < recent);
+        let peer_report = &mut executor.peer_report;
+        let known = peer_report.take().filter(|h| now.since(h.at) < recent);
         let mut owners = silent.owners;
         // Peers heard it at different times: one may not know of a scheduler that linked to it later.
         owners.extend(known.into_iter().flat_map(|h| h.owners));
         owners.sort_unstable();
         owners.dedup();
-        *hearsay = Some(Hearsay { at: now, owners });
+        *peer_report = Some(PeerReport { at: now, owners });
     }
 }
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -72,7 +72,7 @@
 
     fn outlook(&self, job: &Job, step: u32) -> Outlook {
         let expected = job.expected[step as usize];
-        let after = job.chain[step as usize].saturating_sub(expected);
+        let after = job.critical_path[step as usize].saturating_sub(expected);
         Outlook {
             expected,
             stretch: job.stretch,
@@ -101,7 +101,7 @@
 
     /// The latest start at which a task of a step is in time at a worker.
     pub(super) fn latest_at(&self, job: &Job, step: u32, key: ExecutorKey) -> Mono {
-        let ordinary = job.objective_at - job.chain[step as usize];
+        let ordinary = job.objective_at - job.critical_path[step as usize];
         if !self.by_speed() {
             return ordinary;
         }
@@ -174,15 +174,18 @@
             let fit = self.fit(job, task.step, &self.executors[*key]);
             matches!(fit, Some(Fit::Late(_))) && self.is_spared(*key)
         };
-        let spared: BTreeSet<ExecutorKey> = self.cell.near.iter().copied().filter(late).collect();
-        let some = !spared.is_empty();
-        self.spared = Some(spared);
+        let allowed_executors: BTreeSet<ExecutorKey> =
+            self.cell.near.iter().copied().filter(late).collect();
+        let some = !allowed_executors.is_empty();
+        self.allowed_executors = Some(allowed_executors);
         some
     }
 
     /// Whether jobs that are more urgent leave the room at an executor to others.
     pub(super) fn is_spared(&self, key: ExecutorKey) -> bool {
-        self.spared.as_ref().is_none_or(|keys| keys.contains(&key))
+        self.allowed_executors
+            .as_ref()
+            .is_none_or(|keys| keys.contains(&key))
     }
 
     /// Notes that tasks of a job wait although there is room, since they would be late there.
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -27,7 +27,7 @@
 impl Scheduler {
     /// A job is handed in. The caller hears of its end by [`Action::Answer`].
     pub fn submit(&mut self, now: Mono, caller: CallerId, request: JobRequest) {
-        self.enter(now);
+        self.advance_clock(now);
         self.counts.submitted += 1;
         let number = request.number;
         if let Some(job) = self.jobs.get_mut(&number) {
@@ -108,7 +108,7 @@
         let learned = self.learned.get(&request.queue).copied().unwrap_or(1.0);
         let policy = self.admission();
         let job = Job::new(self.now, request, queue, learned, &policy);
-        if !claim && self.is_cut_off() {
+        if !claim && self.has_no_executor() {
             return turned(job.request, "no-executor");
         }
         if self.ends_too_late(&job) {
@@ -151,8 +151,8 @@
     fn hold_job(&mut self, mut job: Job, claim: bool) {
         let number = job.request.number;
         self.last_taken = self.now;
-        job.renewed = self.ended.get(&number).is_some_and(|e| e.began);
-        let claim = claim || job.renewed;
+        job.began_before = self.ended.get(&number).is_some_and(|e| e.began);
+        let claim = claim || job.began_before;
         let detail = format!(
             "{number} queue {} tasks {} objective in {} ms request {}",
             job.request.queue,
@@ -174,9 +174,9 @@
     /// their zones are evacuated. A job that is taken here meanwhile
     /// is announced, and a peer that can run it waits for this scheduler: both callers are refused when its
     /// objective has passed, 1.4 s later for work of 500 ms.
-    pub(super) fn is_cut_off(&self) -> bool {
+    pub(super) fn has_no_executor(&self) -> bool {
         let away = |e: &ExecutorView| e.link.is_none() || e.evacuated;
-        !self.is_young() && self.executors.values().all(away)
+        !self.is_warming_up() && self.executors.values().all(away)
     }
 
     fn refuse_unheld(&mut self, caller: CallerId, request: &JobRequest, cause: &'static str) {
@@ -195,7 +195,7 @@
 
     /// A caller has left. A job that nobody waits for is cancelled.
     pub fn caller_left(&mut self, now: Mono, caller: CallerId, number: JobNumber) {
-        self.enter(now);
+        self.advance_clock(now);
         if let Some(following) = self.following.get_mut(&number) {
             following.callers.retain(|c| *c != caller);
             if following.callers.is_empty()
@@ -218,7 +218,7 @@
 
     /// Cancels a job; whether it is known.
     pub fn cancel(&mut self, now: Mono, number: JobNumber) -> bool {
-        self.enter(now);
+        self.advance_clock(now);
         if self.jobs.contains_key(&number) {
             self.end_job(number, JobOutcome::Cancelled, "cancelled");
             self.place();
@@ -247,7 +247,7 @@
         let Some(job) = self.jobs.remove(&number) else {
             return;
         };
-        if let Some((class, at)) = job.place {
+        if let Some((class, at)) = job.waiting_key {
             self.waiting.remove(&(class, at, number));
         }
         for task in &job.tasks {
@@ -270,7 +270,7 @@
         };
         self.log(kind, detail);
         self.count_outcome(outcome);
-        let began = job.began || job.renewed || job.ran_elsewhere;
+        let began = job.began || job.began_before || job.ran_elsewhere;
         self.remember(number, outcome, began);
         for caller in &job.callers {
             self.actions.push(Action::Answer(*caller, outcome));
@@ -318,7 +318,7 @@
 
     /// Gives up a job: refused if nothing of it was started, else given up.
     pub(super) fn give_up(&mut self, number: JobNumber, cause: &'static str) {
-        let began = |j: &Job| j.began || j.renewed;
+        let began = |j: &Job| j.began || j.began_before;
         let began = self.jobs.get(&number).is_some_and(began);
         let outcome = if began {
             JobOutcome::GivenUp
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -19,7 +19,7 @@
     /// Logs for what jobs wait that are claimed, while this scheduler is young.
     pub(super) fn tell_waiting(&mut self) {
         let since = self.now.since(self.claims_logged.max(self.present_since));
-        if !self.is_young() || since < TOLD_EVERY {
+        if !self.is_warming_up() || since < TOLD_EVERY {
             return;
         }
         let claiming = self.jobs.values();
