--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -191,7 +191,7 @@
     /// The edition of `zones` that was last passed on.
     zones_flushed: u64,
     /// Running mean by queue of how long tasks take relative to their estimates.
-    learned: HashMap<String, f64>,
+    time_ratios: HashMap<String, f64>,
     /// When the process will end, once it is leaving.
     leaving: Option<Mono>,
     last_taken: Mono,
@@ -246,7 +246,7 @@
             members: Members::default(),
             zones: Zones::default(),
             zones_flushed: 0,
-            learned: HashMap::new(),
+            time_ratios: HashMap::new(),
             leaving: None,
             last_taken: Mono::default(),
             rng,
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -99,7 +99,7 @@
         let ratio = ratio / self.run_factor(key, step);
         let weight = self.setup.policy.admission.learn_weight;
         let queue = job.request.queue.clone();
-        let learned = self.learned.entry(queue).or_insert(1.0);
+        let learned = self.time_ratios.entry(queue).or_insert(1.0);
         *learned = match self.setup.policy.speeds.on {
             true => learn_ratio(*learned, ratio, weight),
             false => *learned + weight * (ratio.min(4.0) - *learned),
@@ -143,9 +143,9 @@
         if let Some(task) = job.task_mut(name) {
             task.state = TaskState::Done;
         }
-        job.left -= 1;
+        job.unfinished -= 1;
         job.unblock();
-        if job.left == 0 {
+        if job.unfinished == 0 {
             self.end_job(number, JobOutcome::Completed, "done");
         } else {
             self.queue_job(number);
--- a/lib/src/dispatch/scheduler/following.rs
+++ b/lib/src/dispatch/scheduler/following.rs
@@ -112,7 +112,7 @@
             other => other,
         };
         if let Some(following) = self.following.remove(&number) {
-            self.remember(number, outcome, false);
+            self.record_outcome(number, outcome, false);
             for caller in following.callers {
                 self.actions.push(Action::Answer(caller, outcome));
             }
@@ -122,21 +122,21 @@
     /// The peer that had a job has it no more: another one has it by now, or it is run here.
     fn follow_elsewhere(&mut self, name: &str, number: JobNumber) {
         if self.announced.withdraw(number, name) {
-            self.remember(number, JobOutcome::Unknown, true);
+            self.record_outcome(number, JobOutcome::Unknown, true);
             self.withdrawn.insert(number, self.now);
         }
         let Some(following) = self.following.remove(&number) else {
             return;
         };
         if following.handed {
-            self.remember(number, JobOutcome::Unknown, true);
+            self.record_outcome(number, JobOutcome::Unknown, true);
         }
         let other = self.linked_holder(number);
         for caller in following.callers {
             let request = following.request.clone();
             match &other {
                 Some(other) => self.follow(other, caller, request),
-                None => self.run_here(caller, request, true),
+                None => self.accept_job(caller, request, true),
             }
         }
     }
@@ -148,10 +148,10 @@
         };
         if following.handed {
             // Its caller was rejected by nobody yet, and the peer may have begun it.
-            self.remember(number, JobOutcome::Unknown, true);
+            self.record_outcome(number, JobOutcome::Unknown, true);
         }
         for caller in following.callers {
-            self.run_here(caller, following.request.clone(), true);
+            self.accept_job(caller, following.request.clone(), true);
         }
     }
 }
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -90,7 +90,7 @@
         let claim = known || self.may_run_elsewhere();
         let waited = Duration::from_millis(u64::from(handed.waited_ms));
         self.counts.taken += 1;
-        self.run_for_peer(name, request, waited, claim);
+        self.accept_for_peer(name, request, waited, claim);
         self.place();
     }
 }
--- a/lib/src/dispatch/scheduler/jobs.rs
+++ b/lib/src/dispatch/scheduler/jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs as a scheduler holds them.
+//! The scheduler's record of a job and its tasks: deadlines, expected times, and what state each task is in.
+//! A task becomes ready when all tasks of the steps before its own are done.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,20 +14,20 @@
 use crate::dispatch::policy::Admission;
 use crate::prelude::*;
 
-/// Where a task is.
+/// Progress of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TaskState {
-    /// Steps before it are not complete.
+    /// Some step before its own is incomplete.
     Blocked,
-    /// It is to be placed.
+    /// It waits to be placed.
     Ready,
-    /// It was sent to an executor.
+    /// It was sent to this executor.
     Placed(ExecutorKey),
-    /// It ran to its end.
+    /// It ran to completion.
     Done,
 }
 
-/// A task.
+/// A task of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub step: u32,
@@ -35,11 +36,11 @@
     pub attempts: u32,
     pub failures: u32,
     pub checkpoint: String,
-    /// What is known of it from workers that crashed.
+    /// What is known of worker crashes during its runs.
     pub crashes: CrashRecord,
-    /// Where it last failed.
+    /// The executor where it last failed or crashed, was lost, or ran slowly; its next run goes elsewhere.
     pub avoid: Option<ExecutorKey>,
-    /// Whether its run was stopped because it went slowly. That is done once.
+    /// Whether a run of it was stopped for being slow; this happens only once.
     pub moved: bool,
     /// How often its run was stopped for a more urgent task.
     pub preempted: u32,
@@ -48,13 +49,13 @@
 /// Whether a job may be placed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It may.
+    /// Its tasks may be placed.
     Active,
-    /// Executors that have yet to confirm that nobody else runs it.
+    /// It is being claimed; holds the executors that have yet to confirm.
     Claiming(BTreeSet<ExecutorKey>),
 }
 
-/// A job.
+/// A job that this scheduler runs.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub request: JobRequest,
@@ -63,65 +64,66 @@
     pub priority: u32,
     pub max_attempts: u32,
     pub callers: Vec<CallerId>,
-    /// Peers that have a caller for it.
+    /// Peers that have callers waiting for it.
     pub followers: Vec<String>,
     pub arrived: Mono,
     pub phase: Phase,
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
-    pub left: usize,
-    /// Whether a start of any task was sent.
+    /// The number of tasks that are not done.
+    pub unfinished: usize,
+    /// Whether any task was sent to an executor.
     pub began: bool,
     /// Whether another scheduler may have started tasks of it.
     pub ran_elsewhere: bool,
-    /// Whether it was held here before, and ended after something of it had been started.
+    /// Whether it was held here before, and ended when tasks of it may have been started.
     pub began_before: bool,
     /// Whether it is claimed only because this scheduler has just started.
     pub startup_claim: bool,
-    /// Whether it is claimed because the link to a peer broke just before it came.
+    /// Whether it is claimed only because the link to a peer was lost just before it arrived.
     pub loss_claim: bool,
     /// When it was last known that no other scheduler has it.
     pub exclusive_since: Mono,
-    /// When its caller's objective ends.
+    /// When it must be done to meet its caller's objective, less the travel time.
     pub objective_at: Mono,
-    /// Until when it will meet the objective quite surely if it begins.
+    /// The latest start at which it meets the objective with a margin for wrong estimates.
     pub start_deadline: Mono,
-    /// When it is of no use to anybody any more.
+    /// When its result is of no more use to the caller, and it is given up.
     pub expires_at: Mono,
-    /// When it was last placed where runs are stopped for it.
+    /// When it was last placed where runs are to be stopped for it.
     pub preempted_at: Option<Mono>,
-    /// Its place among the jobs that wait, if it does.
+    /// Its class and latest start as sorted among the waiting jobs, if it waits.
     pub waiting_key: Option<(u8, Mono)>,
-    /// How much its objective grows with its work.
+    /// How many times its own work time the objective allows.
     pub stretch: f64,
-    /// Whether tasks of it have waited although there was room, since they would have been late there.
+    /// Whether tasks of it waited although there was free capacity, because they would have been late there.
     pub held_back: bool,
-    /// The expected time of a task of each step at a worker of ordinary pace.
+    /// The expected time of a task of each step at a worker of mean speed.
     pub expected: Vec<Duration>,
-    /// The expected time from the start of each step to the end of the job.
+    /// The longest expected time from the start of each step to the end of the job.
     pub critical_path: Vec<Duration>,
 }
 
 impl Job {
-    /// A job that has just arrived. `learned` is how long tasks of its queue take against their
-    /// estimates.
+    /// Creates a job that has just arrived. `time_ratio` is how long tasks of its queue take relative to
+    /// their estimates.
     pub fn new(
         now: Mono,
         request: JobRequest,
         queue: &Queue,
-        learned: f64,
+        time_ratio: f64,
         policy: &Admission,
     ) -> Job {
         let estimate = |s: &Step| {
-            Duration::from_millis(u64::from(s.estimate_ms.max(1))).mul_f64(learned.max(0.01))
+            Duration::from_millis(u64::from(s.estimate_ms.max(1))).mul_f64(time_ratio.max(0.01))
         };
         let expected: Vec<Duration> = request.steps.iter().map(estimate).collect();
         let critical_path = critical_paths(&request.steps, &expected);
-        let whole = critical_path.iter().copied().max().unwrap_or_default();
-        let objective = whole.mul_f64(queue.extension.max(1.0))
+        let total = critical_path.iter().copied().max().unwrap_or_default();
+        let objective = total.mul_f64(queue.extension.max(1.0))
             + Duration::from_millis(u64::from(queue.objective_ms));
-        let spare = (queue.extension - policy.slow_allowance).max(0.0) * policy.sure_share;
-        let sure = Duration::from_millis(u64::from(queue.objective_ms)) + whole.mul_f64(spare);
+        let spare_factor = (queue.extension - policy.slow_allowance).max(0.0) * policy.sure_share;
+        let start_window =
+            Duration::from_millis(u64::from(queue.objective_ms)) + total.mul_f64(spare_factor);
         let patience = Duration::from_millis(request.patience_ms);
         let mut expires_at = now + objective.mul_f64(policy.late_factor);
         if !patience.is_zero() {
@@ -137,7 +139,7 @@
             followers: Vec::new(),
             arrived: now,
             phase: Phase::Active,
-            left: tasks.len(),
+            unfinished: tasks.len(),
             tasks,
             began: false,
             ran_elsewhere: false,
@@ -146,7 +148,7 @@
             loss_claim: false,
             exclusive_since: now,
             objective_at: now + objective.saturating_sub(policy.travel),
-            start_deadline: now + sure.saturating_sub(policy.travel),
+            start_deadline: now + start_window.saturating_sub(policy.travel),
             expires_at,
             preempted_at: None,
             waiting_key: None,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// The name of a task.
+    /// Returns the name of a task.
     pub fn name(&self, task: &Task) -> TaskName {
         TaskName {
             job: self.request.number,
@@ -168,15 +170,15 @@
         }
     }
 
-    /// The task of this name.
+    /// Returns the task of this name.
     pub fn task_mut(&mut self, name: TaskName) -> Option<&mut Task> {
         let same = |t: &&mut Task| t.step == name.step && t.index == name.index;
         self.tasks.iter_mut().find(same)
     }
 
-    /// The latest time at which the tasks that are ready can start and meet the objective. For a
-    /// job that has not begun it is one at which it will do so quite surely: its work is a guess,
-    /// and a job that is late has used as much as one that is in time.
+    /// Returns the latest time at which its ready tasks can start and meet the objective; `None` if no task
+    /// is ready. For a job that has not begun this leaves a margin: its work time is an estimate, and a job
+    /// that ends late uses as much as one that ends in time.
     pub fn latest_start(&self) -> Option<Mono> {
         let ready = self.tasks.iter().filter(|t| t.state == TaskState::Ready);
         let needed = ready.map(|t| self.critical_path[t.step as usize]).max()?;
@@ -194,8 +196,8 @@
         let open: Vec<bool> = (0..steps.len())
             .map(|i| {
                 let after = &steps[i].after;
-                let left = |t: &Task| after.contains(&t.step) && t.state != TaskState::Done;
-                !self.tasks.iter().any(left)
+                let unfinished = |t: &Task| after.contains(&t.step) && t.state != TaskState::Done;
+                !self.tasks.iter().any(unfinished)
             })
             .collect();
         for task in &mut self.tasks {
@@ -205,18 +207,19 @@
         }
     }
 
-    /// The share of its tasks that are to be placed.
+    /// Returns the share of its tasks that are ready.
     pub fn waiting_share(&self) -> f64 {
         let ready = |t: &&Task| t.state == TaskState::Ready;
         self.tasks.iter().filter(ready).count() as f64 / self.tasks.len() as f64
     }
 
-    /// Whether tasks of it are to be placed.
+    /// Returns whether any of its tasks is ready.
     pub fn is_waiting(&self) -> bool {
         self.tasks.iter().any(|t| t.state == TaskState::Ready)
     }
 }
 
+/// Returns the tasks of all steps; those of steps without predecessors are ready.
 fn tasks_of(steps: &[Step]) -> Vec<Task> {
     let mut tasks = Vec::new();
     for (number, step) in steps.iter().enumerate() {
@@ -243,7 +246,7 @@
     tasks
 }
 
-/// For each step, the longest sum of expected times from its start to the end of the job.
+/// Returns, for each step, the longest sum of expected times from its start to the end of the job.
 fn critical_paths(steps: &[Step], expected: &[Duration]) -> Vec<Duration> {
     let mut critical_path = expected.to_vec();
     for later in (0..steps.len()).rev() {
--- a/lib/src/dispatch/scheduler/placing.rs
+++ b/lib/src/dispatch/scheduler/placing.rs
@@ -1,4 +1,6 @@
-//! Which task goes where, and which jobs wait no longer.
+//! Placement: chooses the executor of each ready task, sends its start there, and ends jobs that have waited
+//! too long. Waiting jobs are served by class, then by latest start. A job that has not begun is placed only
+//! once most of its ready tasks find free capacity.
 
 use rand::Rng;
 use slotmap::SecondaryMap;
@@ -17,40 +19,42 @@
 use crate::event::Kind;
 use crate::protos::dispatch as proto;
 
-/// Jobs that have begun and can still meet their objective. They go first: what they have used is
-/// lost if they are not finished, and so at most one job at a time stands half placed.
+/// The class of jobs that have begun and can still meet their objective. They go first: what they have used
+/// is lost if they are not finished. So at most one job at a time is partly placed.
 pub(super) const BEGUN: u8 = 0;
-/// Jobs of the most urgent queues that have not begun.
+/// The class of jobs of the most urgent queues that have not begun.
 const URGENT: u8 = 1;
-/// Other jobs that have not begun.
+/// The class of other jobs that have not begun.
 const FRESH: u8 = 2;
-/// Jobs that have not begun, of a kind of which too few are served. Those of each priority come next; see `contention`.
+/// The class of jobs that have not begun, of a kind that gets less than its share. Under contention control,
+/// the classes of each priority follow it; see `contention`.
 pub(super) const UNDERSERVED: u8 = 1;
-/// Jobs that have begun and will be late.
+/// The class of jobs that have begun and will be late.
 pub(super) const LATE: u8 = u8::MAX;
 
-/// A task and where it goes.
+/// The executor chosen for a task.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TaskPlacement {
     pub task: usize,
     pub step: u32,
     pub key: ExecutorKey,
     pub trial: bool,
-    /// Whether runs may be stopped for it there.
+    /// Whether runs may be stopped there to make room for it.
     pub preempts: bool,
 }
 
-/// What was found for a task.
+/// The result of choosing an executor for a task.
 #[derive(Clone, Copy, Debug)]
 struct Choice {
-    /// Where it goes, and whether that is an executor on trial.
+    /// The chosen executor, and whether the task is a trial of it.
     place: Option<(ExecutorKey, bool)>,
-    /// Whether it waits although there is room, since it would be late there.
+    /// Whether the task waits although there is free capacity, because it would be late there.
     held_back: bool,
 }
 
 impl Scheduler {
-    /// Puts a job where it belongs among those that wait, if it has tasks to place.
+    /// Updates the position of a job among the waiting jobs; removes it if it has no tasks to place, or is
+    /// being claimed.
     pub(super) fn queue_job(&mut self, number: JobNumber) {
         let now = self.now;
         let finish_share = self.setup.policy.admission.finish_share;
@@ -85,7 +89,8 @@
         }
     }
 
-    /// Places what there is room for, the most urgent first.
+    /// Places waiting jobs, the most urgent first, until one that has not begun does not fit. Jobs confined
+    /// to a bulkhead, and held-back jobs that leave room to others, do not stop the round.
     pub(super) fn place(&mut self) {
         if self.waiting.is_empty() {
             return;
@@ -93,9 +98,13 @@
         if self.contends() {
             return self.place_by_class();
         }
-        let most = self.setup.policy.admission.round_jobs as usize;
-        let numbers: Vec<(u8, JobNumber)> =
-            self.waiting.iter().take(most).map(|w| (w.0, w.2)).collect();
+        let limit = self.setup.policy.admission.round_jobs as usize;
+        let numbers: Vec<(u8, JobNumber)> = self
+            .waiting
+            .iter()
+            .take(limit)
+            .map(|w| (w.0, w.2))
+            .collect();
         self.note_unheard_peers();
         self.settle_cell();
         self.allowed_executors = None;
@@ -122,8 +131,8 @@
         }
     }
 
-    /// Places the ready tasks of a job. A fresh job is placed once there is room for most of it,
-    /// unless it is so wide that this would never be.
+    /// Places the ready tasks of a job. A job that has not begun waits until there is free capacity for most
+    /// of them, unless it is so wide that this may never happen.
     pub(super) fn place_job(&mut self, number: JobNumber) {
         let Some(mut job) = self.jobs.remove(&number) else {
             return;
@@ -134,16 +143,16 @@
             self.hold_back(number);
         }
         let ready = job.tasks.iter().filter(|t| t.state == TaskState::Ready);
-        let enough =
+        let fits_most =
             plan.len() as f64 >= ready.count() as f64 * self.setup.policy.admission.begin_share;
-        if (enough && !plan.is_empty()) || job.began || self.is_wide(&job) {
-            self.carry_out(&mut job, &plan);
+        if (fits_most && !plan.is_empty()) || job.began || self.is_wide(&job) {
+            self.apply_plan(&mut job, &plan);
         }
         self.jobs.insert(number, job);
         self.queue_job(number);
     }
 
-    /// Whether the ready tasks of a job take a large part of the workers of the cell.
+    /// Returns whether the ready tasks of a job need a large share of the capacity of the cell.
     pub(super) fn is_wide(&self, job: &Job) -> bool {
         let mut needed = 0;
         for task in job.tasks.iter().filter(|t| t.state == TaskState::Ready) {
@@ -155,7 +164,7 @@
         needed as f64 > self.setup.policy.admission.wide_share * all as f64
     }
 
-    /// Where each of the ready tasks would go, as far as there is room.
+    /// Chooses executors for the ready tasks of a job, as far as there is free capacity.
     fn plan(&mut self, job: &mut Job) -> Vec<TaskPlacement> {
         let mut free: SecondaryMap<ExecutorKey, Free> = SecondaryMap::new();
         let barred = self.barred_from(&job.request.queue);
@@ -173,6 +182,7 @@
         plan
     }
 
+    /// Adds the ready tasks of one step to a plan, spread over several executors.
     fn plan_step(
         &mut self,
         job: &mut Job,
@@ -181,28 +191,29 @@
         plan: &mut Vec<TaskPlacement>,
     ) {
         let ready = |t: &super::jobs::Task| t.step == step && t.state == TaskState::Ready;
-        let todo: Vec<usize> = (0..job.tasks.len())
+        let ready_tasks: Vec<usize> = (0..job.tasks.len())
             .filter(|i| ready(&job.tasks[*i]))
             .collect();
-        let share = todo
+        let share = ready_tasks
             .len()
             .div_ceil(self.setup.policy.placement.split as usize);
         let demand = job.request.steps[step as usize].demand;
         let mut next = 0;
-        while next < todo.len() {
-            let avoid = job.tasks[todo[next]].avoid;
+        while next < ready_tasks.len() {
+            let avoid = job.tasks[ready_tasks[next]].avoid;
             let chosen = self.choose(job, step, avoid, free, plan);
             let Some((key, trial)) = chosen.place else {
                 job.held_back |= chosen.held_back;
                 return;
             };
-            // Suspects of one crash go to different workers, so that a second one tells which it was.
-            let suspect = job.tasks[todo[next]].crashes.suspect;
-            let most = if trial || suspect { 1 } else { share };
+            // Suspects of one crash go to different workers, so that a second crash shows which of them
+            // caused it.
+            let suspect = job.tasks[ready_tasks[next]].crashes.suspect;
+            let limit = if trial || suspect { 1 } else { share };
             let mut placed = 0;
-            while placed < most && next < todo.len() && free[key].holds(demand) {
+            while placed < limit && next < ready_tasks.len() && free[key].holds(demand) {
                 plan.push(TaskPlacement {
-                    task: todo[next],
+                    task: ready_tasks[next],
                     step,
                     key,
                     trial,
@@ -218,8 +229,8 @@
         }
     }
 
-    /// Sends the tasks of a plan.
-    fn carry_out(&mut self, job: &mut Job, plan: &[TaskPlacement]) {
+    /// Reserves capacity for the tasks of a plan, and queues their starts.
+    fn apply_plan(&mut self, job: &mut Job, plan: &[TaskPlacement]) {
         let mut used: Vec<(u32, ExecutorKey)> = Vec::new();
         for placing in plan {
             let demand = job.request.steps[placing.step as usize].demand;
@@ -244,7 +255,7 @@
         }
     }
 
-    /// Gathers the starts of tasks that were just placed at an executor.
+    /// Queues the starts of the tasks of a step that were just placed at an executor.
     fn send_starts(&mut self, job: &mut Job, step: u32, key: ExecutorKey, preempts: bool) {
         let now = self.now;
         let executor = &mut self.executors[key];
@@ -314,8 +325,8 @@
         self.log(Kind::TasksPlaced, detail);
     }
 
-    /// The executor for a task of a step, if there is one. One at which the task would be late is taken only if it
-    /// would be late at all others, also at those that have no room now.
+    /// Chooses an executor for a task of a step. Except for trials, one at which the task would be late is
+    /// chosen only if it would be late at all others as well, including those without free capacity now.
     fn choose(
         &mut self,
         job: &Job,
@@ -329,14 +340,14 @@
         let policy = self.setup.policy;
         let mut best: Option<(f64, ExecutorKey, bool)> = None;
         let mut late: Option<(f64, ExecutorKey, bool)> = None;
-        let mut reachable = false;
+        let mut can_be_in_time = false;
         for (key, room) in free {
             let executor = &self.executors[key];
             if Some(key) == avoid || !satisfies(executor, s) {
                 continue;
             }
             let fit = self.fit(job, step, executor);
-            reachable |= matches!(fit, Some(Fit::InTime(_)));
+            can_be_in_time |= matches!(fit, Some(Fit::InTime(_)));
             if !room.holds(s.demand) || !self.is_spared(key) {
                 continue;
             }
@@ -345,9 +356,9 @@
             if s.spread > 0 && here >= s.spread as usize {
                 continue;
             }
-            let sick = executor.slow || executor.report.suspect;
-            let unproved = matches!(fit, Some(Fit::Late(_))) && self.is_unproved(executor);
-            let trial = sick || unproved;
+            let unhealthy = executor.slow || executor.report.suspect;
+            let probe = matches!(fit, Some(Fit::Late(_))) && self.is_unproved(executor);
+            let trial = unhealthy || probe;
             if trial && now.since(executor.last_trial) < self.trial_gap(executor) {
                 continue;
             }
@@ -377,49 +388,50 @@
                 best = Some((score, key, trial));
             }
         }
-        let held_back = best.is_none() && late.is_some() && reachable;
-        let best = best.or(if reachable { None } else { late });
+        let held_back = best.is_none() && late.is_some() && can_be_in_time;
+        let best = best.or(if can_be_in_time { None } else { late });
         Choice {
             place: best.map(|(_, key, trial)| (key, trial)),
             held_back,
         }
     }
 
-    /// Ends the jobs that wait for nothing.
+    /// Ends the jobs for which waiting longer is pointless.
     pub(super) fn expire_jobs(&mut self) {
         let now = self.now;
-        let useless = self.jobs.iter().filter(|(_, j)| j.expires_at <= now);
-        let useless: Vec<JobNumber> = useless.map(|(n, _)| *n).collect();
-        for number in useless {
+        let expired = self.jobs.iter().filter(|(_, j)| j.expires_at <= now);
+        let expired: Vec<JobNumber> = expired.map(|(n, _)| *n).collect();
+        for number in expired {
             self.give_up(number, "too-late");
         }
-        let passed = self.waiting.iter();
-        let passed = passed.filter(|(class, at, _)| *class != LATE && *at <= now);
-        let passed: Vec<JobNumber> = passed.map(|w| w.2).collect();
-        for number in passed {
-            self.objective_passed(number);
+        let missed = self.waiting.iter();
+        let missed = missed.filter(|(class, at, _)| *class != LATE && *at <= now);
+        let missed: Vec<JobNumber> = missed.map(|w| w.2).collect();
+        for number in missed {
+            self.handle_missed_start(number);
         }
-        self.drop_late();
+        self.give_up_late();
     }
 
-    /// Gives up late jobs that wait for room and have much left to do: what is left of them keeps
-    /// others from being in time.
-    fn drop_late(&mut self) {
+    /// Gives up late jobs whose latest start passed `admission.late_wait` ago and that have more than
+    /// `admission.finish_share` of their tasks to place: finishing them would make other jobs late.
+    fn give_up_late(&mut self) {
         let bound = self.now - self.setup.policy.admission.late_wait;
         let late = self.waiting.iter();
         let late = late.filter(|(class, at, _)| *class == LATE && *at <= bound);
         let late: Vec<JobNumber> = late.map(|w| w.2).collect();
         for number in late {
             let share = self.setup.policy.admission.finish_share;
-            let much = |j: &Job| j.waiting_share() > share;
-            if self.jobs.get(&number).is_some_and(much) {
+            let has_much_left = |j: &Job| j.waiting_share() > share;
+            if self.jobs.get(&number).is_some_and(has_much_left) {
                 self.give_up(number, "late-and-waiting");
             }
         }
     }
 
-    /// A job can't meet its objective any more.
-    fn objective_passed(&mut self, number: JobNumber) {
+    /// Handles a waiting job whose latest start has passed: reclassifies it if it has begun, else gives it
+    /// up.
+    fn handle_missed_start(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
@@ -431,7 +443,7 @@
     }
 }
 
-/// Whether a worker has what a step requires.
+/// Returns whether a worker has the capacity and the label that a step requires.
 pub(super) fn satisfies(
     executor: &super::executor_view::ExecutorView,
     step: &crate::dispatch::model::Step,
@@ -441,7 +453,7 @@
     all && (step.requirement.is_empty() || labels.contains(&step.requirement))
 }
 
-/// How many tasks of a step are placed at an executor.
+/// Returns how many tasks of a step are placed at an executor.
 pub(super) fn count_at(job: &Job, step: u32, key: ExecutorKey) -> usize {
     let here = |t: &&super::jobs::Task| t.step == step && t.state == TaskState::Placed(key);
     job.tasks.iter().filter(here).count()
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -1,4 +1,5 @@
-//! Jobs come in: taken, joined to one that is known, or refused.
+//! The life of a job from its caller's view: a submitted job is accepted, joined to a known one, followed at
+//! a peer, or refused, and ends with an outcome that is reported to all callers and peers waiting for it.
 
 use super::Action;
 use super::CallerId;
@@ -15,17 +16,17 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// Why a job is not taken by a process that leaves.
+/// The cause of refusals of jobs that would outlast this process.
 const LEAVING: &str = "leaving";
 
-/// A job that can't be taken.
-struct TurnedAway {
+/// A request that can't be accepted, and why.
+struct Rejection {
     request: JobRequest,
     cause: &'static str,
 }
 
 impl Scheduler {
-    /// A job is handed in. The caller hears of its end by [`Action::Answer`].
+    /// Accepts a request from a caller, which receives the outcome by [`Action::Answer`].
     pub fn submit(&mut self, now: Mono, caller: CallerId, request: JobRequest) {
         self.advance_clock(now);
         self.counts.submitted += 1;
@@ -48,20 +49,22 @@
         if let Some(peer) = self.linked_holder(number) {
             return self.follow(&peer, caller, request);
         }
-        let doubt = self.announced.knows(number) || self.may_run_elsewhere();
-        self.run_here(caller, request, doubt);
+        let claim = self.announced.knows(number) || self.may_run_elsewhere();
+        self.accept_job(caller, request, claim);
         self.place();
     }
 
-    /// The outcome of a job that has ended, if it stands.
+    /// Returns the outcome of an ended job if it is final: a job that was refused or has an unknown outcome
+    /// may be submitted again.
     pub(super) fn known_outcome(&self, number: JobNumber) -> Option<JobOutcome> {
         let outcome = self.ended.get(&number)?.outcome;
         let stands = !matches!(outcome, JobOutcome::Refused(_) | JobOutcome::Unknown);
         stands.then_some(outcome)
     }
 
-    /// Takes a job. If it may be running for another scheduler, it is claimed first.
-    pub(super) fn run_here(&mut self, caller: CallerId, request: JobRequest, claim: bool) {
+    /// Accepts a job, or rejects it. With `claim`, it may be running for another scheduler and is claimed
+    /// first.
+    pub(super) fn accept_job(&mut self, caller: CallerId, request: JobRequest, claim: bool) {
         let number = request.number;
         if let Some(job) = self.jobs.get_mut(&number) {
             job.callers.push(caller);
@@ -69,14 +72,14 @@
         }
         let mut job = match self.new_job(request, claim) {
             Ok(job) => job,
-            Err(turned) => return self.turn_away(caller, turned, claim),
+            Err(rejection) => return self.reject(caller, rejection, claim),
         };
         job.callers.push(caller);
-        self.hold_job(job, claim);
+        self.insert_job(job, claim);
     }
 
-    /// Runs a job that a peer has a caller for.
-    pub(super) fn run_for_peer(
+    /// Accepts a job for the callers of a peer. `waited` is how long it waited there.
+    pub(super) fn accept_for_peer(
         &mut self,
         name: &str,
         request: JobRequest,
@@ -88,43 +91,44 @@
             Ok(mut job) => {
                 job.arrived_earlier(waited);
                 job.followers.push(name.to_owned());
-                self.hold_job(job, claim);
+                self.insert_job(job, claim);
             }
-            Err(turned) => {
-                self.count_cause(turned.cause);
+            Err(rejection) => {
+                self.count_cause(rejection.cause);
                 let outcome = self.refusal();
                 self.tell_peer_end(name, number, outcome);
             }
         }
     }
 
-    /// A job out of a request, or why none can be taken.
-    fn new_job(&mut self, request: JobRequest, claim: bool) -> Result<Job, TurnedAway> {
-        let turned = |request, cause| Err(TurnedAway { request, cause });
+    /// Creates the job for a request, or returns why it is rejected.
+    fn new_job(&mut self, request: JobRequest, claim: bool) -> Result<Job, Rejection> {
+        let rejection = |request, cause| Err(Rejection { request, cause });
         let queue = self.catalog.index().and_then(|c| c.queue(&request.queue));
         let Some(queue) = queue else {
-            return turned(request, "no-queue");
+            return rejection(request, "no-queue");
         };
-        let learned = self.learned.get(&request.queue).copied().unwrap_or(1.0);
+        let time_ratio = self.time_ratios.get(&request.queue).copied().unwrap_or(1.0);
         let policy = self.admission();
-        let job = Job::new(self.now, request, queue, learned, &policy);
+        let job = Job::new(self.now, request, queue, time_ratio, &policy);
         if !claim && self.has_no_executor() {
-            return turned(job.request, "no-executor");
+            return rejection(job.request, "no-executor");
         }
         if self.ends_too_late(&job) {
-            return turned(job.request, LEAVING);
+            return rejection(job.request, LEAVING);
         }
         if !claim && self.is_hopeless(&job) {
             self.note_turned(&job);
-            return turned(job.request, BACKLOG);
+            return rejection(job.request, BACKLOG);
         }
         Ok(job)
     }
 
-    /// A job is not taken. One that would only outlast this process is handed to a peer, if one stays. Of one that may
-    /// be at work elsewhere it can't be said that it has not run.
-    fn turn_away(&mut self, caller: CallerId, turned: TurnedAway, claim: bool) {
-        let TurnedAway { request, cause } = turned;
+    /// Rejects a request. A job that would only outlast this process is handed off to a peer if one accepts
+    /// jobs. If the job may be running elsewhere, the outcome is `Unknown`, since a refusal promises that it
+    /// has not run.
+    fn reject(&mut self, caller: CallerId, rejection: Rejection, claim: bool) {
+        let Rejection { request, cause } = rejection;
         if claim {
             self.count_cause(cause);
             let outcome = JobOutcome::Unknown;
@@ -144,11 +148,11 @@
         } else {
             request
         };
-        self.refuse_unheld(caller, &request, cause);
+        self.refuse_request(caller, &request, cause);
     }
 
-    /// Holds a job that has just come.
-    fn hold_job(&mut self, mut job: Job, claim: bool) {
+    /// Registers an accepted job, announces it to peers, and claims it or queues its tasks.
+    fn insert_job(&mut self, mut job: Job, claim: bool) {
         let number = job.request.number;
         self.last_taken = self.now;
         job.began_before = self.ended.get(&number).is_some_and(|e| e.began);
@@ -156,7 +160,7 @@
         let detail = format!(
             "{number} queue {} tasks {} objective in {} ms request {}",
             job.request.queue,
-            job.left,
+            job.unfinished,
             crate::clock::millis(self.now.until(job.objective_at)),
             job.request.call,
         );
@@ -170,16 +174,17 @@
         }
     }
 
-    /// Whether no executor can be reached, though there was time to meet them, or only such that take nothing since
-    /// their zones are evacuated. A job that is taken here meanwhile
-    /// is announced, and a peer that can run it waits for this scheduler: both callers are refused when its
-    /// objective has passed, 1.4 s later for work of 500 ms.
+    /// Returns whether there was time to meet the executors, and each of them is unreachable or in an
+    /// evacuated zone. A job accepted meanwhile would be announced, and a peer that could run it would follow
+    /// it here instead: both callers would be refused only after its objective, 1.4 s later for 500 ms of
+    /// work.
     pub(super) fn has_no_executor(&self) -> bool {
-        let away = |e: &ExecutorView| e.link.is_none() || e.evacuated;
-        !self.is_warming_up() && self.executors.values().all(away)
+        let unusable = |e: &ExecutorView| e.link.is_none() || e.evacuated;
+        !self.is_warming_up() && self.executors.values().all(unusable)
     }
 
-    fn refuse_unheld(&mut self, caller: CallerId, request: &JobRequest, cause: &'static str) {
+    /// Refuses a request that was not accepted.
+    fn refuse_request(&mut self, caller: CallerId, request: &JobRequest, cause: &'static str) {
         let outcome = self.refusal();
         self.count_cause(cause);
         self.count_outcome(outcome);
@@ -188,12 +193,12 @@
         self.actions.push(Action::Answer(caller, outcome));
     }
 
-    /// A refusal with a time to come back that spreads the callers.
+    /// Returns a refusal with a retry delay that spreads out callers.
     pub(super) fn refusal(&mut self) -> JobOutcome {
         JobOutcome::Refused(self.come_back_ms())
     }
 
-    /// A caller has left. A job that nobody waits for is cancelled.
+    /// Handles the disconnect of a caller. A job that nobody waits for any more is cancelled.
     pub fn caller_left(&mut self, now: Mono, caller: CallerId, number: JobNumber) {
         self.advance_clock(now);
         if let Some(following) = self.following.get_mut(&number) {
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Cancels a job; whether it is known.
+    /// Cancels a job, here or at a peer; returns whether the job is known.
     pub fn cancel(&mut self, now: Mono, number: JobNumber) -> bool {
         self.advance_clock(now);
         if self.jobs.contains_key(&number) {
@@ -227,8 +232,8 @@
         self.ended.contains_key(&number) || self.cancel_at_peer(number)
     }
 
-    /// What is known of a job: `None` if nothing is, else its outcome, if it has ended, or
-    /// whether any task has begun.
+    /// Returns what is known of a job: its outcome if it has ended, else whether any task has begun; `None`
+    /// if the job is unknown.
     pub fn job_state(&self, number: JobNumber) -> Option<Result<JobOutcome, bool>> {
         if let Some(job) = self.jobs.get(&number) {
             return Some(Err(job.began));
@@ -236,13 +241,13 @@
         self.ended.get(&number).map(|e| Ok(e.outcome))
     }
 
-    /// How many jobs of a queue have not begun.
+    /// Returns how many jobs of a queue have not begun.
     pub fn pending(&self, queue: &str) -> usize {
         let jobs = self.jobs.values().filter(|j| j.request.queue == queue);
         jobs.filter(|j| !j.began).count()
     }
 
-    /// Ends a job: stops what runs of it, answers its callers, and remembers the outcome.
+    /// Ends a job: stops its running tasks, answers its callers and followers, and remembers the outcome.
     pub(super) fn end_job(&mut self, number: JobNumber, outcome: JobOutcome, cause: &'static str) {
         let Some(job) = self.jobs.remove(&number) else {
             return;
@@ -256,11 +261,11 @@
             }
         }
         let span = self.now.since(job.arrived);
-        self.note_end_time(&job, outcome, span);
+        self.record_duration(&job, outcome, span);
         let took = crate::clock::millis(span);
         let mut detail = format!("{number} {} {cause} after {took} ms", outcome.word());
         if matches!(outcome, JobOutcome::Refused(_) | JobOutcome::GivenUp) {
-            detail.push_str(&self.room_in_words(&job));
+            detail.push_str(&self.describe_capacity(&job));
             self.note_turned(&job);
         }
         let kind = match outcome {
@@ -271,7 +276,7 @@
         self.log(kind, detail);
         self.count_outcome(outcome);
         let began = job.began || job.began_before || job.ran_elsewhere;
-        self.remember(number, outcome, began);
+        self.record_outcome(number, outcome, began);
         for caller in &job.callers {
             self.actions.push(Action::Answer(*caller, outcome));
         }
@@ -280,7 +285,8 @@
         }
     }
 
-    fn note_end_time(&self, job: &Job, outcome: JobOutcome, span: Duration) {
+    /// Records how long a job took, by how it ended.
+    fn record_duration(&self, job: &Job, outcome: JobOutcome, span: Duration) {
         let stage = match outcome {
             JobOutcome::Completed => Stage::Completed,
             JobOutcome::Refused(_) | JobOutcome::GivenUp => Stage::TurnedAway,
@@ -289,8 +295,8 @@
         self.timings.note(&job.request.queue, stage, span);
     }
 
-    /// What was known of the workers when a job was turned away.
-    fn room_in_words(&self, job: &Job) -> String {
+    /// Describes the known free capacity, for the log line of a rejected job.
+    fn describe_capacity(&self, job: &Job) -> String {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         let linked = linked.count();
         let ready = |e: &&ExecutorView| e.takes(self.now, &job.service);
@@ -306,7 +312,8 @@
         )
     }
 
-    pub(super) fn remember(&mut self, number: JobNumber, outcome: JobOutcome, began: bool) {
+    /// Records the outcome of a job for callers that submit it again.
+    pub(super) fn record_outcome(&mut self, number: JobNumber, outcome: JobOutcome, began: bool) {
         let at = self.now;
         let ended = Ended { at, outcome, began };
         self.ended.insert(number, ended);
@@ -316,7 +323,7 @@
         *self.counts.outcomes.entry(outcome.word()).or_default() += 1;
     }
 
-    /// Gives up a job: refused if nothing of it was started, else given up.
+    /// Gives up a job: it is refused if no task of it was started, else it ends as given up.
     pub(super) fn give_up(&mut self, number: JobNumber, cause: &'static str) {
         let began = |j: &Job| j.began || j.began_before;
         let began = self.jobs.get(&number).is_some_and(began);
