--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -71,7 +71,7 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-pub use crate::dispatch::scheduler::figures::BeliefAges;
+pub use crate::dispatch::scheduler::figures::InformationAges;
 pub use crate::dispatch::scheduler::figures::SchedulerCounts;
 
 /// Identity, timeouts and policy of a scheduler.
@@ -374,9 +374,9 @@
         self.watch_executors();
         self.watch_peers();
         self.watch_catalog();
-        self.seek_roster();
-        self.note_silent();
-        self.tell_waiting();
+        self.request_roster();
+        self.log_silent_executors();
+        self.log_pending_claims();
         self.watch_bulkheads();
         self.watch_contention();
         self.drop_expired();
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -1,4 +1,5 @@
-//! Ends of tasks, and what follows for their jobs.
+//! Ends of task runs. An executor's report completes the task, makes it ready for another attempt, or ends
+//! its job: when it has failed too often, crashes workers, or was claimed by another scheduler.
 
 use super::Scheduler;
 use super::fleet::ExecutorKey;
@@ -14,7 +15,7 @@
 use crate::protos::dispatch as proto;
 
 impl Scheduler {
-    /// An executor tells of the end of a task.
+    /// Handles an executor's report of the end of a task run.
     pub(super) fn handle_task_end(&mut self, key: ExecutorKey, end: &proto::TaskEnd) {
         if !self.note_end(key, end.number) {
             return;
@@ -27,7 +28,7 @@
         };
         let (name, attempt) = TaskName::from_proto(task);
         if kind == EndKind::Done {
-            self.learn(key, name, Duration::from_micros(end.ran_us));
+            self.record_run_time(key, name, Duration::from_micros(end.ran_us));
         }
         if !end.checkpoint.is_empty()
             && let Some(job) = self.jobs.get_mut(&name.job)
@@ -43,7 +44,7 @@
         self.finish_attempt(key, name, attempt, kind);
     }
 
-    /// Takes note of what an executor knows of a task from workers that crashed.
+    /// Merges what an executor knows of worker crashes under a task into its record.
     fn note_crashes(&mut self, name: TaskName, record: CrashRecord) {
         if let Some(job) = self.jobs.get_mut(&name.job)
             && let Some(task) = job.task_mut(name)
@@ -52,8 +53,8 @@
         }
     }
 
-    /// An executor where a job was claimed tells what it knows of its tasks: the scheduler that had the
-    /// job before may have learned it, and be lost.
+    /// Handles the crash record that an executor reports when a job is claimed there: the scheduler that had
+    /// the job before may have been lost with its own record.
     pub(super) fn handle_crashed_task(&mut self, crashed: &proto::CrashedTask) {
         let Some(task) = &crashed.task else {
             return;
@@ -63,8 +64,8 @@
         self.give_up_crashing(name);
     }
 
-    /// Gives a job up if workers crash under a task of it; says whether it did. Without a bound on such
-    /// runs one task was started at eight workers in 1.4 s, and each was down for three seconds.
+    /// Fails a job if too many workers have crashed under a task of it; returns whether it did. Without this
+    /// bound, one task crashed eight workers within 1.4 s, and each was down for three seconds.
     fn give_up_crashing(&mut self, name: TaskName) -> bool {
         let Some(task) = self.jobs.get_mut(&name.job).and_then(|j| j.task_mut(name)) else {
             return false;
@@ -85,8 +86,8 @@
         true
     }
 
-    /// Learns how long tasks of a queue take against their estimates.
-    fn learn(&mut self, key: ExecutorKey, name: TaskName, ran: Duration) {
+    /// Records the duration of a completed run, for contention control and in the time ratio of its queue.
+    fn record_run_time(&mut self, key: ExecutorKey, name: TaskName, ran: Duration) {
         let Some(job) = self.jobs.get(&name.job) else {
             return;
         };
@@ -99,14 +100,15 @@
         let ratio = ratio / self.run_factor(key, step);
         let weight = self.setup.policy.admission.learn_weight;
         let queue = job.request.queue.clone();
-        let learned = self.time_ratios.entry(queue).or_insert(1.0);
-        *learned = match self.setup.policy.speeds.on {
-            true => learn_ratio(*learned, ratio, weight),
-            false => *learned + weight * (ratio.min(4.0) - *learned),
+        let time_ratio = self.time_ratios.entry(queue).or_insert(1.0);
+        *time_ratio = match self.setup.policy.speeds.on {
+            true => learn_ratio(*time_ratio, ratio, weight),
+            false => *time_ratio + weight * (ratio.min(4.0) - *time_ratio),
         };
     }
 
-    /// A task is not at an executor any more.
+    /// Ends the attempt of a task at an executor: the task is done, or placed again. Reports of earlier
+    /// attempts are ignored.
     pub(super) fn finish_attempt(
         &mut self,
         key: ExecutorKey,
@@ -129,13 +131,14 @@
             return;
         }
         if kind == EndKind::Done {
-            return self.task_done(name);
+            return self.complete_task(name);
         }
         task.state = TaskState::Ready;
-        self.task_again(key, name, kind);
+        self.retry_task(key, name, kind);
     }
 
-    fn task_done(&mut self, name: TaskName) {
+    /// Marks a task as done; unblocks the steps after it, or completes the job.
+    fn complete_task(&mut self, name: TaskName) {
         let number = name.job;
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -152,7 +155,8 @@
         }
     }
 
-    fn task_again(&mut self, key: ExecutorKey, name: TaskName, kind: EndKind) {
+    /// Decides what follows an attempt that did not complete: another one, or the end of the job.
+    fn retry_task(&mut self, key: ExecutorKey, name: TaskName, kind: EndKind) {
         let number = name.job;
         let cause = kind.word();
         *self.counts.again.entry(cause).or_default() += 1;
@@ -162,7 +166,7 @@
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let most = job.max_attempts;
+        let limit = job.max_attempts;
         let Some(task) = job.task_mut(name) else {
             return;
         };
@@ -170,13 +174,13 @@
             EndKind::Failed => {
                 task.failures += 1;
                 task.avoid = Some(key);
-                if task.failures >= most {
+                if task.failures >= limit {
                     self.count_cause("attempts");
                     return self.end_job(number, JobOutcome::Failed, "attempts");
                 }
             }
             EndKind::Claimed => return self.lose_job(number),
-            EndKind::Unavailable => self.not_available(key),
+            EndKind::Unavailable => self.mark_unavailable(key),
             EndKind::Crashed => {
                 task.avoid = Some(key);
                 if self.give_up_crashing(name) {
@@ -190,14 +194,15 @@
         self.queue_job(number);
     }
 
-    /// Nothing more is placed at an executor until it has reported again.
-    fn not_available(&mut self, key: ExecutorKey) {
+    /// Places nothing more at an executor until it has reported again.
+    fn mark_unavailable(&mut self, key: ExecutorKey) {
         if let Some(executor) = self.executors.get_mut(key) {
             executor.report.ready = false;
         }
     }
 
-    /// Another scheduler has claimed a job: its callers follow it there if that can be asked.
+    /// Ends a job here that another scheduler has claimed. Its callers follow it there if that scheduler is
+    /// linked.
     pub(super) fn lose_job(&mut self, number: JobNumber) {
         if !self.jobs.contains_key(&number) {
             return;
--- a/lib/src/dispatch/scheduler/figures.rs
+++ b/lib/src/dispatch/scheduler/figures.rs
@@ -1,4 +1,5 @@
-//! What a scheduler tells of itself: counters, ages of what it believes, what it holds.
+//! Metrics of a scheduler: counters, the ages of what its decisions rest on, and what it holds. Nothing here
+//! affects decisions.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +7,24 @@
 use crate::dispatch::timings::JobTimings;
 use crate::prelude::*;
 
-/// Counters, for metrics.
+/// Counters for metrics.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerCounts {
-    /// Jobs handed in.
+    /// Jobs submitted here.
     pub submitted: u64,
-    /// Jobs that were handed in again and joined one that is known.
+    /// Jobs submitted again that joined a known one.
     pub joined: u64,
-    /// Jobs that were claimed at the executors before they ran.
+    /// Claims of jobs at the executors.
     pub claims: u64,
-    /// Jobs handed to peers at which less waits.
+    /// Jobs handed off to peers where less work waits.
     pub handed: u64,
-    /// Jobs taken that peers have handed here.
+    /// Jobs accepted that peers handed off.
     pub taken: u64,
     /// Tasks placed.
     pub placed: u64,
-    /// Jobs of which tasks waited although there was room, since they would have been late there.
+    /// Jobs with tasks that waited although there was free capacity, because they would have been late there.
     pub held_back: u64,
-    /// Tasks placed again, by why the earlier try ended.
+    /// Attempts that did not complete their task, by how they ended.
     pub again: BTreeMap<&'static str, u64>,
     /// Jobs ended, by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
@@ -31,33 +32,32 @@
     pub causes: BTreeMap<&'static str, u64>,
 }
 
-/// How old what a scheduler believes is.
+/// The ages of the information that decisions rest on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BeliefAges {
-    /// The catalog, since it came into force here.
+pub struct InformationAges {
+    /// How long the catalog has been in force here.
     pub catalog: Duration,
-    /// The store's word that there is no newer one.
+    /// The age of the store's last confirmation that there is no newer catalog.
     pub catalog_checked: Duration,
-    /// The oldest report of an executor of the cell.
+    /// The age of the oldest report of an executor of the cell.
     pub executors: Duration,
-    /// The oldest word of a linked peer.
+    /// The age of the oldest message of a linked peer.
     pub peers: Duration,
 }
 
 impl Scheduler {
-    /// The counters.
+    /// Returns the counters.
     pub fn counts(&self) -> &SchedulerCounts {
         &self.counts
     }
 
-    /// How long jobs take.
+    /// Returns how long jobs take.
     pub fn timings(&self) -> &JobTimings {
         &self.timings
     }
 
-    /// How old what is believed is: the catalog, since when it is in force; the oldest reports of
-    /// executors and the oldest words of peers that are linked.
-    pub fn ages(&self, now: Mono) -> BeliefAges {
+    /// Returns the ages of the information that decisions rest on.
+    pub fn ages(&self, now: Mono) -> InformationAges {
         let executors = self
             .cell
             .near
@@ -66,7 +66,7 @@
         let peers = self.peers.values().filter(|p| p.link.is_some());
         let oldest = |heard: Option<Mono>| heard.map_or(Duration::ZERO, |at| now.since(at));
         let [since, checked] = self.catalog.times();
-        BeliefAges {
+        InformationAges {
             catalog: now.since(since),
             catalog_checked: now.since(checked),
             executors: oldest(executors.map(|e| e.heard).min()),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Jobs held, jobs that wait, linked executors, linked peers.
+    /// Returns the numbers of jobs held, jobs that wait, linked executors and linked peers.
     pub fn load(&self) -> [usize; 4] {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         let peers = self.peers.values().filter(|p| p.link.is_some());
@@ -86,7 +86,7 @@
         ]
     }
 
-    /// Executors in the cell, and those of them that are lent to it.
+    /// Returns the numbers of executors in the cell, and of those lent to it.
     pub fn cell(&self) -> [usize; 2] {
         let near = self
             .cell
--- a/lib/src/dispatch/scheduler/following.rs
+++ b/lib/src/dispatch/scheduler/following.rs
@@ -1,4 +1,6 @@
-//! Jobs of peers that callers here wait for.
+//! Jobs that run at a peer while callers here wait for them. The peer is asked to report the end of such a
+//! job; if it is lost or no longer has the job, the callers follow another peer, or the job is claimed and
+//! run here.
 
 use super::Action;
 use super::CallerId;
@@ -9,8 +11,8 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// A cancel that was passed on is repeated for so long when a link to the peer comes up or breaks: longer than
-/// it takes to see that a link is dead.
+/// A cancel that was passed on is repeated for this long when a link to the peer comes up or is lost. It is
+/// longer than it takes to detect a dead link, so that no cancel is lost with one.
 const CANCEL_KEPT: Duration = Duration::from_secs(3);
 
 /// A cancel that was passed on to the peer that has the job.
@@ -27,12 +29,12 @@
     pub peer: String,
     pub callers: Vec<CallerId>,
     pub request: JobRequest,
-    /// Whether it came here first and was handed to the peer.
+    /// Whether this scheduler had accepted the job and handed it off to the peer.
     pub handed: bool,
 }
 
 impl Scheduler {
-    /// Asks a peer to tell the end of its job.
+    /// Adds a caller to a job that runs at a peer, and asks the peer to report its end.
     pub(super) fn follow(&mut self, peer_name: &str, caller: CallerId, request: JobRequest) {
         let number = request.number;
         self.counts.joined += 1;
@@ -56,7 +58,7 @@
         self.following.insert(number, following);
     }
 
-    /// Passes a cancel on to the peer that has the job; whether there is one.
+    /// Passes a cancel on to the peer that has the job; returns whether there is one.
     pub(super) fn cancel_at_peer(&mut self, number: JobNumber) -> bool {
         let Some(name) = self.linked_holder(number) else {
             return false;
@@ -75,17 +77,17 @@
         true
     }
 
-    /// The cancels of jobs of a peer that may be lost with a link to it.
+    /// Returns the recent cancels sent to a peer, which may have been lost with a link.
     pub(super) fn cancels_to_repeat(&self, name: &str) -> Vec<u64> {
         let recent = |c: &&SentCancel| c.peer == name && self.now.since(c.at) < CANCEL_KEPT;
         let sent = self.cancels_sent.iter().filter(recent);
         sent.map(|c| c.number.0).collect()
     }
 
-    /// A peer has a caller for a job of this scheduler.
+    /// Handles a peer's request to report the end of a job of this scheduler.
     pub(super) fn follow_request(&mut self, name: &str, number: JobNumber) {
         if let Some(job) = self.jobs.get_mut(&number) {
-            // Asked for again after a link broke, the end is told once.
+            // A request that is repeated after a link was lost must not make the end be reported twice.
             if !job.followers.iter().any(|f| f == name) {
                 job.followers.push(name.to_owned());
             }
@@ -95,7 +97,7 @@
         self.tell_peer_end(name, number, known.unwrap_or(JobOutcome::Unknown));
     }
 
-    /// A peer has ended a job that callers here wait for.
+    /// Handles a peer's report that it has ended a job that callers here wait for.
     pub(super) fn handle_followed_end(
         &mut self,
         name: &str,
@@ -107,7 +109,7 @@
         }
         let began = self.ended.get(&number).is_some_and(|e| e.began);
         let outcome = match outcome {
-            // What the peer refuses may have been begun here before it went there.
+            // The job may have begun here before it was handed off, so it can't be reported as refused.
             JobOutcome::Refused(_) if began => JobOutcome::GivenUp,
             other => other,
         };
@@ -119,7 +121,8 @@
         }
     }
 
-    /// The peer that had a job has it no more: another one has it by now, or it is run here.
+    /// Handles the report that a peer no longer has a job: its callers follow another peer that has it, or it
+    /// is run here.
     fn follow_elsewhere(&mut self, name: &str, number: JobNumber) {
         if self.announced.withdraw(number, name) {
             self.record_outcome(number, JobOutcome::Unknown, true);
@@ -141,13 +144,13 @@
         }
     }
 
-    /// Runs a job here that a peer had and can't be asked about.
+    /// Runs a job here whose peer can't be asked about it any more.
     pub(super) fn take_over(&mut self, number: JobNumber) {
         let Some(following) = self.following.remove(&number) else {
             return;
         };
         if following.handed {
-            // Its caller was rejected by nobody yet, and the peer may have begun it.
+            // The peer may have begun the job, so it must never be answered as refused.
             self.record_outcome(number, JobOutcome::Unknown, true);
         }
         for caller in following.callers {
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -1,12 +1,11 @@
-//! Jobs that come to a scheduler which leaves and would outlast it: another one runs them.
+//! Handoff of jobs that would outlast a scheduler that is leaving: a peer runs them. Callers may go on
+//! connecting to such a scheduler, above all in a zone with few entries, when these are stopped in turn, two
+//! seconds apart, with six seconds each to end. What it accepts in its last seconds it can't finish, and
+//! refusing it would reject callers whom another scheduler could serve.
 //!
-//! Load pattern: the entries are stopped in turn, two seconds apart, each with six seconds to end. Where a zone has few
-//! of them its callers go on connecting to one that leaves, and what it takes in its last seconds it can't finish.
-//! Refusing these jobs would turn away callers whom another scheduler could serve.
-//!
-//! Decision: such a job is handed to a peer that stays, and followed there like one that has come again. If it ends in
-//! time, its caller has the answer from here; if not, the caller is told to come again, and finds the job at the
-//! peer. Without such a peer it is refused, as nothing of it was started.
+//! The job is handed off to a peer that accepts jobs, and followed there like one that was submitted again.
+//! If it ends in time, this scheduler answers its caller; if not, the caller is told to retry, and finds the
+//! job at the peer. Without such a peer the job is refused, as nothing of it was started.
 
 use std::rc::Rc;
 
@@ -24,13 +23,13 @@
 use crate::protos::dispatch as proto;
 
 impl Scheduler {
-    /// Hands a job to a peer; gives it back if there is none that stays.
-    pub(super) fn hand_on(
+    /// Hands a job off to a peer; gives the request back if no peer accepts jobs.
+    pub(super) fn hand_off(
         &mut self,
         caller: CallerId,
         request: JobRequest,
     ) -> Result<(), JobRequest> {
-        let Some(name) = self.successor() else {
+        let Some(name) = self.choose_successor() else {
             return Err(request);
         };
         let number = request.number;
@@ -39,7 +38,7 @@
         }
         let detail = format!("{number} to {name} request {}", request.call);
         self.log(Kind::JobHanded, detail);
-        // Whoever has this job handed in again meanwhile must not take it for a new one.
+        // A scheduler at which this job is submitted again meanwhile must not take it for a new one.
         self.announce(number);
         let following = Following {
             peer: name,
@@ -51,8 +50,8 @@
         Ok(())
     }
 
-    /// A peer that takes jobs and stays: of the own zone, if there is one.
-    fn successor(&mut self) -> Option<String> {
+    /// Chooses a random linked peer that accepts jobs, in this zone if there is one.
+    fn choose_successor(&mut self) -> Option<String> {
         let stays = |p: &Peer| p.link.is_some() && p.stays();
         let stay = self.peers.iter().filter(|(_, p)| stays(p));
         let near = stay.clone().filter(|(_, p)| p.is_in(&self.setup.zone));
@@ -61,7 +60,7 @@
             .cloned()
     }
 
-    /// A peer hands a job over: it leaves, or more waits there.
+    /// Handles a job that a peer hands off, because it is leaving or has more jobs waiting.
     pub(super) fn accept_handoff(&mut self, name: &str, handed: &proto::HandedJob) {
         let number = JobNumber(handed.job);
         if let Some(job) = self.jobs.get_mut(&number) {
@@ -96,7 +95,7 @@
 }
 
 impl JobRequest {
-    /// As it travels.
+    /// Encodes the request as a message.
     pub fn proto(&self) -> proto::HandedJob {
         let step = |s: &crate::dispatch::model::Step| proto::JobStep {
             count: s.count,
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Reads it from a message.
+    /// Decodes the request from a message.
     pub fn from_proto(handed: &proto::HandedJob) -> JobRequest {
         let step = |s: &proto::JobStep| crate::dispatch::model::Step {
             count: s.count,
--- a/lib/src/dispatch/scheduler/leases.rs
+++ b/lib/src/dispatch/scheduler/leases.rs
@@ -1,14 +1,14 @@
-//! Which schedulers hold leases at executors, counted as lists come and go. Going through all lists at each
-//! change would be 240 lists of 55 names, some 13,000 names, for each link that comes or goes.
+//! Counts which schedulers hold leases at executors, updated as executors' lists change. Scanning all lists
+//! at each change would cover some 13,000 names, 240 lists of 55, for each link that comes or goes.
 
 use std::collections::BTreeMap;
 
-/// How many executors have granted a lease to a scheduler, by its name.
+/// The number of executors that have granted a lease to a scheduler, by its name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leases(BTreeMap<String, usize>);
 
 impl Leases {
-    /// Counts the list of an executor in.
+    /// Adds the list of an executor.
     pub fn add(&mut self, names: &[String]) {
         for name in names {
             match self.0.get_mut(name) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Takes the list of an executor out again.
+    /// Removes the list of an executor.
     pub fn remove(&mut self, names: &[String]) {
         for name in names {
             let Some(count) = self.0.get_mut(name) else {
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Whether a scheduler holds a lease somewhere.
+    /// Returns whether a scheduler holds a lease at any executor.
     pub fn holds(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
 
-    /// The schedulers that hold a lease somewhere.
+    /// Returns the schedulers that hold a lease at any executor.
     pub fn names(&self) -> impl Iterator<Item = &String> {
         self.0.keys()
     }
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -1,4 +1,5 @@
-//! Slow workers: which ones are, how often they are tried, and runs that are moved off them.
+//! Slow workers: compares the pace of each worker with the median of all, limits slow ones to trial tasks,
+//! and moves runs off them that would end late.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +14,15 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// A worker is well again once its pace is below this share of what made it slow, so that one at
-/// the edge does not go to and fro.
-const WELL_SHARE: f64 = 0.8;
-/// With fewer workers of known pace there is nothing to compare with.
-const LEAST_PACES: usize = 3;
+/// A slow worker has recovered once its pace is below this share of the bound that made it slow, so that one
+/// near the bound does not alternate between the two states.
+const RECOVERED_SHARE: f64 = 0.8;
+/// The least number of workers of known pace for which a median is meaningful.
+const MIN_PACES: usize = 3;
 
-/// The paces of the linked executors that report one, counted as reports come in. Sorting all of them for each
-/// report would be half a million values a second beside 240 executors that report ten times a second.
+/// A histogram of the paces of the linked executors that report one, updated with each report. Sorting all of
+/// them for each report would handle half a million values a second with 240 executors that report ten times
+/// a second.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Paces {
     counts: BTreeMap<u32, usize>,
@@ -28,7 +30,7 @@
 }
 
 impl Paces {
-    /// Counts a pace in, in percent; 0 is none.
+    /// Adds a pace, in percent; 0 means unknown and is ignored.
     pub fn add(&mut self, percent: u32) {
         if percent > 0 {
             *self.counts.entry(percent).or_default() += 1;
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Takes a pace out again.
+    /// Removes a pace.
     pub fn remove(&mut self, percent: u32) {
         if let Some(count) = self.counts.get_mut(&percent) {
             *count -= 1;
@@ -47,9 +49,9 @@
         }
     }
 
-    /// The middle one, in percent; 0 if there are too few.
+    /// Returns the median in percent, or 0 if too few paces are known.
     fn median(&self) -> f64 {
-        if self.total < LEAST_PACES {
+        if self.total < MIN_PACES {
             return 0.0;
         }
         let mut below = 0;
@@ -63,7 +65,8 @@
 }
 
 impl Scheduler {
-    /// Judges whether an executor that has just reported takes much longer than the others.
+    /// Updates whether an executor that has just reported is slow: by its own usual slowness if that is
+    /// known, else by the paces of the others.
     pub(super) fn update_slow_state(&mut self, key: ExecutorKey) {
         if self.judge_usual(key) {
             return;
@@ -73,7 +76,7 @@
         let executor = &mut self.executors[key];
         let pace = f64::from(executor.report.pace_percent);
         let slow = match executor.slow {
-            true => median > 0.0 && pace > bound * WELL_SHARE,
+            true => median > 0.0 && pace > bound * RECOVERED_SHARE,
             false => median > 0.0 && pace > bound,
         };
         if slow == executor.slow {
@@ -90,16 +93,16 @@
         self.log(kind, detail);
     }
 
-    /// How long after a task on trial this scheduler sends a slow worker another one. All schedulers
-    /// that place tasks there try it.
+    /// Returns how long this scheduler waits between trial tasks at a slow worker. The interval grows with
+    /// the number of schedulers that place tasks there, since each of them sends trials.
     pub(super) fn trial_gap(&self, executor: &ExecutorView) -> Duration {
         let others = executor.profile.leased.iter();
         let others = others.filter(|name| **name != self.setup.name).count();
         self.setup.policy.health.slow_trial * (others as u32 + 1)
     }
 
-    /// A run goes slowly. It is stopped, to run elsewhere, if it would be late here and in time
-    /// there, and there is room.
+    /// Handles the report of a slow run: stops it, so that it is placed elsewhere, if it would be late here,
+    /// in time there, and another worker has the free capacity.
     pub(super) fn move_slow(&mut self, key: ExecutorKey, run: &proto::SlowRun) {
         let policy = self.setup.policy.health;
         let Some(task) = &run.task else {
@@ -109,11 +112,11 @@
         let Some(job) = self.jobs.get(&name.job) else {
             return;
         };
-        let here = self.now + Duration::from_millis(u64::from(run.remaining_ms));
-        let there = self.now + policy.move_time + job.critical_path[name.step as usize];
-        let gains = here > job.objective_at && there <= job.objective_at;
+        let end_here = self.now + Duration::from_millis(u64::from(run.remaining_ms));
+        let end_elsewhere = self.now + policy.move_time + job.critical_path[name.step as usize];
+        let gains = end_here > job.objective_at && end_elsewhere <= job.objective_at;
         let slow = self.executors[key].slow;
-        if !policy.move_slow || !slow || !gains || !self.has_room_elsewhere(job, key, name.step) {
+        if !policy.move_slow || !slow || !gains || !self.fits_elsewhere(job, key, name.step) {
             return;
         }
         let Some(task) = self.jobs.get_mut(&name.job).and_then(|j| j.task_mut(name)) else {
@@ -132,13 +135,13 @@
         self.log(Kind::TaskMoved, detail);
     }
 
-    /// Whether a task of a step fits at a worker that is well.
-    fn has_room_elsewhere(&self, job: &Job, key: ExecutorKey, step: u32) -> bool {
+    /// Returns whether a task of a step fits at another worker that is neither slow nor suspect.
+    fn fits_elsewhere(&self, job: &Job, key: ExecutorKey, step: u32) -> bool {
         let demand: Demand = job.request.steps[step as usize].demand;
         let fits = |k: &ExecutorKey| {
             let e = &self.executors[*k];
-            let well = !e.slow && !e.report.suspect;
-            *k != key && well && e.takes(self.now, &job.service) && e.free.holds(demand)
+            let healthy = !e.slow && !e.report.suspect;
+            *k != key && healthy && e.takes(self.now, &job.service) && e.free.holds(demand)
         };
         self.cell.near.iter().any(fits)
     }
--- a/lib/src/dispatch/scheduler/roster.rs
+++ b/lib/src/dispatch/scheduler/roster.rs
@@ -1,8 +1,9 @@
-//! Which executors there are, by the store: read here, or by a peer that the store answers.
+//! The roster: which executors there are according to the store, read here or by a peer. A scheduler that has
+//! just started places nothing before it has met all of them.
 //!
-//! A scheduler that has just started places nothing before it has met all executors that the store names. After the
-//! loss of all machines every process reads the store at once, and it turns some of them away. A peer reads the names
-//! for them; what it had read before the other one started does not count, as executors may have come since.
+//! After the loss of all machines every process reads the store at once, and it rejects some of them. A peer
+//! whose reading succeeded then reads the names for them. A reading that it began before the other scheduler
+//! linked to it does not count, since executors may have been added since.
 
 use rand::Rng;
 
@@ -10,54 +11,54 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// What was asked of a peer.
+/// The last request for the roster to a peer.
 #[derive(Clone, Debug)]
 struct Request {
     peer: String,
     at: Mono,
 }
 
-/// Where the names of the executors come from.
+/// The state of reading the roster, and of requests for it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RosterSync {
-    /// When the newest reading of the store was begun here, if there was one.
+    /// When the newest reading of the store was begun here, if any has succeeded.
     read: Option<Mono>,
-    /// What was last asked of a peer.
+    /// The request that was last sent to a peer.
     asked: Option<Request>,
     /// Peers that wait for a reading.
     wanted_by: Vec<String>,
 }
 
 impl RosterSync {
-    /// Whether the store has told the names here.
+    /// Returns whether the store was read here.
     pub fn is_read(&self) -> bool {
         self.read.is_some()
     }
 
-    /// Whether peers wait for a reading.
+    /// Returns whether peers wait for a reading.
     pub fn is_wanted(&self) -> bool {
         !self.wanted_by.is_empty()
     }
 }
 
 impl Scheduler {
-    /// Names the executors that there are. A scheduler that has just started begins to place jobs
-    /// once it has met all of them; while it does not know them it waits for as long as runs can
-    /// last that nobody renews. One that is there but can't be reached from here counts wherever a
-    /// claim must reach all.
+    /// Sets the roster. A scheduler that has just started places jobs once it has met all executors in it;
+    /// while there is no roster it waits for as long as runs can last that nobody renews. An executor in the
+    /// roster that can't be reached from here counts wherever a claim must reach all.
     pub fn set_roster(&mut self, now: Mono, names: Vec<String>) {
         self.set_roster_read(now, now, names);
     }
 
-    /// The same, by a reading of the store that was begun earlier.
+    /// Sets the roster from a reading of the store that was begun at `began`.
     pub fn set_roster_read(&mut self, now: Mono, began: Mono, names: Vec<String>) {
         self.advance_clock(now);
         self.roster_sync.read = Some(began);
-        self.take_roster(names);
-        self.hand_out_rosters();
+        self.apply_roster(names);
+        self.send_rosters();
     }
 
-    fn take_roster(&mut self, names: Vec<String>) {
+    /// Adopts a roster; claims that waited for it may be settled.
+    fn apply_roster(&mut self, names: Vec<String>) {
         self.hear_of_executors(&names);
         let roster = names.into_iter().collect();
         if self.roster.as_ref() != Some(&roster) {
@@ -70,8 +71,9 @@
         self.place();
     }
 
-    /// Asks a peer to read the names, if the store has not told them here.
-    pub(super) fn seek_roster(&mut self) {
+    /// Asks a peer to read the roster, if a scheduler that has just started has no complete one from the
+    /// store.
+    pub(super) fn request_roster(&mut self) {
         let policy = self.setup.policy.recovery;
         let missing = self.roster.is_none() || self.lacks_executors();
         let early = self.now.since(self.setup.started) < policy.roster_first;
@@ -81,12 +83,12 @@
         let open =
             |r: &Request| self.now.since(r.at) < policy.roster_again && self.is_linked(&r.peer);
         if !self.roster_sync.asked.as_ref().is_some_and(open) {
-            self.ask_for_roster();
+            self.send_roster_request();
         }
     }
 
-    /// Asks one of the peers that the store answers, another one than the last time if there is one.
-    fn ask_for_roster(&mut self) {
+    /// Sends the request to a random peer that has read the store, other than the last one if possible.
+    fn send_roster_request(&mut self) {
         let reading = self.peers.iter().filter(|(_, p)| p.reads_roster());
         let names: Vec<&String> = reading.map(|(name, _)| name).collect();
         let last = self.roster_sync.asked.take().map(|r| r.peer);
@@ -108,16 +110,16 @@
         });
     }
 
-    /// A peer that has just started asks for the names.
+    /// Handles the request of a peer that has just started.
     pub(super) fn handle_roster_request(&mut self, name: &str) {
         if !self.roster_sync.wanted_by.iter().any(|n| n == name) {
             self.roster_sync.wanted_by.push(name.to_owned());
         }
-        self.hand_out_rosters();
+        self.send_rosters();
     }
 
-    /// Tells the peers that wait which executors there are, if that was read since they have started.
-    fn hand_out_rosters(&mut self) {
+    /// Sends the roster to the waiting peers that linked before it was read.
+    fn send_rosters(&mut self) {
         let (Some(read), Some(roster)) = (self.roster_sync.read, &self.roster) else {
             return;
         };
@@ -134,7 +136,8 @@
         }
     }
 
-    /// A peer tells which executors there are.
+    /// Handles a roster from a peer; ignored if it was not requested from that peer, or the store was read
+    /// here meanwhile.
     pub(super) fn handle_roster(&mut self, name: &str, names: Vec<String>) {
         let asked = self
             .roster_sync
@@ -146,6 +149,6 @@
         }
         let detail = format!("{} executors, from {name}", names.len());
         self.log(Kind::RosterFromPeer, detail);
-        self.take_roster(names);
+        self.apply_roster(names);
     }
 }
--- a/lib/src/dispatch/scheduler/silent.rs
+++ b/lib/src/dispatch/scheduler/silent.rs
@@ -1,10 +1,11 @@
-//! Executors that are silent, and for whom things may still run there.
+//! Executors that are silent, and the schedulers for which tasks may run there. A scheduler that has just
+//! started claims each job at all executors, and an executor that is lost meanwhile never confirms. With each
+//! report, an executor says whether it knows all that runs at its worker, and for which schedulers.
 //!
-//! A scheduler that has just started claims each job at all executors, and an executor that is lost meanwhile never
-//! confirms. An executor says with each report whether it knows all that runs at its worker, and for which schedulers.
-//! Where all of these are linked here and have named their jobs, also those that they have ended lately, a job that none
-//! of them has named can't run there: it need not be waited for. What it last said to a peer counts as well, if that was no
-//! earlier than what it last said here: it may have been lost before it could say here what runs there.
+//! If all of these schedulers are linked here and have named their jobs, including those that ended lately,
+//! then a job that none of them has named can't run there, and the claim need not wait for the executor. What
+//! it last reported to a peer counts as well, if that is no older than what it last reported here: it may
+//! have been lost before it could report here.
 
 use super::Scheduler;
 use super::executor_view::ExecutorView;
@@ -14,16 +15,17 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// What a peer has said of an executor that it hears no more.
+/// A peer's report of an executor that it no longer hears.
 #[derive(Clone, Debug)]
 pub(super) struct PeerReport {
     at: Mono,
-    /// The incarnations of the schedulers for which things may run there.
+    /// The incarnations of the schedulers for which tasks may run there.
     owners: Vec<u64>,
 }
 
 impl Scheduler {
-    /// Whether an executor is silent, and all for whom things may run there are linked here and have named their jobs.
+    /// Returns whether an executor is silent, and all schedulers for which tasks may run there are linked
+    /// here and have named their jobs.
     pub(super) fn is_accounted(&self, executor: &ExecutorView) -> bool {
         if self.is_accounted_here(executor) {
             return true;
@@ -31,41 +33,41 @@
         let recent = |h: &PeerReport| self.now.since(h.at) < self.setup.policy.recovery.silent;
         let peer_report = executor.peer_report.as_ref().filter(|h| recent(h));
         let silent = executor.link.is_none() || self.does_not_answer(executor);
-        silent && peer_report.is_some_and(|h| self.have_met(h.owners.iter().copied()))
+        silent && peer_report.is_some_and(|h| self.are_all_met(h.owners.iter().copied()))
     }
 
-    /// Whether an executor that is linked should have been heard, and was not. One on standby is heard seldom unless it is
-    /// asked for something.
+    /// Returns whether a linked executor should have been heard by now and was not. One on standby is heard
+    /// seldom unless it is asked for something.
     fn does_not_answer(&self, executor: &ExecutorView) -> bool {
         let asked = executor.hurried > executor.heard;
         let due = executor.heard.max(executor.hurried);
         (asked || !executor.standby) && self.silence(due) >= self.setup.policy.recovery.silent
     }
 
-    /// The same, by what it has said here.
+    /// Returns whether the same holds by what the executor has reported here alone.
     fn is_accounted_here(&self, executor: &ExecutorView) -> bool {
         let policy = self.setup.policy.recovery;
         let heard = executor.heard.max(executor.hurried);
         policy.on
             && executor.accounted
             && self.silence(heard) >= policy.silent
-            && self.have_met(executor.owners())
+            && self.are_all_met(executor.owners())
     }
 
-    /// Whether these lives of schedulers are linked here and have said which jobs they have.
-    fn have_met(&self, mut lives: impl Iterator<Item = u64>) -> bool {
+    /// Returns whether all schedulers with these incarnations are linked here and have named their jobs.
+    fn are_all_met(&self, mut incarnations: impl Iterator<Item = u64>) -> bool {
         let own = self.setup.incarnation;
-        let met = |life: u64| self.peers.values().any(|p| p.is_met_in(life));
-        lives.all(|life| life == own || met(life))
+        let met = |incarnation: u64| self.peers.values().any(|p| p.is_met_in(incarnation));
+        incarnations.all(|incarnation| incarnation == own || met(incarnation))
     }
 
-    /// Logs executors that claims no longer wait for.
-    pub(super) fn note_silent(&mut self) {
+    /// Logs the silent executors that claims no longer wait for.
+    pub(super) fn log_silent_executors(&mut self) {
         if !self.setup.policy.recovery.on || !self.is_warming_up() {
             return;
         }
-        let news = |e: &ExecutorView| !e.silence_logged && self.is_accounted(e);
-        let silent = self.executors.iter().filter(|(_, e)| news(e));
+        let is_new = |e: &ExecutorView| !e.silence_logged && self.is_accounted(e);
+        let silent = self.executors.iter().filter(|(_, e)| is_new(e));
         let silent: Vec<ExecutorKey> = silent.map(|(key, _)| key).collect();
         for key in silent {
             let executor = &mut self.executors[key];
@@ -75,23 +77,23 @@
         }
     }
 
-    /// What peers that have just started are told of executors that are silent.
+    /// Returns the reports on silent executors for peers that have just started.
     pub(super) fn silent_executors(&self) -> Vec<proto::SilentExecutor> {
         if !self.setup.policy.recovery.on || !self.peers.values().any(Peer::is_starting) {
             return Vec::new();
         }
         let silent = self.executors.values();
         let silent = silent.filter(|e| self.is_accounted_here(e));
-        let told = silent.map(|e| proto::SilentExecutor {
+        let reports = silent.map(|e| proto::SilentExecutor {
             name: e.name.clone(),
             owners: e.owners().collect(),
             incarnation: e.incarnation,
             clock_us: e.clock_us,
         });
-        told.collect()
+        reports.collect()
     }
 
-    /// A peer tells of an executor that it hears no more.
+    /// Handles a peer's report of an executor that it no longer hears.
     pub(super) fn handle_silent_executor(&mut self, silent: proto::SilentExecutor) {
         if !self.setup.policy.recovery.on {
             return;
@@ -111,7 +113,7 @@
         let peer_report = &mut executor.peer_report;
         let known = peer_report.take().filter(|h| now.since(h.at) < recent);
         let mut owners = silent.owners;
-        // Peers heard it at different times: one may not know of a scheduler that linked to it later.
+        // Peers last heard it at different times: one may not know of a scheduler that linked to it later.
         owners.extend(known.into_iter().flat_map(|h| h.owners));
         owners.sort_unstable();
         owners.dedup();
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -141,7 +141,7 @@
             return self.actions.push(Action::Answer(caller, outcome));
         }
         let request = if cause == LEAVING && self.setup.policy.leaving.hand_on {
-            match self.hand_on(caller, request) {
+            match self.hand_off(caller, request) {
                 Ok(()) => return,
                 Err(request) => request,
             }
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -1,5 +1,5 @@
-//! What a scheduler that has just started waits for before it begins the jobs that it claims, told in its log:
-//! callers are refused meanwhile, and the cause is at another process.
+//! Logs what a scheduler that has just started waits for before it places the jobs that it claims. Callers
+//! may be refused meanwhile, and the cause lies with another process, which the log line names.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// A scheduler that waits tells so often for what.
-const TOLD_EVERY: Duration = Duration::from_millis(300);
-/// So many names stand in a line at the most.
-const NAMES: usize = 8;
+/// The interval between log lines while claims wait.
+const LOG_INTERVAL: Duration = Duration::from_millis(300);
+/// The most names that a log line lists.
+const MAX_NAMES: usize = 8;
 
 impl Scheduler {
-    /// Logs for what jobs wait that are claimed, while this scheduler is young.
-    pub(super) fn tell_waiting(&mut self) {
+    /// Logs what claimed jobs wait for, while this scheduler has just started.
+    pub(super) fn log_pending_claims(&mut self) {
         let since = self.now.since(self.claims_logged.max(self.present_since));
-        if !self.is_warming_up() || since < TOLD_EVERY {
+        if !self.is_warming_up() || since < LOG_INTERVAL {
             return;
         }
         let claiming = self.jobs.values();
@@ -30,12 +30,15 @@
         }
         self.claims_logged = self.now;
         let after = crate::clock::millis(self.now.since(self.present_since));
-        let detail = format!("{jobs} jobs after {after} ms, for {}", self.waited_for());
+        let detail = format!(
+            "{jobs} jobs after {after} ms, for {}",
+            self.describe_pending()
+        );
         self.log(Kind::ClaimsOpen, detail);
     }
 
-    /// In words, the first that holds of: the list of executors, peers, executors not met, confirmations.
-    fn waited_for(&self) -> String {
+    /// Describes the first open condition: the list of executors, peers, executors not met, or confirmations.
+    fn describe_pending(&self) -> String {
         let Some(roster) = &self.roster else {
             return "the list of executors".to_owned();
         };
@@ -49,19 +52,19 @@
         let peers = self.peers.iter().filter(|(_, p)| open(p));
         let peers: Vec<&String> = peers.map(|(name, _)| name).collect();
         if !peers.is_empty() {
-            return format!("peers {}", listed(&peers));
+            return format!("peers {}", list_names(&peers));
         }
         let unmet = roster.iter().filter(|name| !self.is_met(name));
         let unmet: Vec<&String> = unmet.collect();
         if !unmet.is_empty() {
-            return format!("executors not met {}", listed(&unmet));
+            return format!("executors not met {}", list_names(&unmet));
         }
-        self.unconfirmed()
+        self.describe_unconfirmed()
     }
 
-    /// Which executors have to confirm claims, and what is known of the one that holds them up most: silent for the
-    /// longest, and not known to run nothing of them.
-    fn unconfirmed(&self) -> String {
+    /// Describes how many executors have yet to confirm claims, and the one that delays them most: not
+    /// accounted for, then silent for longest.
+    fn describe_unconfirmed(&self) -> String {
         let mut waiting: BTreeMap<ExecutorKey, usize> = BTreeMap::new();
         for job in self.jobs.values() {
             let Phase::Claiming(asked) = &job.phase else {
@@ -95,8 +98,8 @@
     }
 }
 
-/// The first names, and how many there are.
-fn listed(names: &[&String]) -> String {
-    let first: Vec<&str> = names.iter().take(NAMES).map(|n| n.as_str()).collect();
+/// Lists the first names and their total number.
+fn list_names(names: &[&String]) -> String {
+    let first: Vec<&str> = names.iter().take(MAX_NAMES).map(|n| n.as_str()).collect();
     format!("{} ({} in all)", first.join(", "), names.len())
 }
