--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -288,8 +288,8 @@
         self.drop_peer_links();
     }
 
-    /// Returns how long nothing was heard from a process last heard at `heard`, counting only time in which
-    /// this process ran.
+    /// Returns how long nothing was heard from a process last heard at `heard`, counted at the earliest from
+    /// the end of this process's last pause.
     fn silence(&self, heard: Mono) -> Duration {
         self.now.since(heard.max(self.awake_since))
     }
@@ -339,9 +339,9 @@
     }
 
     /// Returns whether a job is expected to outlast this process.
-    fn ends_too_late(&self, job: &Job) -> bool {
-        let whole = job.critical_path.iter().copied().max().unwrap_or_default();
-        let needed = whole.mul_f64(self.setup.policy.leaving.room_to_end)
+    fn outlasts_process(&self, job: &Job) -> bool {
+        let total = job.critical_path.iter().copied().max().unwrap_or_default();
+        let needed = total.mul_f64(self.setup.policy.leaving.room_to_end)
             + self.setup.policy.reports.heartbeat;
         self.leaving.is_some_and(|at| self.now + needed > at)
     }
@@ -385,7 +385,7 @@
         self.even_out();
     }
 
-    /// Drops records of ended, announced and given-up jobs that have expired.
+    /// Drops records of ended, announced and withdrawn jobs that have expired.
     fn drop_expired(&mut self) {
         let now = self.now;
         let memory = self.setup.policy.claims.memory;
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -38,9 +38,9 @@
         if !std::mem::take(&mut self.unreachable_stale) {
             return;
         }
-        let heard = self.leases.names();
-        let away = heard.filter(|name| **name != self.setup.name && !self.is_linked(name));
-        self.unreachable_peers = away.cloned().collect();
+        let holders = self.leases.names();
+        let unlinked = holders.filter(|name| **name != self.setup.name && !self.is_linked(name));
+        self.unreachable_peers = unlinked.cloned().collect();
     }
 
     /// Returns when a peer was last heard; for an unknown peer, the start of this process.
@@ -50,8 +50,9 @@
     }
 
     /// Returns whether a job that is submitted here for the first time may be running elsewhere without this
-    /// scheduler knowing: it has just started, it has just lost a link, or a peer that may be running was not
-    /// heard for so long that one of its jobs may be submitted again here before it was announced.
+    /// scheduler knowing: it has just started or just lost a link, it can't tell whether some peer is
+    /// running, or a peer that may be running was not heard for so long that one of its jobs may be submitted
+    /// again here before it was announced.
     pub(super) fn may_run_elsewhere(&mut self) -> bool {
         self.refresh_unreachable();
         let now = self.now;
@@ -76,9 +77,9 @@
     fn is_minority(&self) -> bool {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
-        let away = |p: &Peer| p.link.is_none() && now.since(p.heard) >= bound;
+        let unlinked = |p: &Peer| p.link.is_none() && now.since(p.heard) >= bound;
         let linked = self.executors.values().filter(|e| e.link.is_some());
-        self.peers.values().any(away) && linked.count() * 2 < self.executors.len()
+        self.peers.values().any(unlinked) && linked.count() * 2 < self.executors.len()
     }
 
     /// Returns whether a peer was recently met in a new incarnation. What its earlier incarnation placed at
@@ -199,7 +200,8 @@
             && !self.ended.contains_key(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.phase = Phase::Claiming(BTreeSet::new());
-            // Some executors may confirm much later than others: from now on a peer may take the job.
+            // Executors confirm at different times, and a peer may take the job at any time after the first
+            // was asked: it is known to be exclusive only up to now.
             job.exclusive_since = now;
             job.ran_elsewhere = true;
             job.startup_claim = starting;
@@ -222,8 +224,7 @@
     /// If one of 55 schedulers is lost, each of the others claims every new job for half a second. At all of
     /// 240 executors that would be 300,000 claims; at the executors that list the lost scheduler as a lease
     /// holder it is a fifth of them. The lists suffice, because a scheduler places tasks at an executor only
-    /// after the executor has had the time to list it for all others
-    /// ([`CELL_SETTLE`](super::cell::CELL_SETTLE)).
+    /// after the executor has had the time to list it for all others ([`super::cell::CELL_SETTLE`]).
     fn lost_peer_executors(&self) -> Vec<ExecutorKey> {
         let bound = self.setup.policy.claims.link_lost;
         let recent = |at: Mono| self.now.since(at) < bound;
@@ -235,8 +236,9 @@
             return self.executors.keys().collect();
         }
         let lists = |e: &ExecutorView| e.profile.leased.iter().any(|name| lost.contains(&name));
-        let may = |e: &ExecutorView| e.link.is_none() || recent(e.linked_at) || lists(e);
-        let reach = self.executors.iter().filter(|(_, e)| may(e));
+        let may_have_placed =
+            |e: &ExecutorView| e.link.is_none() || recent(e.linked_at) || lists(e);
+        let reach = self.executors.iter().filter(|(_, e)| may_have_placed(e));
         reach.map(|(key, _)| key).collect()
     }
 
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -37,7 +37,7 @@
             task.checkpoint.clone_from(&end.checkpoint);
         }
         self.blame_run(name.job, end.blame);
-        self.note_crashes(name, CrashRecord::from_proto(end.crashes));
+        self.merge_crashes(name, CrashRecord::from_proto(end.crashes));
         if end.sole && self.is_confined(name.job) {
             return self.give_up(name.job, "crashes");
         }
@@ -45,7 +45,7 @@
     }
 
     /// Merges what an executor knows of worker crashes under a task into its record.
-    fn note_crashes(&mut self, name: TaskName, record: CrashRecord) {
+    fn merge_crashes(&mut self, name: TaskName, record: CrashRecord) {
         if let Some(job) = self.jobs.get_mut(&name.job)
             && let Some(task) = job.task_mut(name)
         {
@@ -60,13 +60,13 @@
             return;
         };
         let (name, _) = TaskName::from_proto(task);
-        self.note_crashes(name, CrashRecord::from_proto(crashed.record));
-        self.give_up_crashing(name);
+        self.merge_crashes(name, CrashRecord::from_proto(crashed.record));
+        self.fail_crashing(name);
     }
 
     /// Fails a job if too many workers have crashed under a task of it; returns whether it did. Without this
     /// bound, one task crashed eight workers within 1.4 s, and each was down for three seconds.
-    fn give_up_crashing(&mut self, name: TaskName) -> bool {
+    fn fail_crashing(&mut self, name: TaskName) -> bool {
         let Some(task) = self.jobs.get_mut(&name.job).and_then(|j| j.task_mut(name)) else {
             return false;
         };
@@ -183,7 +183,7 @@
             EndKind::Unavailable => self.mark_unavailable(key),
             EndKind::Crashed => {
                 task.avoid = Some(key);
-                if self.give_up_crashing(name) {
+                if self.fail_crashing(name) {
                     return;
                 }
             }
--- a/lib/src/dispatch/scheduler/jobs.rs
+++ b/lib/src/dispatch/scheduler/jobs.rs
@@ -38,7 +38,8 @@
     pub checkpoint: String,
     /// What is known of worker crashes during its runs.
     pub crashes: CrashRecord,
-    /// The executor where it last failed or crashed, was lost, or ran slowly; its next run goes elsewhere.
+    /// The executor where it last failed, crashed, stalled, was lost or ran slowly; its next run goes
+    /// elsewhere.
     pub avoid: Option<ExecutorKey>,
     /// Whether a run of it was stopped for being slow; this happens only once.
     pub moved: bool,
@@ -93,7 +94,7 @@
     pub preempted_at: Option<Mono>,
     /// Its class and latest start as sorted among the waiting jobs, if it waits.
     pub waiting_key: Option<(u8, Mono)>,
-    /// How many times its own work time the objective allows.
+    /// The factor by which its expected work time counts towards the objective.
     pub stretch: f64,
     /// Whether tasks of it waited although there was free capacity, because they would have been late there.
     pub held_back: bool,
--- a/lib/src/dispatch/scheduler/placing.rs
+++ b/lib/src/dispatch/scheduler/placing.rs
@@ -19,8 +19,9 @@
 use crate::event::Kind;
 use crate::protos::dispatch as proto;
 
-/// The class of jobs that have begun and can still meet their objective. They go first: what they have used
-/// is lost if they are not finished. So at most one job at a time is partly placed.
+/// The class of jobs that have begun and can still meet their objective, or are late and have little left to
+/// place. They go first: what they have used is lost if they are not finished. So at most one job at a time
+/// is partly placed.
 pub(super) const BEGUN: u8 = 0;
 /// The class of jobs of the most urgent queues that have not begun.
 const URGENT: u8 = 1;
@@ -29,7 +30,7 @@
 /// The class of jobs that have not begun, of a kind that gets less than its share. Under contention control,
 /// the classes of each priority follow it; see `contention`.
 pub(super) const UNDERSERVED: u8 = 1;
-/// The class of jobs that have begun and will be late.
+/// The class of jobs that have begun, will be late, and have much left to place.
 pub(super) const LATE: u8 = u8::MAX;
 
 /// The executor chosen for a task.
@@ -341,14 +342,14 @@
         let mut best: Option<(f64, ExecutorKey, bool)> = None;
         let mut late: Option<(f64, ExecutorKey, bool)> = None;
         let mut can_be_in_time = false;
-        for (key, room) in free {
+        for (key, capacity) in free {
             let executor = &self.executors[key];
             if Some(key) == avoid || !satisfies(executor, s) {
                 continue;
             }
             let fit = self.fit(job, step, executor);
             can_be_in_time |= matches!(fit, Some(Fit::InTime(_)));
-            if !room.holds(s.demand) || !self.is_spared(key) {
+            if !capacity.holds(s.demand) || !self.is_spared(key) {
                 continue;
             }
             let planned = plan.iter().filter(|p| p.step == step && p.key == key);
@@ -370,7 +371,7 @@
                 }
                 continue;
             }
-            let mut score = room.cpu_milli as f64;
+            let mut score = capacity.cpu_milli as f64;
             if let Some(Fit::InTime(favour)) = fit {
                 score += favour;
             }
@@ -438,7 +439,7 @@
         if job.began {
             self.queue_job(number);
         } else {
-            self.give_up(number, "no-room");
+            self.give_up(number, "no-capacity");
         }
     }
 }
--- a/lib/src/dispatch/scheduler/roster.rs
+++ b/lib/src/dispatch/scheduler/roster.rs
@@ -118,7 +118,7 @@
         self.send_rosters();
     }
 
-    /// Sends the roster to the waiting peers that linked before it was read.
+    /// Sends the roster to the waiting peers whose link came up before its reading was begun.
     fn send_rosters(&mut self) {
         let (Some(read), Some(roster)) = (self.roster_sync.read, &self.roster) else {
             return;
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -114,7 +114,7 @@
         if !claim && self.has_no_executor() {
             return rejection(job.request, "no-executor");
         }
-        if self.ends_too_late(&job) {
+        if self.outlasts_process(&job) {
             return rejection(job.request, LEAVING);
         }
         if !claim && self.is_hopeless(&job) {
@@ -124,9 +124,9 @@
         Ok(job)
     }
 
-    /// Rejects a request. A job that would only outlast this process is handed off to a peer if one accepts
-    /// jobs. If the job may be running elsewhere, the outcome is `Unknown`, since a refusal promises that it
-    /// has not run.
+    /// Rejects a request. If the job may be running elsewhere, the outcome is `Unknown`, since a refusal
+    /// promises that it has not run. A job that would only outlast this process is handed off to a peer, if
+    /// that is on and one accepts jobs.
     fn reject(&mut self, caller: CallerId, rejection: Rejection, claim: bool) {
         let Rejection { request, cause } = rejection;
         if claim {
