--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -204,14 +204,14 @@
     awake_since: Mono,
     /// Since when this process has run without a pause long enough for the others to close their links to it.
     /// Until it has met them again, it does not know which jobs they have.
-    present_since: Mono,
+    active_since: Mono,
 }
 
 impl Scheduler {
     /// Creates a scheduler without catalog, executors and peers.
     pub fn new(setup: SchedulerSetup) -> Scheduler {
         let rng = SmallRng::seed_from_u64(setup.seed);
-        let present_since = setup.started;
+        let active_since = setup.started;
         Scheduler {
             setup,
             catalog: CatalogSync::default(),
@@ -255,7 +255,7 @@
             actions: Vec::new(),
             now: Mono::default(),
             awake_since: Mono::default(),
-            present_since,
+            active_since,
         }
     }
 
@@ -278,7 +278,7 @@
     fn drop_links(&mut self) {
         self.log(Kind::Paused, self.setup.name.clone());
         self.gap = self.now;
-        self.present_since = self.now;
+        self.active_since = self.now;
         let keys: Vec<ExecutorKey> = self.executors.keys().collect();
         for key in keys {
             let link = self.unlink_executor(key);
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -126,7 +126,7 @@
             None => self.silence(p.heard) >= lapse,
         };
         let heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
-        now.since(self.present_since) >= self.setup.policy.claims.meeting
+        now.since(self.active_since) >= self.setup.policy.claims.meeting
             && self.peers.values().all(settled)
             && self.unreachable_peers.iter().all(heard)
     }
@@ -134,7 +134,7 @@
     /// Returns whether this scheduler has just started, or come back from a long pause. Jobs of its earlier
     /// incarnation may still be running, and it may not have met all other processes yet.
     pub(super) fn is_warming_up(&self) -> bool {
-        self.now.since(self.present_since) < self.setup.policy.claims.warm_up
+        self.now.since(self.active_since) < self.setup.policy.claims.warm_up
     }
 
     /// Returns whether every executor in the store's list has been met, and the list is complete. An executor
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -52,11 +52,12 @@
 
     /// Chooses a random linked peer that accepts jobs, in this zone if there is one.
     fn choose_successor(&mut self) -> Option<String> {
-        let stays = |p: &Peer| p.link.is_some() && p.stays();
-        let stay = self.peers.iter().filter(|(_, p)| stays(p));
-        let near = stay.clone().filter(|(_, p)| p.is_in(&self.setup.zone));
-        let near = near.map(|(name, _)| name).choose(&mut self.rng);
-        near.or_else(|| stay.map(|(name, _)| name).choose(&mut self.rng))
+        let available = |p: &Peer| p.link.is_some() && p.stays();
+        let peers = self.peers.iter().filter(|(_, p)| available(p));
+        let in_zone = peers.clone().filter(|(_, p)| p.is_in(&self.setup.zone));
+        let chosen = in_zone.map(|(name, _)| name).choose(&mut self.rng);
+        chosen
+            .or_else(|| peers.map(|(name, _)| name).choose(&mut self.rng))
             .cloned()
     }
 
@@ -81,7 +82,7 @@
         if let Err(error) = request.check() {
             self.log(
                 Kind::JobRefused,
-                format!("{number} handed by {name}: {error}"),
+                format!("{number} handed off by {name}: {error}"),
             );
             let outcome = self.refusal();
             return self.tell_peer_end(name, number, outcome);
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -89,7 +89,7 @@
             Kind::WorkerWell
         };
         let name = &executor.name;
-        let detail = format!("{name}: pace {pace} % of the estimates, the others {median} %");
+        let detail = format!("{name}: pace {pace} % of the estimates, median {median} %");
         self.log(kind, detail);
     }
 
--- a/lib/src/dispatch/scheduler/silent.rs
+++ b/lib/src/dispatch/scheduler/silent.rs
@@ -30,10 +30,10 @@
         if self.is_accounted_here(executor) {
             return true;
         }
-        let recent = |h: &PeerReport| self.now.since(h.at) < self.setup.policy.recovery.silent;
-        let peer_report = executor.peer_report.as_ref().filter(|h| recent(h));
+        let recent = |r: &PeerReport| self.now.since(r.at) < self.setup.policy.recovery.silent;
+        let peer_report = executor.peer_report.as_ref().filter(|r| recent(r));
         let silent = executor.link.is_none() || self.does_not_answer(executor);
-        silent && peer_report.is_some_and(|h| self.are_all_met(h.owners.iter().copied()))
+        silent && peer_report.is_some_and(|r| self.are_all_met(r.owners.iter().copied()))
     }
 
     /// Returns whether a linked executor should have been heard by now and was not. One on standby is heard
@@ -111,10 +111,10 @@
             return;
         }
         let peer_report = &mut executor.peer_report;
-        let known = peer_report.take().filter(|h| now.since(h.at) < recent);
+        let known = peer_report.take().filter(|r| now.since(r.at) < recent);
         let mut owners = silent.owners;
         // Peers last heard it at different times: one may not know of a scheduler that linked to it later.
-        owners.extend(known.into_iter().flat_map(|h| h.owners));
+        owners.extend(known.into_iter().flat_map(|r| r.owners));
         owners.sort_unstable();
         owners.dedup();
         *peer_report = Some(PeerReport { at: now, owners });
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -58,8 +58,8 @@
     /// may be submitted again.
     pub(super) fn known_outcome(&self, number: JobNumber) -> Option<JobOutcome> {
         let outcome = self.ended.get(&number)?.outcome;
-        let stands = !matches!(outcome, JobOutcome::Refused(_) | JobOutcome::Unknown);
-        stands.then_some(outcome)
+        let is_final = !matches!(outcome, JobOutcome::Refused(_) | JobOutcome::Unknown);
+        is_final.then_some(outcome)
     }
 
     /// Accepts a job, or rejects it. With `claim`, it may be running for another scheduler and is claimed
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -18,7 +18,7 @@
 impl Scheduler {
     /// Logs what claimed jobs wait for, while this scheduler has just started.
     pub(super) fn log_pending_claims(&mut self) {
-        let since = self.now.since(self.claims_logged.max(self.present_since));
+        let since = self.now.since(self.claims_logged.max(self.active_since));
         if !self.is_warming_up() || since < LOG_INTERVAL {
             return;
         }
@@ -29,7 +29,7 @@
             return;
         }
         self.claims_logged = self.now;
-        let after = crate::clock::millis(self.now.since(self.present_since));
+        let after = crate::clock::millis(self.now.since(self.active_since));
         let detail = format!(
             "{jobs} jobs after {after} ms, for {}",
             self.describe_pending()
@@ -77,13 +77,13 @@
         let known = waiting
             .iter()
             .filter_map(|(key, jobs)| Some((self.executors.get(*key)?, jobs)));
-        let most =
+        let slowest =
             known.max_by_key(|(e, jobs)| (!self.is_accounted(e), self.silence(e.heard), **jobs));
-        let Some((executor, jobs)) = most else {
+        let Some((executor, jobs)) = slowest else {
             return "nobody".to_owned();
         };
         let known = if self.is_accounted(executor) {
-            "known to run nothing of them"
+            "known to run none of them"
         } else if executor.accounted {
             "it has named schedulers that are not met"
         } else {
