--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -105,7 +105,7 @@
     }
 
     /// What peers are told of the processor time that is used here, in percent; 0 while jobs are not handed on.
-    pub(super) fn busy_news(&self) -> u32 {
+    pub(super) fn busy_update(&self) -> u32 {
         match self.setup.policy.balance.on {
             true => self.loads.busy,
             false => 0,
@@ -113,7 +113,7 @@
     }
 
     /// A peer says what waits there and how busy it is.
-    pub(super) fn hear_load(&mut self, name: &str, update: &proto::PeerUpdate) {
+    pub(super) fn record_peer_load(&mut self, name: &str, update: &proto::PeerUpdate) {
         if !self.setup.policy.balance.on {
             return;
         }
@@ -239,7 +239,7 @@
     }
 
     /// A peer's callers have left a job that runs here. One that nobody waits for is cancelled.
-    pub(super) fn hear_unfollow(&mut self, name: &str, number: JobNumber) {
+    pub(super) fn handle_unfollow(&mut self, name: &str, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -143,18 +143,18 @@
         };
         let queue = job.request.queue.clone();
         for peer in self.peers.values_mut() {
-            peer.tell_blame(&queue, permille);
+            peer.add_blame(&queue, permille);
         }
         self.note_blame(&queue, permille);
     }
 
     /// A peer tells what it has learned.
-    pub(super) fn hear_blame(&mut self, blame: &proto::QueueBlame) {
+    pub(super) fn handle_blame(&mut self, blame: &proto::QueueBlame) {
         self.note_blame(&blame.queue, blame.blame);
     }
 
     /// A peer has confined a queue before it met this scheduler.
-    pub(super) fn hear_confined(&mut self, confined: &proto::ConfinedQueue) {
+    pub(super) fn handle_confined_queue(&mut self, confined: &proto::ConfinedQueue) {
         let longest = self.setup.policy.bulkheads.open_after;
         let remaining = Duration::from_millis(u64::from(confined.remaining_ms));
         self.confine(&confined.queue, self.now + remaining.min(longest));
--- a/lib/src/dispatch/scheduler/catalog_sync.rs
+++ b/lib/src/dispatch/scheduler/catalog_sync.rs
@@ -79,7 +79,7 @@
         self.catalog.index = Some(CatalogIndex::new(catalog));
         self.catalog.encoded = None;
         self.catalog.since = self.now;
-        self.hurry_heartbeats();
+        self.force_heartbeats();
     }
 
     /// The store has answered: it holds no newer catalog than it has told of.
@@ -155,7 +155,7 @@
             return;
         };
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.want_catalog();
+            peer.request_catalog();
         }
         self.catalog.asked = Some(Request {
             peer: name,
@@ -170,7 +170,7 @@
     }
 
     /// A peer asks for the catalog in force here.
-    pub(super) fn hand_out_catalog(&mut self, name: &str) {
+    pub(super) fn send_catalog_to(&mut self, name: &str) {
         let version = self.version();
         let behind = self.peers.get(name).is_some_and(|p| p.version < version);
         let Some(bytes) = behind.then(|| self.catalog.encoded()).flatten() else {
@@ -182,7 +182,7 @@
     }
 
     /// Reads the catalog of a peer.
-    pub(super) fn read_catalog(&mut self, name: &str, bytes: &[u8]) {
+    pub(super) fn receive_catalog(&mut self, name: &str, bytes: &[u8]) {
         self.catalog.asked = None;
         match serde_json::from_slice::<Catalog>(bytes) {
             Ok(catalog) => self.take_catalog(catalog, name),
--- a/lib/src/dispatch/scheduler/cell.rs
+++ b/lib/src/dispatch/scheduler/cell.rs
@@ -1,13 +1,15 @@
-//! The executors at which a scheduler places tasks: its cell.
+//! The cell of a scheduler: the executors at which it places tasks.
 //!
-//! Load pattern: tens of schedulers beside hundreds of executors, each of which can do only a small part of what
-//! all of them report. If every executor reports to every scheduler as often as placing needs it, what a scheduler
-//! takes in grows with the fleet, and what is sent grows with its square.
+//! With tens of schedulers and hundreds of executors, each scheduler can process only a small part of all
+//! reports. If every executor reported to every scheduler as often as placing requires, the incoming traffic
+//! of a scheduler would grow with the size of the fleet, and the total traffic with its square.
 //!
-//! A cell is the first `cells.size` (more where schedulers are few beside the executors) of the linked executors in an order of each scheduler's own: those of its zone
-//! before others, then by a hash of both names, and those of evacuated zones last. So cells need no agreement, stay as they are when others come
-//! and go, overlap, and load every executor alike. At the others a scheduler is on standby: it hears heartbeats,
-//! can claim jobs, and can lend itself some of them while its cell has no room.
+//! Each scheduler sorts the linked executors in an order of its own: those in evacuated zones last, those in
+//! its own zone before others, then by a hash of both names. The cell is the first `cells.size` of them, or
+//! more if there are few schedulers for the number of executors. Cells therefore need no agreement, remain
+//! stable when other processes come and go, overlap, and load the executors evenly. A scheduler is on standby
+//! at all other executors: it exchanges heartbeats with them, can claim jobs there, and can borrow some of
+//! them while its cell has no capacity.
 
 use rand::seq::IteratorRandom;
 
@@ -16,28 +18,30 @@
 use crate::dispatch::rank::Rank;
 use crate::prelude::*;
 
-/// Where a fleet is more than one cell, tasks are placed at an executor this long after it was taken into the cell,
-/// so that all others have heard that this scheduler may place tasks there: it tells them 20 ms later, with the
-/// next message of a link on which one is due each 100 ms.
+/// The delay after which tasks are placed at an executor that was added to the cell, in a fleet larger than
+/// one cell. By then the executor has told all other schedulers that this one may place tasks there: it does
+/// so 20 ms later, with the next message on each link, which is due every 100 ms.
 pub(super) const CELL_SETTLE: Duration = Duration::from_millis(200);
 
-/// The cell of a scheduler.
+/// The executors in the cell, and what they were selected by.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Cell {
-    /// Executors at which tasks may be placed.
+    /// The executors in the cell, including the borrowed ones.
     pub near: Vec<ExecutorKey>,
-    /// Whether links have come or gone since it was formed.
+    /// Whether links or evacuated zones have changed since the cell was formed.
     pub stale: bool,
-    /// How many executors it was formed of at most.
+    /// The size limit that the cell was formed with, without borrowed executors.
     size: usize,
+    /// When executors were last borrowed.
     lent_at: Mono,
 }
 
 impl Scheduler {
-    /// Forms the cell anew if links have come or gone, or a loan is over.
+    /// Forms the cell again if links or evacuated zones have changed, a loan is over, or the size limit has
+    /// changed.
     pub(super) fn settle_cell(&mut self) {
         let now = self.now;
-        let over = |key: &ExecutorKey| self.executors.get(*key).is_none_or(|e| e.loan_is_over(now));
+        let over = |key: &ExecutorKey| self.executors.get(*key).is_none_or(|e| e.is_loan_over(now));
         let ended = self.sweep && self.cell.near.iter().any(over);
         let resized = self.sweep && self.cell.size != self.cell_size();
         if !std::mem::take(&mut self.cell.stale) && !ended && !resized {
@@ -55,22 +59,23 @@
         self.cell.near.clear();
         for (_, key) in home {
             self.executors[*key].home = true;
-            self.approach(*key);
+            self.add_to_cell(*key);
         }
         for (_, key) in others {
             let executor = &mut self.executors[*key];
             executor.home = false;
-            if executor.loan_is_over(now) {
+            if executor.is_loan_over(now) {
                 executor.standby = true;
             } else {
-                self.approach(*key);
+                self.add_to_cell(*key);
             }
         }
     }
 
-    /// How many executors the cell has at most. The cells of all schedulers together hold each executor a few
-    /// times, or some would stand idle. One that has just started has not met its peers yet, and would take the
-    /// whole fleet.
+    /// Returns the size limit of the cell. It is large enough that the cells of all schedulers together
+    /// contain each executor several times, as executors in no cell would be idle. A scheduler that has just
+    /// started uses the configured size: it has not met its peers yet, and would take the whole fleet into
+    /// its cell otherwise.
     fn cell_size(&self) -> usize {
         let policy = self.setup.policy.cells;
         let least = policy.size as usize;
@@ -82,13 +87,13 @@
         least.max(covering.div_ceil(schedulers))
     }
 
-    /// Whether all executors that are known are in the cell.
+    /// Returns whether the size limit of the cell covers all known executors.
     pub(super) fn is_one_cell(&self) -> bool {
         self.executors.len() <= self.cell_size()
     }
 
-    /// Takes an executor into the cell.
-    fn approach(&mut self, key: ExecutorKey) {
+    /// Adds an executor to the cell, and ends its standby.
+    fn add_to_cell(&mut self, key: ExecutorKey) {
         self.cell.near.push(key);
         let settle = if self.is_one_cell() {
             Duration::ZERO
@@ -103,8 +108,9 @@
         }
     }
 
-    /// Places tasks at some more executors for a while: jobs wait, and the cell has no room for them. A draw of
-    /// twice as many, of which those are taken that had the most room when last heard.
+    /// Borrows some executors outside the cell for a while, because jobs wait for which the cell has no
+    /// capacity. Draws twice as many ready executors at random, and takes those with the most free CPU by
+    /// their last reports.
     pub(super) fn widen_cell(&mut self) {
         let now = self.now;
         let policy = self.setup.policy.cells;
@@ -122,7 +128,7 @@
         drawn.sort_by_key(|key| std::cmp::Reverse(self.executors[*key].free.cpu_milli));
         for key in drawn.into_iter().take(most) {
             self.executors[key].lent_until = now + policy.lent_for;
-            self.approach(key);
+            self.add_to_cell(key);
         }
     }
 }
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -308,7 +308,7 @@
     }
 
     /// What peers are told of what waits here.
-    pub(super) fn backlog_news(&mut self) -> Vec<proto::Backlog> {
+    pub(super) fn backlog_update(&mut self) -> Vec<proto::Backlog> {
         if !self.contends() && !self.setup.policy.balance.on {
             return Vec::new();
         }
@@ -319,7 +319,7 @@
     }
 
     /// A peer tells what waits at it.
-    pub(super) fn hear_backlog(&mut self, peer: &str, rows: &[proto::Backlog]) {
+    pub(super) fn record_peer_backlog(&mut self, peer: &str, rows: &[proto::Backlog]) {
         if self.contends() {
             let backlog = Backlog::from_proto(rows);
             self.contention.peers.note(self.now, peer, backlog);
--- a/lib/src/dispatch/scheduler/evacuations.rs
+++ b/lib/src/dispatch/scheduler/evacuations.rs
@@ -37,7 +37,7 @@
     }
 
     /// A peer or an executor tells of a zone.
-    pub(super) fn hear_of_zone(&mut self, state: &proto::ZoneState, origin: &str) {
+    pub(super) fn record_zone_state(&mut self, state: &proto::ZoneState, origin: &str) {
         self.note_zone(&state.zone, ZoneRecord::from_proto(state), origin);
     }
 
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -1,10 +1,13 @@
-//! An executor as a scheduler sees it: what it reports, what room it has, what is gathered for it.
+//! A scheduler's view of an executor: its latest report, its free resources, and the orders gathered for it.
+//!
+//! Free resources are those of the latest report, less what was sent since and is not counted in the report
+//! yet.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
+use super::members::MemberCursor;
 use super::members::Members;
-use super::members::Told;
 use super::silent::Hearsay;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::Free;
@@ -16,7 +19,7 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// An executor.
+/// The state of an executor, as one scheduler knows it.
 #[derive(Clone, Debug)]
 pub(super) struct ExecutorView {
     pub name: String,
@@ -24,66 +27,76 @@
     pub incarnation: u64,
     pub link: Option<LinkId>,
     pub linked_at: Mono,
+    /// When the last message from it arrived.
     pub heard: Mono,
-    /// The executor's newest clock reading, to be echoed.
+    /// The executor's newest clock reading, which is echoed to it.
     pub clock_us: u64,
     pub report: proto::WorkerReport,
-    /// What changes seldom, as last told.
+    /// The properties that seldom change, as last reported.
     pub profile: proto::Profile,
     pub capacity: Demand,
-    /// What is free, as reported and less what was sent since.
+    /// The free resources by the latest report, less the demand of tasks that it does not count in.
     pub free: Free,
-    /// What was sent and is not counted in by a report, by sequence.
-    sent: VecDeque<(u64, Demand)>,
+    /// The demand that the latest report does not count in, by the sequence of the orders that it was sent
+    /// with.
+    uncounted: VecDeque<(u64, Demand)>,
+    /// The sequence of the last orders that started tasks.
     sequence: u64,
-    /// Tasks that were placed there, and their attempts.
+    /// The tasks that are placed there, with their attempts.
     pub placed: BTreeMap<TaskName, u32>,
+    /// The orders that are being gathered for it.
     pub orders: proto::Orders,
     last_orders: Mono,
-    members_told: Told,
+    members_sent: MemberCursor,
+    /// The highest number of a task end that was received from this incarnation.
     pub seen_ends: u64,
+    /// When a task was last placed there on trial.
     pub last_trial: Mono,
-    /// Its place in the order by which the cell is formed.
+    /// Its position in the order by which the cell is formed.
     pub rank: Rank,
-    /// Whether it is one of the cell for good.
+    /// Whether it is in the cell by its rank, and not just borrowed.
     pub home: bool,
-    /// Until when tasks may be placed there though it is not.
+    /// Until when it is borrowed: tasks may be placed there although its rank does not put it in the cell.
     pub lent_until: Mono,
-    /// Whether no tasks are placed there at present.
+    /// Whether it is outside the cell, so that no tasks are placed there.
     pub standby: bool,
-    /// What it was last told of that.
-    told_standby: bool,
-    /// From when on tasks are placed there.
+    /// The value of `standby` that was last sent to it.
+    standby_sent: bool,
+    /// From when on tasks may be placed there.
     pub usable_at: Mono,
-    /// Since when it should answer at once: it was asked for a claim, or is on standby no more.
+    /// Since when a prompt answer is due from it, because a claim was sent to it or it was taken into the
+    /// cell.
     pub hurried: Mono,
-    /// Whether it takes much longer than the others.
+    /// Whether its worker is far slower than the other workers or, if speeds are learned, than it usually is.
     pub slow: bool,
-    /// The slowness that it is used to.
+    /// The usual slowness of its worker.
     pub usual: Usual,
-    /// When that was last judged.
-    pub judged: Mono,
-    /// Whether it has said, in its present incarnation, that nothing runs there any more, nor will.
+    /// When `usual` was last updated.
+    pub judged_at: Mono,
+    /// Whether it has reported, in this incarnation, that nothing runs there and nothing will be started any
+    /// more.
     pub departed: bool,
-    /// Whether its zone is evacuated.
+    /// Whether its availability zone is evacuated.
     pub evacuated: bool,
-    /// The revision of the record of its zone that it was told on this link, or has told.
-    pub zone_told: u64,
-    /// While an executor that was started anew has not met its worker: when what its forerunner
-    /// had started can not run any more at the latest.
-    pub renewed: Option<Mono>,
-    /// Whether it has said last that it knows all that runs at its worker, and for whom.
+    /// The newest revision of its zone's record that was sent or received on this link.
+    pub zone_revision: u64,
+    /// When tasks of its previous incarnation can't run any more at the latest. `None` once they have been
+    /// treated as lost.
+    pub predecessor_until: Option<Mono>,
+    /// Whether its last update said that it knows everything that runs at its worker, and for which
+    /// schedulers.
     pub accounted: bool,
-    /// Schedulers for whom things may run there and that its profile does not name yet, by incarnation.
+    /// The incarnations of schedulers for which tasks may run there and that its profile does not list yet.
     pub newcomers: Vec<u64>,
-    /// What a peer has said of it.
+    /// What a peer has reported of it.
     pub hearsay: Option<Hearsay>,
-    /// Whether it was logged that claims do not wait for it.
+    /// Whether it was logged that claims do not wait for it while it is silent.
     pub silence_logged: bool,
     policy: Policy,
 }
 
 impl ExecutorView {
+    /// Returns the view of an executor that is not linked yet.
     pub fn new(now: Mono, greeting: &proto::Greeting, policy: Policy) -> ExecutorView {
         ExecutorView {
             policy,
@@ -98,28 +111,28 @@
             profile: proto::Profile::default(),
             capacity: Demand::default(),
             free: Free::default(),
-            sent: VecDeque::new(),
+            uncounted: VecDeque::new(),
             sequence: 0,
             placed: BTreeMap::new(),
             orders: proto::Orders::default(),
             last_orders: Mono::default(),
-            members_told: Told::default(),
+            members_sent: MemberCursor::default(),
             seen_ends: 0,
             last_trial: Mono::default(),
             rank: Rank::default(),
             home: false,
             lent_until: Mono::default(),
             standby: true,
-            told_standby: true,
+            standby_sent: true,
             usable_at: Mono::default(),
             hurried: Mono::default(),
             slow: false,
             usual: Usual::default(),
-            judged: now,
+            judged_at: now,
             departed: false,
             evacuated: false,
-            zone_told: 0,
-            renewed: None,
+            zone_revision: 0,
+            predecessor_until: None,
             accounted: false,
             newcomers: Vec::new(),
             hearsay: None,
@@ -127,8 +140,9 @@
         }
     }
 
-    /// Notes a link that is up. What was gathered for, and said on, an earlier one counts no more.
-    pub fn take_link(
+    /// Attaches a new link, and discards the orders gathered for the previous one and what was reported on
+    /// it.
+    pub fn attach_link(
         &mut self,
         now: Mono,
         link: LinkId,
@@ -137,7 +151,7 @@
     ) {
         if self.incarnation != greeting.incarnation {
             self.seen_ends = 0;
-            self.renewed = Some(now + lapse);
+            self.predecessor_until = Some(now + lapse);
         }
         self.zone.clone_from(&greeting.zone);
         self.incarnation = greeting.incarnation;
@@ -146,26 +160,26 @@
         self.heard = now;
         self.clock_us = 0;
         self.sequence = 0;
-        self.sent.clear();
+        self.uncounted.clear();
         self.orders = proto::Orders::default();
         self.last_orders = Mono::default();
         self.standby = true;
-        self.told_standby = true;
-        self.members_told = Told::default();
-        self.zone_told = 0;
+        self.standby_sent = true;
+        self.members_sent = MemberCursor::default();
+        self.zone_revision = 0;
         self.departed = false;
         self.accounted = false;
         self.hearsay = None;
         self.silence_logged = false;
     }
 
-    /// The incarnations of the schedulers for which things may run there, by its last word.
+    /// Returns the incarnations of the schedulers for which tasks may run there, as last reported.
     pub fn owners(&self) -> impl Iterator<Item = u64> + '_ {
         let owners = self.profile.owners.iter();
         owners.chain(&self.newcomers).copied()
     }
 
-    /// Whether tasks of a service may be placed there now.
+    /// Returns whether tasks of a service may be placed there now.
     pub fn takes(&self, now: Mono, service: &str) -> bool {
         self.link.is_some()
             && !self.standby
@@ -176,17 +190,18 @@
             && self.profile.service == service
     }
 
-    /// Takes room for a task that is about to be sent.
+    /// Reserves the demand of a task that is sent with the next orders.
     pub fn reserve(&mut self, demand: Demand) {
         self.free = self.free.less(demand);
         let next = self.sequence + 1;
-        match self.sent.back_mut() {
+        match self.uncounted.back_mut() {
             Some((sequence, sum)) if *sequence == next => *sum = sum.plus(demand),
-            _ => self.sent.push_back((next, demand)),
+            _ => self.uncounted.push_back((next, demand)),
         }
     }
 
-    /// The orders to send now: what was gathered, or a heartbeat if one is due.
+    /// Takes the orders to send now: the gathered ones if they are urgent, or a heartbeat if one is due.
+    /// Claims alone wait for a minimum interval.
     pub fn due_orders(
         &mut self,
         now: Mono,
@@ -198,15 +213,15 @@
         let urgent = !(orders.starts.is_empty() && orders.stops.is_empty());
         let claims = !(orders.claims.is_empty() && orders.renewals.is_empty());
         let gap = now.since(self.last_orders);
-        let heartbeat = match self.standby && self.told_standby {
+        let heartbeat = match self.standby && self.standby_sent {
             true => self.policy.cells.heartbeat,
             false => self.policy.reports.heartbeat,
         };
         let record = zones.record(&self.zone);
-        let record = record.filter(|r| r.revision > self.zone_told);
+        let record = record.filter(|r| r.revision > self.zone_revision);
         let due = urgent
             || record.is_some()
-            || (self.told_standby && !self.standby)
+            || (self.standby_sent && !self.standby)
             || (claims && gap >= self.policy.reports.claim_gap)
             || gap >= heartbeat;
         if !due {
@@ -218,25 +233,26 @@
             orders.sequence = self.sequence;
         }
         if let Some(record) = record {
-            self.zone_told = record.revision;
+            self.zone_revision = record.revision;
             orders.zone = Some(record.proto(&self.zone));
         }
         orders.standby = self.standby;
-        self.told_standby = self.standby;
+        self.standby_sent = self.standby;
         orders.echo_us = self.clock_us;
         orders.seen_ends = self.seen_ends;
-        orders.members = members.news(&mut self.members_told);
+        orders.members = members.take_unsent(&mut self.members_sent);
         self.last_orders = now;
         Some((link, orders))
     }
 
-    /// Whether it is not of the cell and nothing keeps it there.
-    pub fn loan_is_over(&self, now: Mono) -> bool {
+    /// Returns whether it is in the cell neither by its rank nor as a borrowed one, and has no placed tasks
+    /// left.
+    pub fn is_loan_over(&self, now: Mono) -> bool {
         !self.home && self.lent_until <= now && self.placed.is_empty()
     }
 
-    /// Since when nothing was heard from it though it should have been, and for how long that may be.
-    pub fn listening(&self) -> (Mono, Duration) {
+    /// Returns since when a message from it is awaited, and how long it may stay silent from then on.
+    pub fn silence_limit(&self) -> (Mono, Duration) {
         let asked = self.hurried > self.heard;
         if self.standby && !asked {
             (self.heard, self.policy.cells.silence)
@@ -245,9 +261,10 @@
         }
     }
 
-    /// Notes that its link is lost. One on standby is not heard often: it may have been alive, and have kept
-    /// others' runs alive, until it was asked and did not answer, or until now.
-    pub fn lose_link(&mut self, now: Mono) {
+    /// Detaches the link. An executor on standby sends few messages, so it may have been alive, and have kept
+    /// running other schedulers' tasks, for longer than its last message shows: until it was asked and did
+    /// not answer, or until now. `heard` is moved to that time.
+    pub fn detach_link(&mut self, now: Mono) {
         if self.standby {
             let asked = self.hurried > self.heard;
             self.heard = if asked { self.hurried } else { now };
@@ -256,7 +273,7 @@
         self.link = None;
     }
 
-    /// Whether something is gathered that has not been sent.
+    /// Returns whether starts, stops or claims are gathered that have not been sent.
     pub fn is_pending(&self) -> bool {
         let orders = &self.orders;
         let urgent = !(orders.starts.is_empty() && orders.stops.is_empty());
@@ -264,17 +281,18 @@
         self.link.is_some() && (urgent || claims)
     }
 
-    pub fn take_report(&mut self, report: proto::WorkerReport) {
+    /// Applies a report: drops the reserved demand that it counts in, and computes the free resources.
+    pub fn apply_report(&mut self, report: proto::WorkerReport) {
         let counted = report.sequence;
-        while self.sent.front().is_some_and(|(s, _)| *s <= counted) {
-            self.sent.pop_front();
+        while self.uncounted.front().is_some_and(|(s, _)| *s <= counted) {
+            self.uncounted.pop_front();
         }
         let mut free = Free {
             cpu_milli: report.free_cpu_milli,
             memory_mb: report.free_memory_mb,
             gpu: report.free_gpu,
         };
-        for (_, demand) in &self.sent {
+        for (_, demand) in &self.uncounted {
             free = free.less(*demand);
         }
         self.free = free;
--- a/lib/src/dispatch/scheduler/fleet.rs
+++ b/lib/src/dispatch/scheduler/fleet.rs
@@ -1,4 +1,8 @@
-//! The executors that a scheduler knows: links that come and go, what they report, which are given up.
+//! The executors that a scheduler knows: links, updates, and executors that are given up.
+//!
+//! Input are greetings, updates and link losses of executors, and names of executors from peers and the
+//! store. Tasks of an executor that has been silent for the lapse are treated as lost, since nothing runs
+//! there by then for this scheduler.
 
 use slotmap::new_key_type;
 
@@ -16,19 +20,20 @@
 use crate::protos::dispatch as proto;
 
 new_key_type! {
-    /// An executor that the scheduler knows.
+    /// Identifies an executor that the scheduler knows.
     pub struct ExecutorKey;
 }
 
 impl Scheduler {
+    /// Registers a new link to an executor, closes the previous one, and sends the claims that are open.
     pub(super) fn executor_up(&mut self, link: LinkId, greeting: &proto::Greeting) {
         let now = self.now;
-        let key = self.executor_named(greeting);
+        let key = self.find_or_add_executor(greeting);
         let old = self.unlink_executor(key);
         self.actions.extend(old.map(Action::Close));
         self.ends.insert(link, LinkEnd::Executor(key));
         let executor = &mut self.executors[key];
-        executor.take_link(now, link, greeting, self.setup.lapse);
+        executor.attach_link(now, link, greeting, self.setup.lapse);
         self.leases.add(&executor.profile.leased);
         self.paces.add(executor.report.pace_percent);
         self.speeds.add(executor.report.slowness_percent);
@@ -42,12 +47,12 @@
         self.cell.stale = true;
         self.pending.push(key);
         self.refresh_doubt();
-        self.claim_at(key);
-        self.tell_executor(&greeting.name);
+        self.send_open_claims(key);
+        self.announce_executor(&greeting.name);
     }
 
-    /// The executor that a greeting names, which may not have been known.
-    fn executor_named(&mut self, greeting: &proto::Greeting) -> ExecutorKey {
+    /// Returns the executor that a greeting names, and adds it if it is not known yet.
+    fn find_or_add_executor(&mut self, greeting: &proto::Greeting) -> ExecutorKey {
         if let Some(key) = self.named.get(&greeting.name) {
             return *key;
         }
@@ -57,12 +62,12 @@
         key
     }
 
-    /// Notes that an executor can't be reached; the link that led there, if there was one.
+    /// Marks an executor as not linked. Returns the link that it had, if any.
     pub(super) fn unlink_executor(&mut self, key: ExecutorKey) -> Option<LinkId> {
         let executor = &mut self.executors[key];
         executor.report.ready = false;
         let link = executor.link?;
-        executor.lose_link(self.now);
+        executor.detach_link(self.now);
         self.cell.stale = true;
         self.leases.remove(&executor.profile.leased);
         self.paces.remove(executor.report.pace_percent);
@@ -71,21 +76,22 @@
         Some(link)
     }
 
-    /// The executors that are linked, by name.
+    /// Returns the names of the linked executors.
     pub(super) fn linked_executors(&self) -> Vec<String> {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         linked.map(|e| e.name.clone()).collect()
     }
 
-    /// Whether an executor is linked, or has said that nothing runs there any more.
+    /// Returns whether an executor is linked, has departed, or is silent but accounted for: all schedulers
+    /// for which tasks may still run there are linked here and have listed their jobs.
     pub(super) fn is_met(&self, name: &str) -> bool {
         let met = |e: &ExecutorView| e.link.is_some() || e.departed || self.is_accounted(e);
         let key = self.named.get(name);
         key.is_some_and(|key| met(&self.executors[*key]))
     }
 
-    /// Notes executors that there are, by a peer or the store, so that it is known if they can't
-    /// be reached from here.
+    /// Adds executors that a peer or the store has named, so that claims count those that can't be reached
+    /// from here. They count as silent for the lapse already.
     pub(super) fn hear_of_executors(&mut self, names: &[String]) {
         for name in names {
             if self.named.contains_key(name) {
@@ -95,26 +101,26 @@
                 name: name.clone(),
                 ..proto::Greeting::default()
             };
-            let key = self.executor_named(&greeting);
+            let key = self.find_or_add_executor(&greeting);
             self.executors[key].heard = self.now - self.setup.lapse;
         }
     }
 
-    /// Asks an executor that has come up for the jobs that are being claimed.
-    fn claim_at(&mut self, key: ExecutorKey) {
+    /// Asks a newly linked executor to confirm the claims that are open.
+    fn send_open_claims(&mut self, key: ExecutorKey) {
         for job in self.claiming() {
             self.ask_claim(job, key);
         }
     }
 
-    /// An update from an executor.
+    /// Applies an update of an executor, and places the tasks that fit afterwards.
     pub(super) fn executor_update(&mut self, key: ExecutorKey, update: proto::Update) {
         let now = self.now;
         let executor = &mut self.executors[key];
         executor.heard = now;
         executor.clock_us = executor.clock_us.max(update.clock_us);
         executor.departed = update.departed;
-        // One on standby is heard seldom: what it said last may be old.
+        // Executors on standby report seldom, so their last word may be outdated.
         executor.accounted = update.accounted && !executor.standby;
         executor.newcomers = update.newcomers;
         if let Some(profile) = update.profile {
@@ -126,9 +132,9 @@
         }
         if let Some(state) = update.zone {
             let executor = &mut self.executors[key];
-            executor.zone_told = executor.zone_told.max(state.revision);
+            executor.zone_revision = executor.zone_revision.max(state.revision);
             let name = executor.name.clone();
-            self.hear_of_zone(&state, &name);
+            self.record_zone_state(&state, &name);
         }
         let executor = &mut self.executors[key];
         if let Some(report) = update.worker {
@@ -136,7 +142,7 @@
             self.paces.remove(executor.report.pace_percent);
             self.speeds.add(report.slowness_percent);
             self.speeds.remove(executor.report.slowness_percent);
-            executor.take_report(report);
+            executor.apply_report(report);
         }
         for end in update.ends {
             self.task_ended(key, &end);
@@ -145,8 +151,8 @@
         for run in &update.slow {
             self.move_slow(key, run);
         }
-        match (update.held, self.executors[key].renewed) {
-            (_, Some(at)) => self.settle_renewed(key, at),
+        match (update.held, self.executors[key].predecessor_until) {
+            (_, Some(at)) => self.settle_predecessor(key, at),
             (Some(held), None) => self.reconcile(key, &held),
             (None, None) => {}
         }
@@ -162,7 +168,7 @@
         self.place();
     }
 
-    /// Takes note of the number of an end; whether it is new.
+    /// Records the number of a task end. Returns whether the end has not been seen before.
     pub(super) fn note_end(&mut self, key: ExecutorKey, number: u64) -> bool {
         let executor = &mut self.executors[key];
         let new = number > executor.seen_ends;
@@ -170,16 +176,18 @@
         new
     }
 
-    /// What an executor's forerunner had started is over once the worker is ready again.
-    fn settle_renewed(&mut self, key: ExecutorKey, at: Mono) {
+    /// Treats the tasks of an executor's previous incarnation as lost once its worker is ready again, or once
+    /// they can't run any more at the latest.
+    fn settle_predecessor(&mut self, key: ExecutorKey, at: Mono) {
         let executor = &mut self.executors[key];
         if executor.report.ready || self.now >= at {
-            executor.renewed = None;
-            self.lose_tasks(key);
+            executor.predecessor_until = None;
+            self.mark_tasks_lost(key);
         }
     }
 
-    /// Tasks that were sent on an earlier link and have not arrived are to be placed again.
+    /// Treats tasks as lost that are placed at an executor but not held by it, such as those that were sent
+    /// on a link that broke. They are placed again.
     fn reconcile(&mut self, key: ExecutorKey, held: &proto::HeldTasks) {
         let held: Vec<(TaskName, u32)> = held.tasks.iter().map(TaskName::from_proto).collect();
         let placed = &self.executors[key].placed;
@@ -190,6 +198,7 @@
         }
     }
 
+    /// Handles the loss of the link to an executor. Its tasks stay placed: it may link again in time.
     pub(super) fn executor_down(&mut self, key: ExecutorKey) {
         let executor = &self.executors[key];
         let detail = format!(
@@ -202,11 +211,12 @@
         self.refresh_doubt();
     }
 
-    /// Closes silent links, and gives up the tasks of executors that are gone.
+    /// Closes silent links, treats the tasks of executors as lost that have been silent for the lapse, and
+    /// forgets executors that have been silent for long and are not in the roster.
     pub(super) fn watch_executors(&mut self) {
         let keys: Vec<ExecutorKey> = self.executors.keys().collect();
         for key in keys {
-            let (since, bound) = self.executors[key].listening();
+            let (since, bound) = self.executors[key].silence_limit();
             let link = self.executors[key].link;
             if self.silence(since) >= bound
                 && let Some(link) = link
@@ -216,7 +226,7 @@
             }
             let silent = self.silence(self.executors[key].heard);
             if silent >= self.setup.lapse {
-                self.lose_tasks(key);
+                self.mark_tasks_lost(key);
             }
             if silent >= self.setup.policy.claims.forgotten && !self.is_in_roster(key) {
                 self.forget_executor(key);
@@ -236,8 +246,8 @@
         self.roster.as_ref().is_some_and(|r| r.contains(name))
     }
 
-    /// Nothing that was placed there runs any more.
-    fn lose_tasks(&mut self, key: ExecutorKey) {
+    /// Treats all tasks that are placed at an executor as lost.
+    fn mark_tasks_lost(&mut self, key: ExecutorKey) {
         let placed = self.executors[key].placed.iter();
         let placed: Vec<(TaskName, u32)> = placed.map(|(t, a)| (*t, *a)).collect();
         for (task, attempt) in placed {
@@ -245,7 +255,7 @@
         }
     }
 
-    /// Asks an executor to stop a task.
+    /// Queues an order to stop a task, which counts as no longer placed.
     pub(super) fn order_stop(&mut self, key: ExecutorKey, task: TaskName, attempt: u32) {
         if let Some(executor) = self.executors.get_mut(key) {
             executor.orders.stops.push(task.proto(attempt));
--- a/lib/src/dispatch/scheduler/members.rs
+++ b/lib/src/dispatch/scheduler/members.rs
@@ -1,27 +1,28 @@
-//! The schedulers that there are, and who has been told of which.
+//! The list of known schedulers, and how much of it was sent on each link.
 //!
-//! Links keep the order of what is sent on them and lose nothing while they are up, so each end is told of a
-//! member once, with the next message that goes there anyway. Telling everybody all of them each second was the
-//! most of what a large fleet sent at rest: of 40 schedulers and 120 executors a scheduler sent and received
-//! 200 KB a second, and 30 KB without that (counted on the virtual clock).
+//! A link keeps messages in order and loses none while it is up, so each member is sent once a link, with the
+//! next message that is due anyway. Repeating the whole list every second would dominate the idle traffic of
+//! a large fleet: in a simulated one of 40 schedulers and 120 executors, a scheduler sends and receives 200
+//! KB/s with the repetition and 30 KB/s without it.
 
 use std::collections::BTreeMap;
 
 use crate::protos::dispatch as proto;
 
-/// The other schedulers, in the order in which they became known.
+/// The other schedulers, in the order in which they became known. A member whose address changes is listed
+/// again.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Members {
     addresses: BTreeMap<String, String>,
     list: Vec<proto::Member>,
 }
 
-/// How far down the list somebody has been told.
+/// The number of entries of the member list that were sent on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Told(usize);
+pub(super) struct MemberCursor(usize);
 
 impl Members {
-    /// Takes note of a member; whether it is new, or has another address than before.
+    /// Adds a member. Returns whether it is new or has another address than before.
     pub fn note(&mut self, member: &proto::Member) -> bool {
         if self.addresses.get(&member.name) == Some(&member.address) {
             return false;
@@ -32,9 +33,9 @@
         true
     }
 
-    /// The members that somebody has not been told of. They count as told after that.
-    pub fn news(&self, told: &mut Told) -> Vec<proto::Member> {
-        let from = std::mem::replace(&mut told.0, self.list.len());
+    /// Returns the members behind the cursor and advances it to the end of the list.
+    pub fn take_unsent(&self, sent: &mut MemberCursor) -> Vec<proto::Member> {
+        let from = std::mem::replace(&mut sent.0, self.list.len());
         self.list[from..].to_vec()
     }
 }
--- a/lib/src/dispatch/scheduler/peer_links.rs
+++ b/lib/src/dispatch/scheduler/peer_links.rs
@@ -1,4 +1,8 @@
-//! Links to other schedulers: they come up, are doubled, break, and belong to a life of the peer.
+//! Links to other schedulers: setup, duplicate links, loss, and silence.
+//!
+//! A peer has one link in use and may have spare ones, all of the same incarnation. When the link in use
+//! breaks, a spare one takes over and everything that may have been lost is sent again; when the last one
+//! breaks, callers' jobs that the peer held are run here.
 
 use std::collections::HashMap;
 
@@ -12,8 +16,8 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// Closes links.
-fn close(links: Vec<LinkId>, ends: &mut HashMap<LinkId, LinkEnd>, actions: &mut Vec<Action>) {
+/// Unregisters links and has them closed.
+fn close_links(links: Vec<LinkId>, ends: &mut HashMap<LinkId, LinkEnd>, actions: &mut Vec<Action>) {
     for link in links {
         ends.remove(&link);
         actions.push(Action::Close(link));
@@ -21,18 +25,20 @@
 }
 
 impl Scheduler {
+    /// Registers a new link to a peer, and uses it from now on. Links to an earlier incarnation are closed
+    /// first.
     pub(super) fn peer_up(&mut self, link: LinkId, greeting: &proto::Greeting) {
         let now = self.now;
         let earlier = self.peers.get(&greeting.name);
         if earlier.is_some_and(|p| p.link.is_some() && p.incarnation != greeting.incarnation) {
-            self.give_up_peer(&greeting.name);
+            self.disconnect_peer(&greeting.name);
         }
         let introduction = self.introduction(&greeting.name);
         let end = LinkEnd::Peer(greeting.name.clone());
         self.ends.insert(link, end);
         let peer = self.peers.entry(greeting.name.clone()).or_default();
         let old = peer.link.replace(link);
-        peer.spare.extend(old);
+        peer.spare_links.extend(old);
         if peer.incarnation != greeting.incarnation {
             peer.renewed = (peer.incarnation != 0).then_some(now);
         }
@@ -47,7 +53,7 @@
         peer.leaving = false;
         peer.version = 0;
         peer.out = introduction;
-        peer.tell_all_anew();
+        peer.reset_sent_state();
         let member = proto::Member {
             name: greeting.name.clone(),
             address: greeting.address.clone(),
@@ -57,51 +63,54 @@
         self.add_members(now, vec![member]);
     }
 
-    /// What a peer is told first on a link.
+    /// Returns the first update on a link.
     fn introduction(&self, name: &str) -> proto::PeerUpdate {
         proto::PeerUpdate {
             cancel: self.cancels_to_repeat(name),
-            jobs: self.jobs_to_name(),
+            jobs: self.jobs_to_announce(),
             executors: self.linked_executors(),
             confined: self.confined_queues(),
             ..proto::PeerUpdate::default()
         }
     }
 
-    /// The jobs that a peer is told of as its link comes up: those that are held, and those that have ended here while a
-    /// stop may not have reached every executor. A peer that waits for no silent executor must know of these.
-    fn jobs_to_name(&self) -> Vec<u64> {
+    /// Returns the jobs that are announced when a link comes up: those held here, and those that ended here
+    /// so recently that a stop may not have reached every executor. A peer that has just started does not
+    /// wait for silent executors whose schedulers have all listed their jobs, so an ended job that may still
+    /// run must be in the list.
+    fn jobs_to_announce(&self) -> Vec<u64> {
         let held = self.jobs.keys();
         let on = self.setup.policy.recovery.on;
         let lapse = self.setup.lapse;
-        let lasts = |e: &Ended| on && e.began && self.now.since(e.at) < lapse;
-        let ended = self.ended.iter().filter(|(_, e)| lasts(e));
+        let may_run = |e: &Ended| on && e.began && self.now.since(e.at) < lapse;
+        let ended = self.ended.iter().filter(|(_, e)| may_run(e));
         held.chain(ended.map(|(number, _)| number))
             .map(|number| number.0)
             .collect()
     }
 
+    /// Handles the loss of one link to a peer: switches to a spare link, or gives the peer up if none is
+    /// left.
     pub(super) fn peer_link_down(&mut self, name: &str, link: LinkId) {
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        peer.spare.retain(|l| *l != link);
+        peer.spare_links.retain(|l| *l != link);
         let used = peer.link == Some(link);
         if used {
-            peer.link = peer.spare.pop();
+            peer.link = peer.spare_links.pop();
         }
         if peer.link.is_none() {
             return self.peer_down(name);
         }
         if used {
-            self.introduce_again(name);
+            self.repeat_introduction(name);
         }
-        self.follow_again(name);
+        self.repeat_follows(name);
     }
 
-    /// What was sent on a link that broke may not have arrived: over the one that is left, the peer is
-    /// told anew what it was told on that one.
-    fn introduce_again(&mut self, name: &str) {
+    /// Repeats the first update on the link that is left, as messages on the broken one may not have arrived.
+    fn repeat_introduction(&mut self, name: &str) {
         let introduction = self.introduction(name);
         let Some(peer) = self.peers.get_mut(name) else {
             return;
@@ -110,12 +119,13 @@
         peer.out.executors = introduction.executors;
         peer.out.confined = introduction.confined;
         peer.out.cancel = introduction.cancel;
-        peer.tell_all_anew();
+        peer.reset_sent_state();
     }
 
-    /// Asks a peer again for the ends of its jobs that callers here wait for: the request may have been lost
-    /// with a link, or the answer with another one. A handed job that was lost runs here then.
-    fn follow_again(&mut self, name: &str) {
+    /// Asks a peer again for the outcomes of its jobs that callers here wait for: the request or the answer
+    /// may have been lost with a link. If a handed-over job was lost, the peer does not know it, and the job
+    /// is run here. Jobs whose handover has not been sent yet are left out.
+    fn repeat_follows(&mut self, name: &str) {
         let followed = self.following.iter().filter(|(_, f)| f.peer == name);
         let mut numbers: Vec<u64> = followed.map(|(number, _)| number.0).collect();
         numbers.sort_unstable();
@@ -126,24 +136,25 @@
         }
     }
 
-    /// Closes all links to a peer that does not answer on them.
-    fn give_up_peer(&mut self, name: &str) {
+    /// Closes all links to a peer and treats it as lost.
+    fn disconnect_peer(&mut self, name: &str) {
         if let Some(peer) = self.peers.get_mut(name) {
-            let closing: Vec<LinkId> = peer.spare.drain(..).chain(peer.link.take()).collect();
-            close(closing, &mut self.ends, &mut self.actions);
+            let closing: Vec<LinkId> = peer.spare_links.drain(..).chain(peer.link.take()).collect();
+            close_links(closing, &mut self.ends, &mut self.actions);
         }
         self.peer_down(name);
     }
 
-    /// Gives up the links to all peers.
+    /// Closes the links to all peers.
     pub(super) fn drop_peer_links(&mut self) {
         let linked = self.peers.iter().filter(|(_, p)| p.link.is_some());
         let names: Vec<String> = linked.map(|(name, _)| name.clone()).collect();
         for name in names {
-            self.give_up_peer(&name);
+            self.disconnect_peer(&name);
         }
     }
 
+    /// Handles the loss of the last link to a peer, and takes over its jobs that callers here wait for.
     fn peer_down(&mut self, name: &str) {
         let Some(peer) = self.peers.get_mut(name) else {
             return;
@@ -167,7 +178,7 @@
         }
     }
 
-    /// Closes silent links to peers.
+    /// Disconnects peers that have been silent for too long, and forgets those that have been gone for long.
     pub(super) fn watch_peers(&mut self) {
         let now = self.now;
         let bound = self.setup.silence;
@@ -178,7 +189,7 @@
         self.peers
             .retain(|_, p| p.link.is_some() || now.since(p.heard) < forgotten);
         for name in names {
-            self.give_up_peer(&name);
+            self.disconnect_peer(&name);
         }
     }
 }
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -1,57 +1,68 @@
-//! Other schedulers: who has which job. Links stand in `peer_links`, following in `following`.
+//! Messages between schedulers: which jobs, executors, zones and catalogs each of them knows about.
+//!
+//! Input are the updates of peers; output are batched updates and heartbeats, sent on one link a peer.
+//! `peer_links` manages the links themselves, and `following` the jobs of peers that callers here wait for.
 
 use bytes::Bytes;
 
 use super::Action;
 use super::LinkEnd;
 use super::Scheduler;
-use super::members::Told;
+use super::members::MemberCursor;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::JobOutcome;
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// Another scheduler.
+/// Another scheduler, as this one knows it, and the update that is being gathered for it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    /// The link that messages are sent on.
+    /// The link that messages are sent on; `None` while the peer is not linked.
     pub link: Option<LinkId>,
-    /// Further links, as when both have connected to each other at once.
-    pub spare: Vec<LinkId>,
+    /// Further open links, such as the second one if both sides connect at the same time.
+    pub spare_links: Vec<LinkId>,
     pub incarnation: u64,
-    /// When it was met in another incarnation than before.
+    /// When it first linked with another incarnation than the one known before.
     pub renewed: Option<Mono>,
     pub address: String,
+    /// When the last message from it arrived.
     pub heard: Mono,
-    /// Whether its first message on a link has come, which says what it has at work.
+    /// Whether its first update on the current link has arrived. That update lists the jobs that it holds.
     pub met: bool,
-    /// When its last link broke, though it had been heard just before and not said that it leaves.
+    /// When its last link broke unexpectedly: it had been heard just before and had not announced that it
+    /// leaves.
     pub lost: Option<Mono>,
+    /// Whether it has announced that it shuts down.
     pub leaving: bool,
     pub zone: String,
-    /// Whether it takes jobs without claiming them for having just started.
+    /// Whether it accepts jobs normally: it has a catalog, does not leave, and no longer has to claim every
+    /// job because it has just started.
     pub settled: bool,
-    /// When its present link came up.
+    /// When the newest link came up.
     pub linked_at: Mono,
-    /// Whether the store has told it which executors there are.
+    /// Whether it has read the list of executors from the store.
     pub roster_read: bool,
+    /// The version of the catalog that it has in force; 0 for none.
     pub version: u64,
-    /// What it is told next.
+    /// The update that is being gathered for it.
     pub out: proto::PeerUpdate,
     last_sent: Mono,
-    members_told: Told,
-    /// The edition of what is known of zones that it was told on this link.
-    zones_told: u64,
+    members_sent: MemberCursor,
+    /// The edition of the zone records that was last sent on this link.
+    zones_sent: u64,
 }
 
 impl Peer {
-    /// Whether something is gathered for it that goes out at once, or as soon as news may.
+    /// Returns whether a linked peer has a gathered update that need not wait for the next heartbeat: an
+    /// urgent one, or announced jobs, which go out once the minimum interval between announcements has
+    /// passed.
     pub fn is_hurried(&self) -> bool {
         let out = &self.out;
-        self.link.is_some() && (self.is_urgent() || !out.jobs.is_empty())
+        self.link.is_some() && (self.has_urgent_update() || !out.jobs.is_empty())
     }
 
-    fn is_urgent(&self) -> bool {
+    /// Returns whether the gathered update has to be sent immediately.
+    fn has_urgent_update(&self) -> bool {
         let out = &self.out;
         !(out.follow.is_empty()
             && out.ends.is_empty()
@@ -65,43 +76,43 @@
             && !out.catalog_wanted)
     }
 
-    /// Asks it for its catalog with the next message, which goes out at once.
-    pub fn want_catalog(&mut self) {
+    /// Requests its catalog. The request is urgent.
+    pub fn request_catalog(&mut self) {
         self.out.catalog_wanted = true;
     }
 
-    /// Whether it takes jobs, and goes on doing so.
+    /// Returns whether it accepts jobs and will go on doing so.
     pub fn stays(&self) -> bool {
         self.settled && !self.leaving
     }
 
-    /// Whether it is linked and the store has told it which executors there are.
+    /// Returns whether it is linked and has read the list of executors from the store.
     pub fn reads_roster(&self) -> bool {
         self.link.is_some() && self.roster_read
     }
 
-    /// Whether it is linked in this incarnation and has said which jobs it has.
+    /// Returns whether it is linked with this incarnation and has listed the jobs that it holds.
     pub fn is_met_in(&self, incarnation: u64) -> bool {
         self.link.is_some() && self.met && self.incarnation == incarnation
     }
 
-    /// Whether it is linked and has to claim jobs for having just started.
+    /// Returns whether it is linked but not settled: it has just started, has no catalog, or leaves.
     pub fn is_starting(&self) -> bool {
         self.link.is_some() && !self.settled
     }
 
-    /// Whether it is in an availability zone.
+    /// Returns whether it is in the given availability zone.
     pub fn is_in(&self, zone: &str) -> bool {
         self.zone == zone
     }
 
-    /// Hands it a job with the next message, which goes out at once.
+    /// Hands a job over to it. The update is urgent.
     pub fn hand(&mut self, job: proto::HandedJob) {
         self.out.handed.push(job);
     }
 
-    /// Tells it with the next message what falls to a queue of a crash.
-    pub fn tell_blame(&mut self, queue: &str, permille: u32) {
+    /// Adds a queue's share of the blame for a crash to the next update. Shares of one queue are summed up.
+    pub fn add_blame(&mut self, queue: &str, permille: u32) {
         if self.link.is_none() {
             return;
         }
@@ -115,21 +126,21 @@
         }
     }
 
-    /// Has the next message go out at once, with all that is told once a link.
-    pub fn tell_all_anew(&mut self) {
+    /// Makes the next update due immediately and has it repeat everything that is otherwise sent once a link.
+    pub fn reset_sent_state(&mut self) {
         self.last_sent = Mono::default();
-        self.members_told = Told::default();
-        self.zones_told = 0;
+        self.members_sent = MemberCursor::default();
+        self.zones_sent = 0;
     }
 
-    /// Sends it a catalog with the next message, which goes out at once.
+    /// Adds an encoded catalog to the next update. The update is urgent.
     pub fn send_catalog(&mut self, bytes: Bytes) {
         self.out.catalog = bytes;
     }
 }
 
 impl Scheduler {
-    /// A link is up.
+    /// Registers a new link to an executor or a peer, whichever the greeting comes from.
     pub fn link_up(&mut self, now: Mono, link: LinkId, greeting: &proto::Greeting) {
         self.enter(now);
         if greeting.executor {
@@ -139,7 +150,8 @@
         }
     }
 
-    /// A link is down.
+    /// Handles the loss of a link. Links that were closed from this side are no longer registered and
+    /// ignored.
     pub fn link_down(&mut self, now: Mono, link: LinkId) {
         self.enter(now);
         match self.ends.remove(&link) {
@@ -149,7 +161,8 @@
         }
     }
 
-    /// A message has come in.
+    /// Handles an incoming message. Messages on links that are not registered, or of the wrong kind for their
+    /// link, are ignored.
     pub fn message(&mut self, now: Mono, link: LinkId, body: proto::frame::Body) {
         self.enter(now);
         match body {
@@ -169,29 +182,30 @@
         }
     }
 
-    /// Whether a link to the peer at this address is up.
+    /// Returns whether a link to the peer at this address is up.
     pub fn is_linked_to(&self, address: &str) -> bool {
         let mut peers = self.peers.values();
         peers.any(|p| p.link.is_some() && p.address == address)
     }
 
-    /// Whether a peer in the own zone is linked that takes jobs and has not just started.
+    /// Returns whether a settled peer in the same zone is linked.
     pub(super) fn has_settled_neighbour(&self) -> bool {
         let mut linked = self.peers.values().filter(|p| p.link.is_some());
         linked.any(|p| p.settled && p.zone == self.setup.zone)
     }
 
-    /// Whether a link to this peer is up.
+    /// Returns whether a link to the peer with this name is up.
     pub fn is_linked(&self, name: &str) -> bool {
         self.peers.get(name).is_some_and(|p| p.link.is_some())
     }
 
-    /// A peer that has a job and can be asked about it: the one that said so last.
+    /// Returns the linked peer that announced a job most recently.
     pub(super) fn linked_holder(&self, number: JobNumber) -> Option<String> {
         let mut holders = self.announced.holders(number);
         holders.find(|name| self.is_linked(name)).map(str::to_owned)
     }
 
+    /// Applies an update of a peer.
     fn peer_update(&mut self, name: &str, update: proto::PeerUpdate) {
         let now = self.now;
         self.note_gap();
@@ -203,10 +217,10 @@
             peer.settled = update.settled;
             peer.roster_read = update.roster_read;
         }
-        self.hear_backlog(name, &update.backlog);
-        self.hear_load(name, &update);
+        self.record_peer_backlog(name, &update.backlog);
+        self.record_peer_load(name, &update);
         for job in update.jobs {
-            self.note_rival(JobNumber(job));
+            self.mark_contested(JobNumber(job));
             self.announced.note(JobNumber(job), name, now);
         }
         for job in update.follow {
@@ -223,7 +237,7 @@
             self.cancel(now, JobNumber(job));
         }
         for job in update.unfollow {
-            self.hear_unfollow(name, JobNumber(job));
+            self.handle_unfollow(name, JobNumber(job));
         }
         if !update.members.is_empty() {
             self.add_members(now, update.members);
@@ -231,13 +245,13 @@
         update
             .blames
             .iter()
-            .for_each(|blame| self.hear_blame(blame));
+            .for_each(|blame| self.handle_blame(blame));
         update
             .confined
             .iter()
-            .for_each(|queue| self.hear_confined(queue));
+            .for_each(|queue| self.handle_confined_queue(queue));
         for state in &update.zones {
-            self.hear_of_zone(state, name);
+            self.record_zone_state(state, name);
         }
         self.hear_of_executors(&update.executors);
         for silent in update.silent {
@@ -248,14 +262,14 @@
             self.roster_wanted_by(name);
         }
         if !update.catalog.is_empty() {
-            self.read_catalog(name, &update.catalog);
+            self.receive_catalog(name, &update.catalog);
         }
         if update.catalog_wanted {
-            self.hand_out_catalog(name);
+            self.send_catalog_to(name);
         }
     }
 
-    /// Tells a peer how a job ended that it follows.
+    /// Reports the outcome of a job to a peer that follows it.
     pub(super) fn tell_peer_end(&mut self, name: &str, number: JobNumber, outcome: JobOutcome) {
         if let Some(peer) = self.peers.get_mut(name) {
             let (job, outcome) = (number.0, outcome.code());
@@ -263,9 +277,9 @@
         }
     }
 
-    /// Tells the peers of an executor that has linked here. Only its name: with all names on each link, a few executors that
-    /// join would make as many long messages as there are pairs of schedulers.
-    pub(super) fn tell_executor(&mut self, name: &str) {
+    /// Announces a newly linked executor to all peers. Only the new name is sent: if every link repeated all
+    /// names, a few joining executors would cause as many long messages as there are pairs of schedulers.
+    pub(super) fn announce_executor(&mut self, name: &str) {
         for peer in self.peers.values_mut() {
             if peer.link.is_some() && !peer.out.executors.iter().any(|n| n == name) {
                 peer.out.executors.push(name.to_owned());
@@ -273,15 +287,15 @@
         }
     }
 
-    /// Sends every peer a heartbeat at once.
-    pub(super) fn hurry_heartbeats(&mut self) {
+    /// Makes a heartbeat to every peer due immediately.
+    pub(super) fn force_heartbeats(&mut self) {
         for peer in self.peers.values_mut() {
             peer.last_sent = Mono::default();
         }
         self.sweep = true;
     }
 
-    /// Tells every peer of a job that was taken.
+    /// Announces an accepted job to all linked peers.
     pub(super) fn announce(&mut self, number: JobNumber) {
         for peer in self.peers.values_mut() {
             if peer.link.is_some() {
@@ -290,8 +304,9 @@
         }
     }
 
-    /// A peer has a job that is held here, too: one of the two has to give way at the executors.
-    fn note_rival(&mut self, number: JobNumber) {
+    /// Marks a job that a peer holds as well: it is claimed before more of its tasks are placed, so that the
+    /// executors run it for one of the two schedulers only.
+    fn mark_contested(&mut self, number: JobNumber) {
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(&number) {
             self.gap = now;
@@ -299,7 +314,9 @@
         }
     }
 
-    /// Sends the peers their news and heartbeats.
+    /// Sends the updates and heartbeats that are due. Urgent updates and changed zones go out immediately,
+    /// announced jobs after a minimum interval that grows with the number of linked peers, and the rest with
+    /// the next heartbeat.
     pub(super) fn flush_peers(&mut self) {
         let now = self.now;
         let reports = self.setup.policy.reports;
@@ -309,16 +326,16 @@
         let settled = !leaving && !self.is_young() && version > 0;
         let roster_read = self.setup.policy.recovery.on && self.roster_sync.is_read();
         let silent = self.silent_executors();
-        let backlog = self.backlog_news();
-        let busy = self.busy_news();
+        let backlog = self.backlog_update();
+        let busy = self.busy_update();
         let linked = self.peers.values().filter(|p| p.link.is_some()).count() as u32;
         let news_gap = reports.news_gap.max(reports.news_each * linked);
         for peer in self.peers.values_mut() {
             let Some(link) = peer.link else {
                 continue;
             };
-            let zones = peer.zones_told != edition;
-            let urgent = peer.is_urgent() || zones;
+            let zones = peer.zones_sent != edition;
+            let urgent = peer.has_urgent_update() || zones;
             let gap = now.since(peer.last_sent);
             let news = !peer.out.jobs.is_empty() && gap >= news_gap;
             if !urgent && !news && gap < reports.heartbeat {
@@ -326,9 +343,9 @@
             }
             let mut update = std::mem::take(&mut peer.out);
             update.catalog_version = version;
-            update.members = self.members.news(&mut peer.members_told);
+            update.members = self.members.take_unsent(&mut peer.members_sent);
             if zones {
-                peer.zones_told = edition;
+                peer.zones_sent = edition;
                 update.zones = self.zones.proto();
             }
             update.leaving = leaving;
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -143,8 +143,8 @@
         let now = self.now;
         let policy = self.setup.policy.speeds;
         let executor = &mut self.executors[key];
-        let gap = now.since(executor.judged);
-        executor.judged = now;
+        let gap = now.since(executor.judged_at);
+        executor.judged_at = now;
         executor.usual.note(percent, gap, &policy);
         let sick = executor.usual.is_sick(percent, executor.slow, &policy);
         if sick != executor.slow {
