--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -374,7 +374,7 @@
         self.forget();
         self.settle_claims();
         self.place();
-        self.even_out();
+        self.balance_jobs();
     }
 
     fn forget(&mut self) {
@@ -413,7 +413,7 @@
     /// Sends what has been gathered for executors and peers.
     fn flush(&mut self) {
         let now = self.now;
-        self.settle_cell();
+        self.refresh_cell();
         if std::mem::take(&mut self.sweep) {
             self.pending.clear();
             self.pending.extend(self.executors.keys());
@@ -422,7 +422,7 @@
             return;
         }
         self.flush_executors(now);
-        if self.peers.values().any(Peer::is_hurried) {
+        if self.peers.values().any(Peer::has_pending_update) {
             self.flush_peers();
         }
     }
--- a/lib/src/dispatch/scheduler/announcements.rs
+++ b/lib/src/dispatch/scheduler/announcements.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether some peer has said that it has a job.
-    pub fn knows(&self, number: JobNumber) -> bool {
+    pub fn is_announced(&self, number: JobNumber) -> bool {
         self.by_job.contains_key(&number)
     }
 
--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -60,7 +60,7 @@
     }
 
     /// Takes into account that it has waited elsewhere.
-    pub(super) fn arrived_earlier(&mut self, waited: Duration) {
+    pub(super) fn backdate_arrival(&mut self, waited: Duration) {
         self.arrived = self.arrived - waited;
         self.objective_at = self.objective_at - waited;
         self.sure_start = self.sure_start - waited;
@@ -128,7 +128,7 @@
     /// Hands on jobs that wait here, if more waits than at peers. Each priority is evened out by itself, the most urgent
     /// first: if only patient jobs went, urgent ones would wait where callers are many, while patient ones elsewhere take
     /// the room.
-    pub(super) fn even_out(&mut self) {
+    pub(super) fn balance_jobs(&mut self) {
         if !self.setup.policy.balance.on || self.waiting.is_empty() || self.leaving.is_some() {
             return;
         }
@@ -174,9 +174,9 @@
         let recent = self.setup.policy.reports.heartbeat * 2;
         let most = self.setup.policy.balance.busy * 100.0;
         let takes = |name: &String, p: &Peer| {
-            let heard = p.link.is_some() && p.met && self.now.since(p.heard) <= recent;
+            let heard = p.link.is_some() && p.met && self.now.since(p.last_heard) <= recent;
             let load = self.loads.peers.get(name);
-            heard && p.stays() && load.is_some_and(|l| f64::from(l.busy) <= most)
+            heard && p.accepts_jobs() && load.is_some_and(|l| f64::from(l.busy) <= most)
         };
         let takers = self.peers.iter().filter(|(name, p)| takes(name, p));
         takers.map(|(name, _)| name.clone()).collect()
@@ -234,7 +234,7 @@
             return;
         }
         if let Some(peer) = self.peers.get_mut(name).filter(|p| p.link.is_some()) {
-            peer.out.unfollow.push(number.0);
+            peer.outgoing.unfollow.push(number.0);
         }
     }
 
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -234,7 +234,7 @@
     }
 
     /// The executors at which tasks of a queue must not be placed, as it is confined or others are.
-    pub(super) fn barred_from(&self, queue: &str) -> BTreeSet<ExecutorKey> {
+    pub(super) fn excluded_executors(&self, queue: &str) -> BTreeSet<ExecutorKey> {
         if !self.bulkheads.is_any_closed() || self.executors.len() < 2 {
             return BTreeSet::new();
         }
--- a/lib/src/dispatch/scheduler/cell.rs
+++ b/lib/src/dispatch/scheduler/cell.rs
@@ -21,13 +21,13 @@
 /// The delay after which tasks are placed at an executor that was added to the cell, in a fleet larger than
 /// one cell. By then the executor has told all other schedulers that this one may place tasks there: it does
 /// so 20 ms later, with the next message on each link, which is due every 100 ms.
-pub(super) const CELL_SETTLE: Duration = Duration::from_millis(200);
+pub(super) const CELL_JOIN_DELAY: Duration = Duration::from_millis(200);
 
 /// The executors in the cell, and what they were selected by.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Cell {
     /// The executors in the cell, including the borrowed ones.
-    pub near: Vec<ExecutorKey>,
+    pub executors: Vec<ExecutorKey>,
     /// Whether links or evacuated zones have changed since the cell was formed.
     pub stale: bool,
     /// The size limit that the cell was formed with, without borrowed executors.
@@ -39,10 +39,10 @@
 impl Scheduler {
     /// Forms the cell again if links or evacuated zones have changed, a loan is over, or the size limit has
     /// changed.
-    pub(super) fn settle_cell(&mut self) {
+    pub(super) fn refresh_cell(&mut self) {
         let now = self.now;
         let over = |key: &ExecutorKey| self.executors.get(*key).is_none_or(|e| e.is_loan_over(now));
-        let ended = self.sweep && self.cell.near.iter().any(over);
+        let ended = self.sweep && self.cell.executors.iter().any(over);
         let resized = self.sweep && self.cell.size != self.cell_size();
         if !std::mem::take(&mut self.cell.stale) && !ended && !resized {
             return;
@@ -56,14 +56,14 @@
             ranks.select_nth_unstable(size - 1);
         }
         let (home, others) = ranks.split_at(ranks.len().min(size));
-        self.cell.near.clear();
+        self.cell.executors.clear();
         for (_, key) in home {
-            self.executors[*key].home = true;
+            self.executors[*key].core_member = true;
             self.add_to_cell(*key);
         }
         for (_, key) in others {
             let executor = &mut self.executors[*key];
-            executor.home = false;
+            executor.core_member = false;
             if executor.is_loan_over(now) {
                 executor.standby = true;
             } else {
@@ -88,21 +88,21 @@
     }
 
     /// Returns whether the size limit of the cell covers all known executors.
-    pub(super) fn is_one_cell(&self) -> bool {
+    pub(super) fn is_single_cell(&self) -> bool {
         self.executors.len() <= self.cell_size()
     }
 
     /// Adds an executor to the cell, and ends its standby.
     fn add_to_cell(&mut self, key: ExecutorKey) {
-        self.cell.near.push(key);
-        let settle = if self.is_one_cell() {
+        self.cell.executors.push(key);
+        let settle = if self.is_single_cell() {
             Duration::ZERO
         } else {
-            CELL_SETTLE
+            CELL_JOIN_DELAY
         };
         let executor = &mut self.executors[key];
         if std::mem::replace(&mut executor.standby, false) {
-            executor.hurried = self.now;
+            executor.asked_at = self.now;
             executor.usable_at = self.now + settle;
             self.pending.push(key);
         }
@@ -111,7 +111,7 @@
     /// Borrows some executors outside the cell for a while, because jobs wait for which the cell has no
     /// capacity. Draws twice as many ready executors at random, and takes those with the most free CPU by
     /// their last reports.
-    pub(super) fn widen_cell(&mut self) {
+    pub(super) fn borrow_executors(&mut self) {
         let now = self.now;
         let policy = self.setup.policy.cells;
         if now.since(self.cell.lent_at) < policy.lent_for || policy.lent == 0 {
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -35,15 +35,15 @@
         if !std::mem::take(&mut self.doubt_stale) {
             return;
         }
-        let heard = self.leases.names();
-        let away = heard.filter(|name| **name != self.setup.name && !self.is_linked(name));
+        let last_heard = self.leases.names();
+        let away = last_heard.filter(|name| **name != self.setup.name && !self.is_linked(name));
         self.doubtful = away.cloned().collect();
     }
 
     /// When a peer was last heard of.
     fn last_heard(&self, name: &str) -> Mono {
-        let heard = self.peers.get(name).map(|p| p.heard);
-        heard.unwrap_or_default().max(self.setup.started)
+        let last_heard = self.peers.get(name).map(|p| p.last_heard);
+        last_heard.unwrap_or_default().max(self.setup.started)
     }
 
     /// Whether a job that comes in for the first time here may be at work elsewhere without this
@@ -73,7 +73,7 @@
     fn is_minority(&self) -> bool {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
-        let away = |p: &Peer| p.link.is_none() && now.since(p.heard) >= bound;
+        let away = |p: &Peer| p.link.is_none() && now.since(p.last_heard) >= bound;
         let linked = self.executors.values().filter(|e| e.link.is_some());
         self.peers.values().any(away) && linked.count() * 2 < self.executors.len()
     }
@@ -105,7 +105,7 @@
     pub(super) fn note_gap(&mut self) {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
-        let unheard = |p: &Peer| now.since(p.heard) >= bound;
+        let unheard = |p: &Peer| now.since(p.last_heard) >= bound;
         if self.peers.values().any(unheard) {
             self.gap = now;
         }
@@ -118,12 +118,12 @@
         let (now, lapse) = (self.now, self.setup.lapse);
         let settled = |p: &Peer| match p.link {
             Some(_) => p.met,
-            None => self.silence(p.heard) >= lapse,
+            None => self.silence(p.last_heard) >= lapse,
         };
-        let heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
+        let last_heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
         now.since(self.present_since) >= self.setup.policy.claims.meeting
             && self.peers.values().all(settled)
-            && self.doubtful.iter().all(heard)
+            && self.doubtful.iter().all(last_heard)
     }
 
     /// Whether this scheduler has only just started, or come back from a long pause: jobs of a life
@@ -136,7 +136,8 @@
     /// started has left runs at its worker that end by themselves only.
     fn has_met_roster(&self) -> bool {
         let roster = self.roster.as_ref();
-        let met = roster.is_some_and(|names| names.iter().all(|name| self.is_met(name)));
+        let met =
+            roster.is_some_and(|names| names.iter().all(|name| self.is_linked_or_accounted(name)));
         met && !self.lacks_executors()
     }
 
@@ -181,15 +182,16 @@
         self.settle_doubt();
         self.counts.claims += 1;
         // Nobody has said that it has the job: only what went with the link may have.
-        let unheard = !self.announced.knows(number) && !self.ended.contains_key(&number);
+        let unheard = !self.announced.is_announced(number) && !self.ended.contains_key(&number);
         let lost = !self.is_young() && unheard && self.has_lost_a_link();
         if !self.is_young() && !lost && !self.reaches_enough() {
             return self.end_unclaimable(number);
         }
         let now = self.now;
         // Nobody else is known to have the job: only a forerunner of this scheduler may have.
-        let young =
-            self.is_young() && !self.announced.knows(number) && !self.ended.contains_key(&number);
+        let young = self.is_young()
+            && !self.announced.is_announced(number)
+            && !self.ended.contains_key(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.phase = Phase::Claiming(BTreeSet::new());
             // Executors may confirm at once and others much later: from when they were asked on
@@ -216,7 +218,7 @@
     /// Load pattern: one of 55 schedulers is lost, and for half a second each new job at each of the others is
     /// claimed. At all of 240 executors that is 300,000 claims; at those that list the lost one it is a fifth. A
     /// scheduler places tasks at an executor once that has had the time to list it for all others
-    /// ([`CELL_SETTLE`](super::cell::CELL_SETTLE)).
+    /// ([`CELL_JOIN_DELAY`](super::cell::CELL_SETTLE)).
     fn reach_of_lost(&self) -> Vec<ExecutorKey> {
         let bound = self.setup.policy.claims.link_lost;
         let recent = |at: Mono| self.now.since(at) < bound;
@@ -224,7 +226,7 @@
         let lost = lost.filter(|(_, p)| p.lost.is_some_and(recent));
         let lost: Vec<&String> = lost.map(|(name, _)| name).collect();
         let listed = |name: &&String| self.leases.holds(name);
-        if self.is_one_cell() || !lost.iter().all(listed) {
+        if self.is_single_cell() || !lost.iter().all(listed) {
             return self.executors.keys().collect();
         }
         let lists = |e: &ExecutorView| e.profile.leased.iter().any(|name| lost.contains(&name));
@@ -242,8 +244,8 @@
             asked.insert(key);
         }
         let executor = &mut self.executors[key];
-        if executor.hurried <= executor.heard {
-            executor.hurried = self.now;
+        if executor.asked_at <= executor.last_heard {
+            executor.asked_at = self.now;
         }
         let orders = &mut executor.orders;
         if job.renewed {
@@ -330,7 +332,7 @@
         let all = self.must_reach_all();
         let wait = all || self.has_renewed_peer() || self.was_just_given_up(number);
         // Nobody is known to have the job: where all that runs is known, it is not among it.
-        let unheard = job.claimed_young && !self.announced.knows(number);
+        let unheard = job.claimed_young && !self.announced.is_announced(number);
         let over = |e: &ExecutorView| self.is_lost(e) || (unheard && self.is_accounted(e));
         let may_run = |e: &ExecutorView| wait || !over(e);
         let open = |key: &ExecutorKey| self.executors.get(*key).is_some_and(may_run);
@@ -355,7 +357,7 @@
     /// Whether nothing that was placed at an executor runs there any more. One that has said so before it left need not be
     /// waited for: jobs would be refused meanwhile for executors that are taken away.
     fn is_lost(&self, executor: &ExecutorView) -> bool {
-        let over = executor.departed || self.silence(executor.heard) >= self.setup.lapse;
+        let over = executor.departed || self.silence(executor.last_heard) >= self.setup.lapse;
         executor.link.is_none() && over
     }
 
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -93,7 +93,7 @@
 
 impl Scheduler {
     /// Whether what waits elsewhere counts.
-    pub(super) fn contends(&self) -> bool {
+    pub(super) fn is_contention_on(&self) -> bool {
         self.setup.policy.contention.on
     }
 
@@ -103,7 +103,7 @@
         let most = policy.admission.round_jobs as usize;
         let numbers: Vec<JobNumber> = self.waiting.iter().take(most).map(|w| w.2).collect();
         self.note_gap();
-        self.settle_cell();
+        self.refresh_cell();
         self.spared = None;
         let free = self.free_room();
         let mut round = Round::new(self.now, free, policy.contention.round_misses);
@@ -142,14 +142,14 @@
         if after == 0 {
             return;
         }
-        self.widen_cell();
+        self.borrow_executors();
         if let Some(entrant) = &entrant
             && !confined
         {
             match after < before {
                 true => round.begin_part(),
                 // It waits by choice for a better worker, which the jobs behind it leave alone.
-                false if self.spares_room(number) => {}
+                false if self.leaves_room(number) => {}
                 false => round.miss(entrant),
             }
         }
@@ -209,8 +209,8 @@
     }
 
     fn free_room(&self) -> u64 {
-        let near = self.cell.near.iter().map(|key| &self.executors[*key]);
-        let open = near.filter(|e| e.takes(self.now, &e.profile.service));
+        let near = self.cell.executors.iter().map(|key| &self.executors[*key]);
+        let open = near.filter(|e| e.accepts_tasks(self.now, &e.profile.service));
         open.map(|e| e.free.cpu_milli.max(0) as u64).sum()
     }
 
@@ -226,9 +226,9 @@
 
     /// Whether a job that comes would start too late by a margin. One that may have run elsewhere is never refused for
     /// that: it could not be said that it has not run.
-    pub(super) fn is_hopeless(&self, job: &Job) -> bool {
+    pub(super) fn would_start_late(&self, job: &Job) -> bool {
         let may_have_run = self.ended.get(&job.request.number).is_some_and(|e| e.began);
-        if !self.contends() || may_have_run || !self.shares_room() {
+        if !self.is_contention_on() || may_have_run || !self.shares_room() {
             return false;
         }
         let policy = &self.setup.policy.contention;
@@ -258,7 +258,7 @@
 
     /// A job has begun, or was turned away before it did.
     pub(super) fn note_share(&mut self, job: &Job, served: bool) {
-        if !self.contends() {
+        if !self.is_contention_on() {
             return;
         }
         let need = job.first_cpu();
@@ -274,7 +274,7 @@
     pub(super) fn come_back_ms(&mut self) -> u32 {
         let admission = self.setup.policy.admission;
         let base = admission.come_back_ms(&mut self.rng);
-        if !self.contends() {
+        if !self.is_contention_on() {
             return base;
         }
         let policy = self.setup.policy.contention;
@@ -309,7 +309,7 @@
 
     /// What peers are told of what waits here.
     pub(super) fn backlog_update(&mut self) -> Vec<proto::Backlog> {
-        if !self.contends() && !self.setup.policy.balance.on {
+        if !self.is_contention_on() && !self.setup.policy.balance.on {
             return Vec::new();
         }
         if self.now.since(self.contention.summed) >= SUM_GAP {
@@ -320,7 +320,7 @@
 
     /// A peer tells what waits at it.
     pub(super) fn record_peer_backlog(&mut self, peer: &str, rows: &[proto::Backlog]) {
-        if self.contends() {
+        if self.is_contention_on() {
             let backlog = Backlog::from_proto(rows);
             self.contention.peers.note(self.now, peer, backlog);
         }
@@ -336,7 +336,7 @@
 
     /// Tells operators when work begins to wait for longer than a moment, and when none does any more.
     pub(super) fn watch_contention(&mut self) {
-        if !self.contends() {
+        if !self.is_contention_on() {
             return;
         }
         self.sum_backlog();
@@ -367,8 +367,8 @@
     }
 
     /// A job was turned away: what was ahead of it is told to operators if it had not begun.
-    pub(super) fn note_turned(&mut self, job: &Job) {
-        if self.contends() && !job.began {
+    pub(super) fn record_rejection(&mut self, job: &Job) {
+        if self.is_contention_on() && !job.began {
             self.log_ahead(job);
             self.note_share(job, false);
         }
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -16,7 +16,7 @@
 impl Scheduler {
     /// An executor tells of the end of a task.
     pub(super) fn task_ended(&mut self, key: ExecutorKey, end: &proto::TaskEnd) {
-        if !self.note_end(key, end.number) {
+        if !self.mark_end_seen(key, end.number) {
             return;
         }
         let Some(kind) = EndKind::from_code(end.kind) else {
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -28,7 +28,7 @@
     pub link: Option<LinkId>,
     pub linked_at: Mono,
     /// When the last message from it arrived.
-    pub heard: Mono,
+    pub last_heard: Mono,
     /// The executor's newest clock reading, which is echoed to it.
     pub clock_us: u64,
     pub report: proto::WorkerReport,
@@ -55,7 +55,7 @@
     /// Its position in the order by which the cell is formed.
     pub rank: Rank,
     /// Whether it is in the cell by its rank, and not just borrowed.
-    pub home: bool,
+    pub core_member: bool,
     /// Until when it is borrowed: tasks may be placed there although its rank does not put it in the cell.
     pub lent_until: Mono,
     /// Whether it is outside the cell, so that no tasks are placed there.
@@ -66,7 +66,7 @@
     pub usable_at: Mono,
     /// Since when a prompt answer is due from it, because a claim was sent to it or it was taken into the
     /// cell.
-    pub hurried: Mono,
+    pub asked_at: Mono,
     /// Whether its worker is far slower than the other workers or, if speeds are learned, than it usually is.
     pub slow: bool,
     /// The usual slowness of its worker.
@@ -105,7 +105,7 @@
             incarnation: greeting.incarnation,
             link: None,
             linked_at: now,
-            heard: now,
+            last_heard: now,
             clock_us: 0,
             report: proto::WorkerReport::default(),
             profile: proto::Profile::default(),
@@ -120,12 +120,12 @@
             seen_ends: 0,
             last_trial: Mono::default(),
             rank: Rank::default(),
-            home: false,
+            core_member: false,
             lent_until: Mono::default(),
             standby: true,
             standby_sent: true,
             usable_at: Mono::default(),
-            hurried: Mono::default(),
+            asked_at: Mono::default(),
             slow: false,
             usual: Usual::default(),
             judged_at: now,
@@ -157,7 +157,7 @@
         self.incarnation = greeting.incarnation;
         self.link = Some(link);
         self.linked_at = now;
-        self.heard = now;
+        self.last_heard = now;
         self.clock_us = 0;
         self.sequence = 0;
         self.uncounted.clear();
@@ -180,13 +180,13 @@
     }
 
     /// Returns whether tasks of a service may be placed there now.
-    pub fn takes(&self, now: Mono, service: &str) -> bool {
+    pub fn accepts_tasks(&self, now: Mono, service: &str) -> bool {
         self.link.is_some()
             && !self.standby
             && !self.evacuated
             && self.usable_at <= now
             && self.report.ready
-            && now.since(self.heard) < self.policy.placement.report_age
+            && now.since(self.last_heard) < self.policy.placement.report_age
             && self.profile.service == service
     }
 
@@ -248,26 +248,29 @@
     /// Returns whether it is in the cell neither by its rank nor as a borrowed one, and has no placed tasks
     /// left.
     pub fn is_loan_over(&self, now: Mono) -> bool {
-        !self.home && self.lent_until <= now && self.placed.is_empty()
+        !self.core_member && self.lent_until <= now && self.placed.is_empty()
     }
 
     /// Returns since when a message from it is awaited, and how long it may stay silent from then on.
     pub fn silence_limit(&self) -> (Mono, Duration) {
-        let asked = self.hurried > self.heard;
+        let asked = self.asked_at > self.last_heard;
         if self.standby && !asked {
-            (self.heard, self.policy.cells.silence)
+            (self.last_heard, self.policy.cells.silence)
         } else {
-            (self.heard.max(self.hurried), self.policy.leases.silence)
+            (
+                self.last_heard.max(self.asked_at),
+                self.policy.leases.silence,
+            )
         }
     }
 
     /// Detaches the link. An executor on standby sends few messages, so it may have been alive, and have kept
     /// running other schedulers' tasks, for longer than its last message shows: until it was asked and did
-    /// not answer, or until now. `heard` is moved to that time.
+    /// not answer, or until now. `last_heard` is moved to that time.
     pub fn detach_link(&mut self, now: Mono) {
         if self.standby {
-            let asked = self.hurried > self.heard;
-            self.heard = if asked { self.hurried } else { now };
+            let asked = self.asked_at > self.last_heard;
+            self.last_heard = if asked { self.asked_at } else { now };
             self.accounted = false;
         }
         self.link = None;
--- a/lib/src/dispatch/scheduler/figures.rs
+++ b/lib/src/dispatch/scheduler/figures.rs
@@ -60,17 +60,18 @@
     pub fn ages(&self, now: Mono) -> BeliefAges {
         let executors = self
             .cell
-            .near
+            .executors
             .iter()
             .filter_map(|key| self.executors.get(*key));
         let peers = self.peers.values().filter(|p| p.link.is_some());
-        let oldest = |heard: Option<Mono>| heard.map_or(Duration::ZERO, |at| now.since(at));
+        let oldest =
+            |last_heard: Option<Mono>| last_heard.map_or(Duration::ZERO, |at| now.since(at));
         let [since, checked] = self.catalog.times();
         BeliefAges {
             catalog: now.since(since),
             catalog_checked: now.since(checked),
-            executors: oldest(executors.map(|e| e.heard).min()),
-            peers: oldest(peers.map(|p| p.heard).min()),
+            executors: oldest(executors.map(|e| e.last_heard).min()),
+            peers: oldest(peers.map(|p| p.last_heard).min()),
         }
     }
 
@@ -88,12 +89,12 @@
 
     /// Executors in the cell, and those of them that are lent to it.
     pub fn cell(&self) -> [usize; 2] {
-        let near = self
+        let executors = self
             .cell
-            .near
+            .executors
             .iter()
             .filter_map(|key| self.executors.get(*key));
-        let lent = near.filter(|e| !e.home).count();
-        [self.cell.near.len(), lent]
+        let lent = executors.filter(|e| !e.core_member).count();
+        [self.cell.executors.len(), lent]
     }
 }
--- a/lib/src/dispatch/scheduler/fleet.rs
+++ b/lib/src/dispatch/scheduler/fleet.rs
@@ -84,7 +84,7 @@
 
     /// Returns whether an executor is linked, has departed, or is silent but accounted for: all schedulers
     /// for which tasks may still run there are linked here and have listed their jobs.
-    pub(super) fn is_met(&self, name: &str) -> bool {
+    pub(super) fn is_linked_or_accounted(&self, name: &str) -> bool {
         let met = |e: &ExecutorView| e.link.is_some() || e.departed || self.is_accounted(e);
         let key = self.named.get(name);
         key.is_some_and(|key| met(&self.executors[*key]))
@@ -92,7 +92,7 @@
 
     /// Adds executors that a peer or the store has named, so that claims count those that can't be reached
     /// from here. They count as silent for the lapse already.
-    pub(super) fn hear_of_executors(&mut self, names: &[String]) {
+    pub(super) fn record_executors(&mut self, names: &[String]) {
         for name in names {
             if self.named.contains_key(name) {
                 continue;
@@ -102,7 +102,7 @@
                 ..proto::Greeting::default()
             };
             let key = self.find_or_add_executor(&greeting);
-            self.executors[key].heard = self.now - self.setup.lapse;
+            self.executors[key].last_heard = self.now - self.setup.lapse;
         }
     }
 
@@ -117,7 +117,7 @@
     pub(super) fn executor_update(&mut self, key: ExecutorKey, update: proto::Update) {
         let now = self.now;
         let executor = &mut self.executors[key];
-        executor.heard = now;
+        executor.last_heard = now;
         executor.clock_us = executor.clock_us.max(update.clock_us);
         executor.departed = update.departed;
         // Executors on standby report seldom, so their last word may be outdated.
@@ -169,7 +169,7 @@
     }
 
     /// Records the number of a task end. Returns whether the end has not been seen before.
-    pub(super) fn note_end(&mut self, key: ExecutorKey, number: u64) -> bool {
+    pub(super) fn mark_end_seen(&mut self, key: ExecutorKey, number: u64) -> bool {
         let executor = &mut self.executors[key];
         let new = number > executor.seen_ends;
         executor.seen_ends = executor.seen_ends.max(number);
@@ -204,7 +204,7 @@
         let detail = format!(
             "executor {}, heard {} ms ago",
             executor.name,
-            crate::clock::millis(self.now.since(executor.heard)),
+            crate::clock::millis(self.now.since(executor.last_heard)),
         );
         self.unlink_executor(key);
         self.log(Kind::LinkDown, detail);
@@ -224,7 +224,7 @@
                 self.actions.push(Action::Close(link));
                 self.executor_down(key);
             }
-            let silent = self.silence(self.executors[key].heard);
+            let silent = self.silence(self.executors[key].last_heard);
             if silent >= self.setup.lapse {
                 self.mark_tasks_lost(key);
             }
@@ -256,7 +256,7 @@
     }
 
     /// Queues an order to stop a task, which counts as no longer placed.
-    pub(super) fn order_stop(&mut self, key: ExecutorKey, task: TaskName, attempt: u32) {
+    pub(super) fn queue_stop(&mut self, key: ExecutorKey, task: TaskName, attempt: u32) {
         if let Some(executor) = self.executors.get_mut(key) {
             executor.orders.stops.push(task.proto(attempt));
             executor.placed.remove(&task);
--- a/lib/src/dispatch/scheduler/following.rs
+++ b/lib/src/dispatch/scheduler/following.rs
@@ -45,7 +45,7 @@
             format!("{number} at {peer_name} request {}", request.call),
         );
         if let Some(peer) = self.peers.get_mut(peer_name) {
-            peer.out.follow.push(number.0);
+            peer.outgoing.follow.push(number.0);
         }
         let following = Following {
             peer: peer_name.to_owned(),
@@ -64,7 +64,7 @@
         let Some(peer) = self.peers.get_mut(&name) else {
             return false;
         };
-        peer.out.cancel.push(number.0);
+        peer.outgoing.cancel.push(number.0);
         let at = self.now;
         self.cancels_sent.retain(|c| at.since(c.at) < CANCEL_KEPT);
         self.cancels_sent.push(SentCancel {
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -53,8 +53,8 @@
 
     /// A peer that takes jobs and stays: of the own zone, if there is one.
     fn successor(&mut self) -> Option<String> {
-        let stays = |p: &Peer| p.link.is_some() && p.stays();
-        let stay = self.peers.iter().filter(|(_, p)| stays(p));
+        let accepts_jobs = |p: &Peer| p.link.is_some() && p.accepts_jobs();
+        let stay = self.peers.iter().filter(|(_, p)| accepts_jobs(p));
         let near = stay.clone().filter(|(_, p)| p.is_in(&self.setup.zone));
         let near = near.map(|(name, _)| name).choose(&mut self.rng);
         near.or_else(|| stay.map(|(name, _)| name).choose(&mut self.rng))
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -138,8 +138,8 @@
         let fits = |k: &ExecutorKey| {
             let e = &self.executors[*k];
             let well = !e.slow && !e.report.suspect;
-            *k != key && well && e.takes(self.now, &job.service) && e.free.holds(demand)
+            *k != key && well && e.accepts_tasks(self.now, &job.service) && e.free.holds(demand)
         };
-        self.cell.near.iter().any(fits)
+        self.cell.executors.iter().any(fits)
     }
 }
--- a/lib/src/dispatch/scheduler/peer_links.rs
+++ b/lib/src/dispatch/scheduler/peer_links.rs
@@ -48,11 +48,11 @@
         peer.settled = false;
         peer.linked_at = now;
         peer.roster_read = false;
-        peer.heard = now;
+        peer.last_heard = now;
         peer.met = false;
         peer.leaving = false;
         peer.version = 0;
-        peer.out = introduction;
+        peer.outgoing = introduction;
         peer.reset_sent_state();
         let member = proto::Member {
             name: greeting.name.clone(),
@@ -115,10 +115,10 @@
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        peer.out.jobs = introduction.jobs;
-        peer.out.executors = introduction.executors;
-        peer.out.confined = introduction.confined;
-        peer.out.cancel = introduction.cancel;
+        peer.outgoing.jobs = introduction.jobs;
+        peer.outgoing.executors = introduction.executors;
+        peer.outgoing.confined = introduction.confined;
+        peer.outgoing.cancel = introduction.cancel;
         peer.reset_sent_state();
     }
 
@@ -130,9 +130,9 @@
         let mut numbers: Vec<u64> = followed.map(|(number, _)| number.0).collect();
         numbers.sort_unstable();
         if let Some(peer) = self.peers.get_mut(name) {
-            let unsent = &peer.out.handed;
+            let unsent = &peer.outgoing.handed;
             numbers.retain(|number| unsent.iter().all(|h| h.job != *number));
-            peer.out.follow = numbers;
+            peer.outgoing.follow = numbers;
         }
     }
 
@@ -162,7 +162,7 @@
         peer.link = None;
         self.contention.forget(name);
         self.loads.forget(name);
-        let unheard = self.now.since(peer.heard);
+        let unheard = self.now.since(peer.last_heard);
         let abrupt = unheard < self.setup.policy.claims.pause;
         if abrupt && !peer.leaving {
             peer.lost = Some(self.now);
@@ -183,11 +183,11 @@
         let now = self.now;
         let bound = self.setup.silence;
         let forgotten = self.setup.policy.claims.forgotten;
-        let silent = |p: &Peer| p.link.is_some() && self.silence(p.heard) >= bound;
+        let silent = |p: &Peer| p.link.is_some() && self.silence(p.last_heard) >= bound;
         let names = self.peers.iter().filter(|(_, p)| silent(p));
         let names: Vec<String> = names.map(|(n, _)| n.clone()).collect();
         self.peers
-            .retain(|_, p| p.link.is_some() || now.since(p.heard) < forgotten);
+            .retain(|_, p| p.link.is_some() || now.since(p.last_heard) < forgotten);
         for name in names {
             self.disconnect_peer(&name);
         }
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -26,7 +26,7 @@
     pub renewed: Option<Mono>,
     pub address: String,
     /// When the last message from it arrived.
-    pub heard: Mono,
+    pub last_heard: Mono,
     /// Whether its first update on the current link has arrived. That update lists the jobs that it holds.
     pub met: bool,
     /// When its last link broke unexpectedly: it had been heard just before and had not announced that it
@@ -45,7 +45,7 @@
     /// The version of the catalog that it has in force; 0 for none.
     pub version: u64,
     /// The update that is being gathered for it.
-    pub out: proto::PeerUpdate,
+    pub outgoing: proto::PeerUpdate,
     last_sent: Mono,
     members_sent: MemberCursor,
     /// The edition of the zone records that was last sent on this link.
@@ -56,43 +56,43 @@
     /// Returns whether a linked peer has a gathered update that need not wait for the next heartbeat: an
     /// urgent one, or announced jobs, which go out once the minimum interval between announcements has
     /// passed.
-    pub fn is_hurried(&self) -> bool {
-        let out = &self.out;
-        self.link.is_some() && (self.has_urgent_update() || !out.jobs.is_empty())
+    pub fn has_pending_update(&self) -> bool {
+        let outgoing = &self.outgoing;
+        self.link.is_some() && (self.has_urgent_update() || !outgoing.jobs.is_empty())
     }
 
     /// Returns whether the gathered update has to be sent immediately.
     fn has_urgent_update(&self) -> bool {
-        let out = &self.out;
-        !(out.follow.is_empty()
-            && out.ends.is_empty()
-            && out.cancel.is_empty()
-            && out.catalog.is_empty()
-            && out.executors.is_empty()
-            && out.handed.is_empty()
-            && out.roster.is_empty()
-            && !out.roster_wanted
-            && out.unfollow.is_empty()
-            && !out.catalog_wanted)
+        let outgoing = &self.outgoing;
+        !(outgoing.follow.is_empty()
+            && outgoing.ends.is_empty()
+            && outgoing.cancel.is_empty()
+            && outgoing.catalog.is_empty()
+            && outgoing.executors.is_empty()
+            && outgoing.handed.is_empty()
+            && outgoing.roster.is_empty()
+            && !outgoing.roster_wanted
+            && outgoing.unfollow.is_empty()
+            && !outgoing.catalog_wanted)
     }
 
     /// Requests its catalog. The request is urgent.
     pub fn request_catalog(&mut self) {
-        self.out.catalog_wanted = true;
+        self.outgoing.catalog_wanted = true;
     }
 
     /// Returns whether it accepts jobs and will go on doing so.
-    pub fn stays(&self) -> bool {
+    pub fn accepts_jobs(&self) -> bool {
         self.settled && !self.leaving
     }
 
     /// Returns whether it is linked and has read the list of executors from the store.
-    pub fn reads_roster(&self) -> bool {
+    pub fn has_read_roster(&self) -> bool {
         self.link.is_some() && self.roster_read
     }
 
     /// Returns whether it is linked with this incarnation and has listed the jobs that it holds.
-    pub fn is_met_in(&self, incarnation: u64) -> bool {
+    pub fn has_reported_in(&self, incarnation: u64) -> bool {
         self.link.is_some() && self.met && self.incarnation == incarnation
     }
 
@@ -108,7 +108,7 @@
 
     /// Hands a job over to it. The update is urgent.
     pub fn hand(&mut self, job: proto::HandedJob) {
-        self.out.handed.push(job);
+        self.outgoing.handed.push(job);
     }
 
     /// Adds a queue's share of the blame for a crash to the next update. Shares of one queue are summed up.
@@ -116,7 +116,7 @@
         if self.link.is_none() {
             return;
         }
-        let blames = &mut self.out.blames;
+        let blames = &mut self.outgoing.blames;
         match blames.iter_mut().find(|b| b.queue == queue) {
             Some(blame) => blame.blame += permille,
             None => blames.push(proto::QueueBlame {
@@ -135,7 +135,7 @@
 
     /// Adds an encoded catalog to the next update. The update is urgent.
     pub fn send_catalog(&mut self, bytes: Bytes) {
-        self.out.catalog = bytes;
+        self.outgoing.catalog = bytes;
     }
 }
 
@@ -210,7 +210,7 @@
         let now = self.now;
         self.note_gap();
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.heard = now;
+            peer.last_heard = now;
             peer.met = true;
             peer.version = update.catalog_version;
             peer.leaving = update.leaving;
@@ -253,7 +253,7 @@
         for state in &update.zones {
             self.record_zone_state(state, name);
         }
-        self.hear_of_executors(&update.executors);
+        self.record_executors(&update.executors);
         for silent in update.silent {
             self.hear_silent(silent);
         }
@@ -273,7 +273,7 @@
     pub(super) fn tell_peer_end(&mut self, name: &str, number: JobNumber, outcome: JobOutcome) {
         if let Some(peer) = self.peers.get_mut(name) {
             let (job, outcome) = (number.0, outcome.code());
-            peer.out.ends.push(proto::JobEnd { job, outcome });
+            peer.outgoing.ends.push(proto::JobEnd { job, outcome });
         }
     }
 
@@ -281,8 +281,8 @@
     /// names, a few joining executors would cause as many long messages as there are pairs of schedulers.
     pub(super) fn announce_executor(&mut self, name: &str) {
         for peer in self.peers.values_mut() {
-            if peer.link.is_some() && !peer.out.executors.iter().any(|n| n == name) {
-                peer.out.executors.push(name.to_owned());
+            if peer.link.is_some() && !peer.outgoing.executors.iter().any(|n| n == name) {
+                peer.outgoing.executors.push(name.to_owned());
             }
         }
     }
@@ -299,7 +299,7 @@
     pub(super) fn announce(&mut self, number: JobNumber) {
         for peer in self.peers.values_mut() {
             if peer.link.is_some() {
-                peer.out.jobs.push(number.0);
+                peer.outgoing.jobs.push(number.0);
             }
         }
     }
@@ -337,11 +337,11 @@
             let zones = peer.zones_sent != edition;
             let urgent = peer.has_urgent_update() || zones;
             let gap = now.since(peer.last_sent);
-            let news = !peer.out.jobs.is_empty() && gap >= news_gap;
+            let news = !peer.outgoing.jobs.is_empty() && gap >= news_gap;
             if !urgent && !news && gap < reports.heartbeat {
                 continue;
             }
-            let mut update = std::mem::take(&mut peer.out);
+            let mut update = std::mem::take(&mut peer.outgoing);
             update.catalog_version = version;
             update.members = self.members.take_unsent(&mut peer.members_sent);
             if zones {
--- a/lib/src/dispatch/scheduler/placing.rs
+++ b/lib/src/dispatch/scheduler/placing.rs
@@ -90,14 +90,14 @@
         if self.waiting.is_empty() {
             return;
         }
-        if self.contends() {
+        if self.is_contention_on() {
             return self.place_by_class();
         }
         let most = self.setup.policy.admission.round_jobs as usize;
         let numbers: Vec<(u8, JobNumber)> =
             self.waiting.iter().take(most).map(|w| (w.0, w.2)).collect();
         self.note_gap();
-        self.settle_cell();
+        self.refresh_cell();
         self.spared = None;
         for (class, number) in numbers {
             if self.jobs.get(&number).is_some_and(|j| self.is_exposed(j)) {
@@ -110,9 +110,9 @@
             self.place_job(number);
             let whole = !self.jobs.get(&number).is_some_and(Job::is_waiting);
             if !whole {
-                self.widen_cell();
+                self.borrow_executors();
             }
-            if matches!(class, URGENT | FRESH) && !whole && !confined && !self.spares_room(number) {
+            if matches!(class, URGENT | FRESH) && !whole && !confined && !self.leaves_room(number) {
                 break;
             }
         }
@@ -145,19 +145,19 @@
         for task in job.tasks.iter().filter(|t| t.state == TaskState::Ready) {
             needed += u64::from(job.request.steps[task.step as usize].demand.cpu_milli);
         }
-        let near = self.cell.near.iter().map(|key| &self.executors[*key]);
-        let near = near.filter(|e| !e.evacuated);
-        let all: u64 = near.map(|e| u64::from(e.capacity.cpu_milli)).sum();
+        let executors = self.cell.executors.iter().map(|key| &self.executors[*key]);
+        let executors = executors.filter(|e| !e.evacuated);
+        let all: u64 = executors.map(|e| u64::from(e.capacity.cpu_milli)).sum();
         needed as f64 > self.setup.policy.admission.wide_share * all as f64
     }
 
     /// Where each of the ready tasks would go, as far as there is room.
     fn plan(&mut self, job: &mut Job) -> Vec<Placing> {
         let mut free: SecondaryMap<ExecutorKey, Free> = SecondaryMap::new();
-        let barred = self.barred_from(&job.request.queue);
-        for key in &self.cell.near {
+        let barred = self.excluded_executors(&job.request.queue);
+        for key in &self.cell.executors {
             let executor = &self.executors[*key];
-            if executor.takes(self.now, &job.service) && !barred.contains(key) {
+            if executor.accepts_tasks(self.now, &job.service) && !barred.contains(key) {
                 free.insert(*key, executor.free);
             }
         }
@@ -302,7 +302,7 @@
             job.request.number,
             executor.name,
             message.tasks.len(),
-            crate::clock::millis(now.since(executor.heard)),
+            crate::clock::millis(now.since(executor.last_heard)),
             executor.free.cpu_milli,
         );
         executor.orders.starts.push(message);
@@ -342,7 +342,7 @@
                 continue;
             }
             let sick = executor.slow || executor.report.suspect;
-            let unproved = matches!(fit, Some(Fit::Late(_))) && self.is_unproved(executor);
+            let unproved = matches!(fit, Some(Fit::Late(_))) && self.needs_probe(executor);
             let trial = sick || unproved;
             if trial && now.since(executor.last_trial) < self.trial_gap(executor) {
                 continue;
--- a/lib/src/dispatch/scheduler/preempting.rs
+++ b/lib/src/dispatch/scheduler/preempting.rs
@@ -83,13 +83,13 @@
 
     /// What is free at each executor or may be cleared there, less what is planned, in thousandths of a core.
     fn preemptible_rooms(&self, job: &Job, plan: &[Placing]) -> Vec<(ExecutorKey, i64)> {
-        let barred = self.barred_from(&job.request.queue);
+        let barred = self.excluded_executors(&job.request.queue);
         let mut rooms = Vec::new();
-        for key in &self.cell.near {
+        for key in &self.cell.executors {
             let executor = &self.executors[*key];
             let well = !executor.slow && !executor.report.suspect;
             let preemptible = i64::from(executor.report.preemptible_cpu_milli);
-            let takes = executor.takes(self.now, &job.service) && !barred.contains(key);
+            let takes = executor.accepts_tasks(self.now, &job.service) && !barred.contains(key);
             if !well || !takes || preemptible == 0 {
                 continue;
             }
--- a/lib/src/dispatch/scheduler/roster.rs
+++ b/lib/src/dispatch/scheduler/roster.rs
@@ -58,10 +58,13 @@
     }
 
     fn take_roster(&mut self, names: Vec<String>) {
-        self.hear_of_executors(&names);
+        self.record_executors(&names);
         let roster = names.into_iter().collect();
         if self.roster.as_ref() != Some(&roster) {
-            let unmet = roster.iter().filter(|name| !self.is_met(name)).count();
+            let unmet = roster
+                .iter()
+                .filter(|name| !self.is_linked_or_accounted(name))
+                .count();
             let detail = format!("{} executors, {unmet} of them not met", roster.len());
             self.log(Kind::RosterKnown, detail);
         }
@@ -87,7 +90,7 @@
 
     /// Asks one of the peers that the store answers, another one than the last time if there is one.
     fn ask_for_roster(&mut self) {
-        let reading = self.peers.iter().filter(|(_, p)| p.reads_roster());
+        let reading = self.peers.iter().filter(|(_, p)| p.has_read_roster());
         let names: Vec<&String> = reading.map(|(name, _)| name).collect();
         let last = self.roster_sync.asked.take().map(|r| r.peer);
         let others = names.iter().filter(|name| Some(**name) != last.as_ref());
@@ -100,7 +103,7 @@
             return;
         };
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.out.roster_wanted = true;
+            peer.outgoing.roster_wanted = true;
         }
         self.roster_sync.asked = Some(Request {
             peer: name,
@@ -127,7 +130,7 @@
                 continue;
             };
             if read >= peer.linked_at {
-                peer.out.roster.clone_from(&names);
+                peer.outgoing.roster.clone_from(&names);
             } else {
                 self.roster_sync.wanted_by.push(name);
             }
--- a/lib/src/dispatch/scheduler/silent.rs
+++ b/lib/src/dispatch/scheduler/silent.rs
@@ -37,25 +37,25 @@
     /// Whether an executor that is linked should have been heard, and was not. One on standby is heard seldom unless it is
     /// asked for something.
     fn does_not_answer(&self, executor: &ExecutorView) -> bool {
-        let asked = executor.hurried > executor.heard;
-        let due = executor.heard.max(executor.hurried);
+        let asked = executor.asked_at > executor.last_heard;
+        let due = executor.last_heard.max(executor.asked_at);
         (asked || !executor.standby) && self.silence(due) >= self.setup.policy.recovery.silent
     }
 
     /// The same, by what it has said here.
     fn is_accounted_here(&self, executor: &ExecutorView) -> bool {
         let policy = self.setup.policy.recovery;
-        let heard = executor.heard.max(executor.hurried);
+        let last_heard = executor.last_heard.max(executor.asked_at);
         policy.on
             && executor.accounted
-            && self.silence(heard) >= policy.silent
+            && self.silence(last_heard) >= policy.silent
             && self.have_met(executor.owners())
     }
 
     /// Whether these lives of schedulers are linked here and have said which jobs they have.
     fn have_met(&self, mut lives: impl Iterator<Item = u64>) -> bool {
         let own = self.setup.incarnation;
-        let met = |life: u64| self.peers.values().any(|p| p.is_met_in(life));
+        let met = |life: u64| self.peers.values().any(|p| p.has_reported_in(life));
         lives.all(|life| life == own || met(life))
     }
 
@@ -96,7 +96,7 @@
         if !self.setup.policy.recovery.on {
             return;
         }
-        self.hear_of_executors(std::slice::from_ref(&silent.name));
+        self.record_executors(std::slice::from_ref(&silent.name));
         let (now, recent) = (self.now, self.setup.policy.recovery.silent);
         let Some(key) = self.named.get(&silent.name) else {
             return;
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -82,7 +82,7 @@
 
     /// Whether a worker is to be tried though tasks would be late there: it does nothing, so that nobody would
     /// notice if it were well again.
-    pub(super) fn is_unproved(&self, executor: &ExecutorView) -> bool {
+    pub(super) fn needs_probe(&self, executor: &ExecutorView) -> bool {
         let own = self.speeds.relative(executor.report.slowness_percent);
         let idle = executor.free.cpu_milli >= i64::from(executor.capacity.cpu_milli);
         idle && own >= self.setup.policy.speeds.sick_ratio
@@ -162,7 +162,7 @@
 
     /// Whether a job that has not found all its room leaves some to those behind it: it waits by choice, and they may
     /// have what it would be late at. The rest stays its own, or a stream of patient jobs would keep it waiting.
-    pub(super) fn spares_room(&mut self, number: JobNumber) -> bool {
+    pub(super) fn leaves_room(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(&number).filter(|j| j.held_back) else {
             return false;
         };
@@ -174,7 +174,8 @@
             let fit = self.fit(job, task.step, &self.executors[*key]);
             matches!(fit, Some(Fit::Late(_))) && self.is_spared(*key)
         };
-        let spared: BTreeSet<ExecutorKey> = self.cell.near.iter().copied().filter(late).collect();
+        let spared: BTreeSet<ExecutorKey> =
+            self.cell.executors.iter().copied().filter(late).collect();
         let some = !spared.is_empty();
         self.spared = Some(spared);
         some
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submit.rs
@@ -48,7 +48,7 @@
         if let Some(peer) = self.linked_holder(number) {
             return self.follow(&peer, caller, request);
         }
-        let doubt = self.announced.knows(number) || self.in_doubt();
+        let doubt = self.announced.is_announced(number) || self.in_doubt();
         self.run_here(caller, request, doubt);
         self.place();
     }
@@ -86,7 +86,7 @@
         let number = request.number;
         match self.new_job(request, claim) {
             Ok(mut job) => {
-                job.arrived_earlier(waited);
+                job.backdate_arrival(waited);
                 job.followers.push(name.to_owned());
                 self.hold_job(job, claim);
             }
@@ -114,8 +114,8 @@
         if self.ends_too_late(&job) {
             return turned(job.request, LEAVING);
         }
-        if !claim && self.is_hopeless(&job) {
-            self.note_turned(&job);
+        if !claim && self.would_start_late(&job) {
+            self.record_rejection(&job);
             return turned(job.request, BACKLOG);
         }
         Ok(job)
@@ -252,7 +252,7 @@
         }
         for task in &job.tasks {
             if let TaskState::Placed(key) = task.state {
-                self.order_stop(key, job.name(task), task.attempts);
+                self.queue_stop(key, job.name(task), task.attempts);
             }
         }
         let span = self.now.since(job.arrived);
@@ -261,7 +261,7 @@
         let mut detail = format!("{number} {} {cause} after {took} ms", outcome.word());
         if matches!(outcome, JobOutcome::Refused(_) | JobOutcome::GivenUp) {
             detail.push_str(&self.room_in_words(&job));
-            self.note_turned(&job);
+            self.record_rejection(&job);
         }
         let kind = match outcome {
             JobOutcome::Completed => Kind::JobCompleted,
@@ -293,10 +293,10 @@
     fn room_in_words(&self, job: &Job) -> String {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         let linked = linked.count();
-        let ready = |e: &&ExecutorView| e.takes(self.now, &job.service);
+        let ready = |e: &&ExecutorView| e.accepts_tasks(self.now, &job.service);
         let ready: Vec<&ExecutorView> = self.executors.values().filter(ready).collect();
         let free: i64 = ready.iter().map(|e| e.free.cpu_milli).sum();
-        let age = ready.iter().map(|e| self.now.since(e.heard)).max();
+        let age = ready.iter().map(|e| self.now.since(e.last_heard)).max();
         format!(
             "; {} of {linked} linked executors take tasks, {free} milli-cores free, oldest report \
              {} ms, {} jobs wait",
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -44,14 +44,16 @@
         }
         let open = |p: &Peer| match p.link {
             Some(_) => !p.met,
-            None => self.silence(p.heard) < self.setup.lapse,
+            None => self.silence(p.last_heard) < self.setup.lapse,
         };
         let peers = self.peers.iter().filter(|(_, p)| open(p));
         let peers: Vec<&String> = peers.map(|(name, _)| name).collect();
         if !peers.is_empty() {
             return format!("peers {}", listed(&peers));
         }
-        let unmet = roster.iter().filter(|name| !self.is_met(name));
+        let unmet = roster
+            .iter()
+            .filter(|name| !self.is_linked_or_accounted(name));
         let unmet: Vec<&String> = unmet.collect();
         if !unmet.is_empty() {
             return format!("executors not met {}", listed(&unmet));
@@ -74,8 +76,8 @@
         let known = waiting
             .iter()
             .filter_map(|(key, jobs)| Some((self.executors.get(*key)?, jobs)));
-        let most =
-            known.max_by_key(|(e, jobs)| (!self.is_accounted(e), self.silence(e.heard), **jobs));
+        let most = known
+            .max_by_key(|(e, jobs)| (!self.is_accounted(e), self.silence(e.last_heard), **jobs));
         let Some((executor, jobs)) = most else {
             return "nobody".to_owned();
         };
@@ -90,7 +92,7 @@
             "{} executors to confirm; {jobs} for {}, heard {} ms ago, {known}",
             waiting.len(),
             executor.name,
-            crate::clock::millis(self.silence(executor.heard)),
+            crate::clock::millis(self.silence(executor.last_heard)),
         )
     }
 }
