--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -174,7 +174,8 @@
         let recent = self.setup.policy.reports.heartbeat * 2;
         let most = self.setup.policy.balance.busy * 100.0;
         let takes = |name: &String, p: &Peer| {
-            let heard = p.link.is_some() && p.met && self.now.since(p.last_heard) <= recent;
+            let heard =
+                p.link.is_some() && p.has_reported && self.now.since(p.last_heard) <= recent;
             let load = self.loads.peers.get(name);
             heard && p.accepts_jobs() && load.is_some_and(|l| f64::from(l.busy) <= most)
         };
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -1,14 +1,16 @@
-//! Bulkheads: the tasks of a queue under which workers crash are confined to a part of the workers.
+//! Bulkheads: confine the tasks of a queue that crashes workers to a part of the workers.
 //!
-//! Load pattern: one job in ten of a queue takes down each worker that starts it, for three seconds. Each is given up
-//! after two crashes, but by then the next ones have come: at eleven workers and three such jobs a second nearly all
-//! workers are down, and the jobs of all other queues with them.
+//! If one job in ten of a queue crashes every worker that starts it, and a crashed worker is down for three
+//! seconds, giving up each such job after two crashes does not help, because the next ones have arrived by
+//! then: three such jobs a second keep nearly all of eleven workers down, and the jobs of all other queues
+//! fail with them.
 //!
-//! Decision: of each crash, a part falls to the runs that began just before it. Where most of what the last seconds'
-//! crashes come to falls to one queue, and more than its part of all starts explains, its tasks go to a fixed part of
-//! the workers and those of all others elsewhere, until there were no such crashes for a while. A crash takes only
-//! its own kind with it then. Which workers these are follows from a hash of the queue and their names, so that all
-//! schedulers choose the same without having to agree; they tell each other what they learn of crashes.
+//! Executors attribute each crash proportionally to the runs that began just before it. When most of the
+//! recent blame falls on one queue, and more than its share of all starts explains, its tasks are placed only
+//! at a fixed part of the workers, and those of all other queues only at the rest, until there have been no
+//! such crashes for a while. A crash then affects only tasks of the same queue. The workers are chosen by a
+//! hash of the queue and their names, so that all schedulers choose the same ones without coordination.
+//! Schedulers exchange the blame that they learn of.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,21 +27,22 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// How long starts count in the part of a queue, in seconds: a few of a queue with one job a second.
-const START_MEMORY_S: f64 = 2.0;
+/// The time constant by which the start counts of queues decay, in seconds. It covers a few starts of a queue
+/// with one job a second.
+const START_DECAY_S: f64 = 2.0;
 
-/// A queue with fewer starts of late than this is forgotten: one start, fourteen seconds ago.
-const LEAST_STARTS: f64 = 0.001;
+/// The decayed start count below which a queue is forgotten: that of one start fourteen seconds ago.
+const MIN_STARTS: f64 = 0.001;
 
-/// A part of a crash that falls to a queue.
+/// The share of a crash that is attributed to a queue.
 #[derive(Clone, Debug)]
 struct Blame {
     at: Mono,
     queue: String,
-    part: f64,
+    share: f64,
 }
 
-/// How many starts of a queue there were of late.
+/// The recent starts of a queue, as a count that decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 struct Starts {
     at: Mono,
@@ -47,26 +50,27 @@
 }
 
 impl Starts {
-    fn now(self, now: Mono) -> f64 {
+    /// Returns the count, decayed to the given time.
+    fn count_at(self, now: Mono) -> f64 {
         let age = now.since(self.at).as_secs_f64();
-        self.count * (-age / START_MEMORY_S).exp()
+        self.count * (-age / START_DECAY_S).exp()
     }
 }
 
-/// What is known of crashes by queue, and which queues are confined.
+/// The recent crash blame and starts of each queue, and the confined queues.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Bulkheads {
     blames: VecDeque<Blame>,
     starts: HashMap<String, Starts>,
-    /// The queues that are confined, and until when.
-    closed: BTreeMap<String, Mono>,
+    /// The confined queues, each with the time when it is released.
+    confined: BTreeMap<String, Mono>,
 }
 
 impl Bulkheads {
-    /// Tasks of a queue were sent to an executor.
+    /// Records that tasks of a queue were sent to an executor.
     pub fn note_start(&mut self, now: Mono, queue: &str) {
         if let Some(starts) = self.starts.get_mut(queue) {
-            let count = starts.now(now) + 1.0;
+            let count = starts.count_at(now) + 1.0;
             *starts = Starts { at: now, count };
         } else {
             let first = Starts {
@@ -77,66 +81,69 @@
         }
     }
 
-    fn note_blame(&mut self, now: Mono, queue: &str, part: f64) {
+    fn record_blame(&mut self, now: Mono, queue: &str, share: f64) {
         self.blames.push_back(Blame {
             at: now,
             queue: queue.to_owned(),
-            part,
+            share,
         });
     }
 
-    /// Whether a queue is confined.
+    /// Returns whether a queue is confined.
     pub fn confines(&self, queue: &str) -> bool {
-        self.closed.contains_key(queue)
+        self.confined.contains_key(queue)
     }
 
-    /// Whether any queue is.
-    pub fn is_any_closed(&self) -> bool {
-        !self.closed.is_empty()
+    /// Returns whether any queue is confined.
+    pub fn has_confined_queues(&self) -> bool {
+        !self.confined.is_empty()
     }
 
-    /// The queue to which so much falls of the crashes of late that it is to be confined.
-    fn culprit(&self, now: Mono, policy: &BulkheadPolicy) -> Option<String> {
-        let mut parts: BTreeMap<&str, f64> = BTreeMap::new();
+    /// Returns the queue to confine, if the recent blame points clearly at one.
+    fn queue_to_confine(&self, now: Mono, policy: &BulkheadPolicy) -> Option<String> {
+        let mut shares: BTreeMap<&str, f64> = BTreeMap::new();
         for blame in &self.blames {
-            *parts.entry(&blame.queue).or_default() += blame.part;
+            *shares.entry(&blame.queue).or_default() += blame.share;
         }
-        let all: f64 = parts.values().sum();
-        let (queue, part) = parts.into_iter().max_by(|a, b| a.1.total_cmp(&b.1))?;
-        let started = |name: &str| self.starts.get(name).map_or(0.0, |s| s.now(now));
+        let all: f64 = shares.values().sum();
+        let (queue, share) = shares.into_iter().max_by(|a, b| a.1.total_cmp(&b.1))?;
+        let started = |name: &str| self.starts.get(name).map_or(0.0, |s| s.count_at(now));
         let starts: f64 = self.starts.keys().map(|name| started(name)).sum();
         let expected = if starts > 0.0 {
             started(queue) / starts
         } else {
             0.0
         };
-        // With one queue only there is nobody to be kept from its crashes.
+        // If hardly anything else runs, confining the queue would protect nobody.
         let others = expected < 1.0 - policy.least_others;
         let beyond = (1.0 - expected) * policy.beyond + expected;
-        let clear = part >= policy.crashes && part >= all * beyond.max(policy.most_of);
+        let clear = share >= policy.crashes && share >= all * beyond.max(policy.most_of);
         (others && clear).then(|| queue.to_owned())
     }
 
+    /// Drops blame older than `span`, and queues without recent starts.
     fn forget(&mut self, now: Mono, span: Duration) {
         while self.blames.front().is_some_and(|b| now.since(b.at) >= span) {
             self.blames.pop_front();
         }
         self.starts
-            .retain(|_, starts| starts.now(now) >= LEAST_STARTS);
+            .retain(|_, starts| starts.count_at(now) >= MIN_STARTS);
     }
 
-    fn proto(&self, now: Mono) -> Vec<proto::ConfinedQueue> {
-        let closed = self.closed.iter();
-        let closed = closed.map(|(queue, until)| proto::ConfinedQueue {
+    /// Returns the confined queues in the form that is sent to peers.
+    fn to_proto(&self, now: Mono) -> Vec<proto::ConfinedQueue> {
+        let confined = self.confined.iter();
+        let confined = confined.map(|(queue, until)| proto::ConfinedQueue {
             queue: queue.clone(),
             remaining_ms: crate::clock::millis(now.until(*until)) as u32,
         });
-        closed.collect()
+        confined.collect()
     }
 }
 
 impl Scheduler {
-    /// An executor tells which part of a crash falls to a run of this scheduler.
+    /// Records the share of a crash that an executor has attributed to a run of this scheduler, and passes it
+    /// on to the peers.
     pub(super) fn blame_run(&mut self, number: JobNumber, permille: u32) {
         let Some(job) = self.jobs.get(&number).filter(|_| permille > 0) else {
             return;
@@ -145,49 +152,51 @@
         for peer in self.peers.values_mut() {
             peer.add_blame(&queue, permille);
         }
-        self.note_blame(&queue, permille);
+        self.add_blame(&queue, permille);
     }
 
-    /// A peer tells what it has learned.
+    /// Records the share of a crash that a peer has learned of.
     pub(super) fn handle_blame(&mut self, blame: &proto::QueueBlame) {
-        self.note_blame(&blame.queue, blame.blame);
+        self.add_blame(&blame.queue, blame.blame);
     }
 
-    /// A peer has confined a queue before it met this scheduler.
+    /// Confines a queue that a peer had confined before the link to it came up, for the remaining time.
     pub(super) fn handle_confined_queue(&mut self, confined: &proto::ConfinedQueue) {
         let longest = self.setup.policy.bulkheads.open_after;
         let remaining = Duration::from_millis(u64::from(confined.remaining_ms));
         self.confine(&confined.queue, self.now + remaining.min(longest));
     }
 
-    /// The queues that are confined, as a peer is told on a new link.
+    /// Returns the confined queues, which are sent to a peer on a new link.
     pub(super) fn confined_queues(&self) -> Vec<proto::ConfinedQueue> {
-        self.bulkheads.proto(self.now)
+        self.bulkheads.to_proto(self.now)
     }
 
-    fn note_blame(&mut self, queue: &str, permille: u32) {
-        let part = f64::from(permille) / 1000.0;
-        self.bulkheads.note_blame(self.now, queue, part);
+    /// Records a share of a crash, and confines the queue that is to blame if the evidence suffices.
+    fn add_blame(&mut self, queue: &str, permille: u32) {
+        let share = f64::from(permille) / 1000.0;
+        self.bulkheads.record_blame(self.now, queue, share);
         let policy = self.setup.policy.bulkheads;
         self.bulkheads.forget(self.now, policy.span);
         if !policy.on {
             return;
         }
-        if let Some(queue) = self.bulkheads.culprit(self.now, &policy) {
+        if let Some(queue) = self.bulkheads.queue_to_confine(self.now, &policy) {
             self.confine(&queue, self.now + policy.open_after);
         }
     }
 
+    /// Confines a queue until the given time. Replaces the time if the queue is already confined.
     fn confine(&mut self, queue: &str, until: Mono) {
         if self
             .bulkheads
-            .closed
+            .confined
             .insert(queue.to_owned(), until)
             .is_some()
         {
             return;
         }
-        let names = self.bulkhead_of(queue);
+        let names = self.bulkhead_executors(queue);
         let names = names.iter().map(|key| self.executors[*key].name.clone());
         let mut names: Vec<String> = names.collect();
         names.sort();
@@ -195,32 +204,33 @@
         self.log(Kind::QueueConfined, detail);
     }
 
-    /// Opens the bulkheads under which nothing has crashed of late.
+    /// Releases the queues whose confinement has expired.
     pub(super) fn watch_bulkheads(&mut self) {
         let now = self.now;
         self.bulkheads.forget(now, self.setup.policy.bulkheads.span);
-        let over = self
+        let expired = self
             .bulkheads
-            .closed
+            .confined
             .iter()
             .filter(|(_, until)| **until <= now);
-        let over: Vec<String> = over.map(|(queue, _)| queue.clone()).collect();
-        for queue in over {
-            self.bulkheads.closed.remove(&queue);
+        let expired: Vec<String> = expired.map(|(queue, _)| queue.clone()).collect();
+        for queue in expired {
+            self.bulkheads.confined.remove(&queue);
             self.log(Kind::QueueOpen, queue);
         }
     }
 
-    /// Whether the queue of a job is confined. One crash is enough then to give a job up, if only runs of it began just
-    /// before: most of the crashes of late were by jobs like it, and another one would keep a worker from those
-    /// that are not. It does not prove the job's fault, so its caller is not told that it has failed.
+    /// Returns whether the queue of a job is confined. If so, one crash is enough to give the job up,
+    /// provided that only its runs began just before: jobs like it caused most of the recent crashes, and
+    /// another crash would cost the harmless jobs of the queue a worker. This does not prove that the job is
+    /// at fault, so its outcome is not reported as a failure.
     pub(super) fn is_confined(&self, number: JobNumber) -> bool {
         let job = self.jobs.get(&number);
         job.is_some_and(|j| self.bulkheads.confines(&j.request.queue))
     }
 
-    /// The executors to which a queue is confined.
-    fn bulkhead_of(&self, queue: &str) -> BTreeSet<ExecutorKey> {
+    /// Returns the executors to which a queue is confined, not counting those in evacuated zones.
+    fn bulkhead_executors(&self, queue: &str) -> BTreeSet<ExecutorKey> {
         let seed = xxh3_64_with_seed(queue.as_bytes(), 0);
         let known = self.executors.iter().filter(|(_, e)| !e.evacuated);
         let hash = |name: &str| xxh3_64_with_seed(name.as_bytes(), seed);
@@ -233,17 +243,20 @@
         ranks.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// The executors at which tasks of a queue must not be placed, as it is confined or others are.
+    /// Returns the executors at which tasks of a queue must not be placed: those outside its bulkhead if the
+    /// queue is confined, and otherwise those inside the bulkheads of other queues.
     pub(super) fn excluded_executors(&self, queue: &str) -> BTreeSet<ExecutorKey> {
-        if !self.bulkheads.is_any_closed() || self.executors.len() < 2 {
+        if !self.bulkheads.has_confined_queues() || self.executors.len() < 2 {
             return BTreeSet::new();
         }
         if self.bulkheads.confines(queue) {
-            let inside = self.bulkhead_of(queue);
+            let inside = self.bulkhead_executors(queue);
             let outside = self.executors.keys().filter(|key| !inside.contains(key));
             return outside.collect();
         }
-        let closed = self.bulkheads.closed.keys();
-        closed.flat_map(|queue| self.bulkhead_of(queue)).collect()
+        let confined = self.bulkheads.confined.keys();
+        confined
+            .flat_map(|queue| self.bulkhead_executors(queue))
+            .collect()
     }
 }
--- a/lib/src/dispatch/scheduler/catalog_sync.rs
+++ b/lib/src/dispatch/scheduler/catalog_sync.rs
@@ -1,7 +1,8 @@
-//! How a scheduler comes by the newest catalog: the store tells it, and where that fails a peer.
+//! Keeps the catalog of a scheduler up to date, from the store or, where the store is too slow, from a peer.
 //!
-//! Peers name the version that they have in force in each message. Only one that knows itself to be behind
-//! asks for a catalog, one peer at a time, and is sent it once.
+//! Every update of a peer carries the version of the catalog that it has in force. A scheduler with an older
+//! version requests the catalog from one peer at a time, which sends it once for each request. A catalog is
+//! only ever replaced by a newer one.
 
 use bytes::Bytes;
 
@@ -11,65 +12,69 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// A catalog that the store has not confirmed for so long may be an old one. Two watches of a
-/// second, which is how often the store answers while nothing changes.
-const UNSURE_AFTER: Duration = Duration::from_millis(2000);
+/// A catalog that the store has not confirmed for this long may be outdated. Covers two watch intervals: the
+/// store answers every second while nothing changes.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// A request for a peer's catalog.
+/// A pending request for a peer's catalog.
 #[derive(Clone, Debug)]
 struct Request {
     peer: String,
     at: Mono,
 }
 
-/// The catalog in force, and what is known of newer ones.
+/// The catalog in force, when the store last confirmed it, and the pending request for a newer one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CatalogSync {
     index: Option<CatalogIndex>,
-    /// The catalog as it is sent to peers, once one has asked.
+    /// The encoded catalog, cached since the first request of a peer.
     encoded: Option<Bytes>,
     /// When it came into force.
-    since: Mono,
+    applied_at: Mono,
     /// When the store last answered that there is no newer one.
-    checked: Mono,
-    /// Whether it has not for long, and that was logged.
-    unsure: bool,
-    /// Since when some peer has a newer one.
+    confirmed_at: Mono,
+    /// Whether it was logged that the store has not confirmed the catalog for too long.
+    unconfirmed: bool,
+    /// Since when a linked peer has a newer catalog.
     behind_since: Option<Mono>,
-    asked: Option<Request>,
+    request: Option<Request>,
 }
 
 impl CatalogSync {
+    /// Returns the catalog in force with its index.
     pub fn index(&self) -> Option<&CatalogIndex> {
         self.index.as_ref()
     }
 
+    /// Returns the version of the catalog in force; 0 for none.
     pub fn version(&self) -> u64 {
         self.index.as_ref().map_or(0, |c| c.catalog().version)
     }
 
-    /// When the catalog came into force, and when the store last confirmed it.
+    /// Returns when the catalog came into force, and when the store last confirmed it.
     pub fn times(&self) -> [Mono; 2] {
-        [self.since, self.checked]
+        [self.applied_at, self.confirmed_at]
     }
 
+    /// Returns the encoded catalog.
     fn encoded(&mut self) -> Option<Bytes> {
         let catalog = self.index.as_ref()?.catalog();
-        let encode = || serde_json::to_vec(catalog).expect("texts and numbers have a JSON form");
+        let encode = || serde_json::to_vec(catalog).expect("a catalog can be encoded as JSON");
         let bytes = self.encoded.get_or_insert_with(|| encode().into());
         Some(bytes.clone())
     }
 }
 
 impl Scheduler {
-    /// Puts a catalog that the store holds in force, unless a newer one is.
+    /// Applies a catalog from the store, unless the one in force is as new.
     pub fn set_catalog(&mut self, now: Mono, catalog: Catalog) {
         self.enter(now);
-        self.take_catalog(catalog, "the store");
+        self.apply_catalog(catalog, "the store");
     }
 
-    /// Puts a catalog in force, unless a newer one is. `origin` says who told it.
-    fn take_catalog(&mut self, catalog: Catalog, origin: &str) {
+    /// Applies a catalog, unless the one in force is as new, and announces its version to the peers. `origin`
+    /// names the sender for the log.
+    fn apply_catalog(&mut self, catalog: Catalog, origin: &str) {
         let (version, before) = (catalog.version, self.version());
         if self.catalog.index.is_some() && version <= before {
             return;
@@ -78,34 +83,35 @@
         self.log(Kind::ConfigInForce, detail);
         self.catalog.index = Some(CatalogIndex::new(catalog));
         self.catalog.encoded = None;
-        self.catalog.since = self.now;
+        self.catalog.applied_at = self.now;
         self.force_heartbeats();
     }
 
-    /// The store has answered: it holds no newer catalog than it has told of.
+    /// Records that the store has confirmed that it holds no newer catalog.
     pub fn catalog_confirmed(&mut self, now: Mono) {
         self.enter(now);
-        if self.catalog.unsure {
-            self.catalog.unsure = false;
-            let away = crate::clock::millis(now.since(self.catalog.checked));
-            self.log(Kind::ConfigConfirmed, format!("after {away} ms"));
+        if self.catalog.unconfirmed {
+            self.catalog.unconfirmed = false;
+            let unconfirmed = crate::clock::millis(now.since(self.catalog.confirmed_at));
+            self.log(Kind::ConfigConfirmed, format!("after {unconfirmed} ms"));
         }
-        self.catalog.checked = now;
+        self.catalog.confirmed_at = now;
     }
 
-    /// Notes when the store has not been heard for so long that a newer catalog may have been
-    /// accepted without this scheduler knowing, and asks a peer that has one.
+    /// Logs when the store has not confirmed the catalog for too long, and requests a newer one from a peer
+    /// if needed.
     pub(super) fn watch_catalog(&mut self) {
-        self.note_unsure();
-        self.seek_catalog();
+        self.check_confirmation();
+        self.request_newer_catalog();
     }
 
-    fn note_unsure(&mut self) {
-        let age = self.now.since(self.catalog.checked);
-        if self.catalog.unsure || self.catalog.index.is_none() || age < UNSURE_AFTER {
+    /// Logs once that the catalog may be outdated, if the store has not confirmed it for too long.
+    fn check_confirmation(&mut self) {
+        let age = self.now.since(self.catalog.confirmed_at);
+        if self.catalog.unconfirmed || self.catalog.index.is_none() || age < CONFIRMATION_TIMEOUT {
             return;
         }
-        self.catalog.unsure = true;
+        self.catalog.unconfirmed = true;
         let detail = format!(
             "version {}, confirmed {} ms ago",
             self.version(),
@@ -114,38 +120,39 @@
         self.log(Kind::ConfigUnsure, detail);
     }
 
-    /// Asks a peer for its catalog, if that is newer and the store has had the time to tell it. One
-    /// copy at a time: handing one to each peer that was behind, on each of its heartbeats, put 27 MB
-    /// into the queues of an entry within 0.4 s (catalog of 250 KB, six of ten peers at 25 Mbit/s), and
-    /// the newest version came 1.9 s late.
-    fn seek_catalog(&mut self) {
-        let newest = self.newest_at_peers();
+    /// Requests the catalog of a peer if it is newer and the store had enough time to deliver it, with one
+    /// request pending at a time. If instead every outdated peer were sent a copy on each of its heartbeats,
+    /// the copies would fill the send queues: 27 MB within 0.4 s at one entry, with a catalog of 250 KB and
+    /// six of ten peers on 25 Mbit/s links, which delays the newest version by 1.9 s.
+    fn request_newer_catalog(&mut self) {
+        let newest = self.newest_peer_version();
         if newest <= self.version() {
             self.catalog.behind_since = None;
-            self.catalog.asked = None;
+            self.catalog.request = None;
             return;
         }
         let policy = self.setup.policy.catalog;
         let since = *self.catalog.behind_since.get_or_insert(self.now);
-        let has_one = self.catalog.index.is_some();
-        if has_one && self.now.since(since) < policy.store_first {
+        let has_catalog = self.catalog.index.is_some();
+        if has_catalog && self.now.since(since) < policy.store_first {
             return;
         }
         let open = |r: &Request| self.now.since(r.at) < policy.ask_again && self.is_linked(&r.peer);
-        if self.catalog.asked.as_ref().is_some_and(open) {
+        if self.catalog.request.as_ref().is_some_and(open) {
             return;
         }
-        self.ask_for_catalog(newest);
+        self.request_catalog_version(newest);
     }
 
-    /// Asks one of the peers that have a version, another one than the last time if there is one.
-    fn ask_for_catalog(&mut self, version: u64) {
+    /// Requests the catalog from a random linked peer that has the given version. Avoids the peer that was
+    /// asked last, unless it is the only one.
+    fn request_catalog_version(&mut self, version: u64) {
         let has = |name: &&String| {
             let peer = &self.peers[*name];
             peer.link.is_some() && peer.version == version
         };
         let names: Vec<String> = self.peers.keys().filter(has).cloned().collect();
-        let last = self.catalog.asked.take().map(|r| r.peer);
+        let last = self.catalog.request.take().map(|r| r.peer);
         let others: Vec<&String> = names.iter().filter(|n| Some(*n) != last.as_ref()).collect();
         let chosen = match others.len() {
             0 => last,
@@ -157,19 +164,19 @@
         if let Some(peer) = self.peers.get_mut(&name) {
             peer.request_catalog();
         }
-        self.catalog.asked = Some(Request {
+        self.catalog.request = Some(Request {
             peer: name,
             at: self.now,
         });
     }
 
-    /// The newest version that a linked peer has named.
-    fn newest_at_peers(&self) -> u64 {
+    /// Returns the newest catalog version of the linked peers; 0 for none.
+    fn newest_peer_version(&self) -> u64 {
         let linked = self.peers.values().filter(|p| p.link.is_some());
         linked.map(|p| p.version).max().unwrap_or_default()
     }
 
-    /// A peer asks for the catalog in force here.
+    /// Sends a peer the catalog in force, at its request, unless its own is as new.
     pub(super) fn send_catalog_to(&mut self, name: &str) {
         let version = self.version();
         let behind = self.peers.get(name).is_some_and(|p| p.version < version);
@@ -181,11 +188,11 @@
         }
     }
 
-    /// Reads the catalog of a peer.
+    /// Decodes and applies a catalog that a peer has sent.
     pub(super) fn receive_catalog(&mut self, name: &str, bytes: &[u8]) {
-        self.catalog.asked = None;
+        self.catalog.request = None;
         match serde_json::from_slice::<Catalog>(bytes) {
-            Ok(catalog) => self.take_catalog(catalog, name),
+            Ok(catalog) => self.apply_catalog(catalog, name),
             Err(e) => self.log(Kind::ConfigBad, format!("from {name}: {e}")),
         }
     }
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -64,7 +64,7 @@
     /// link, and what it has ended since is not listed on the next one.
     fn has_lost_a_link(&self) -> bool {
         let bound = self.setup.policy.claims.link_lost;
-        let recent = |p: &Peer| p.lost.is_some_and(|at| self.now.since(at) < bound);
+        let recent = |p: &Peer| p.lost_at.is_some_and(|at| self.now.since(at) < bound);
         self.peers.values().any(recent)
     }
 
@@ -82,7 +82,7 @@
     /// no link may still run, though the peer is heard; without this a task would run twice at once.
     fn has_renewed_peer(&self) -> bool {
         let bound = self.setup.lapse;
-        let recent = |p: &Peer| p.renewed.is_some_and(|at| self.now.since(at) < bound);
+        let recent = |p: &Peer| p.restarted_at.is_some_and(|at| self.now.since(at) < bound);
         self.peers.values().any(recent)
     }
 
@@ -117,7 +117,7 @@
     fn peers_settled(&self) -> bool {
         let (now, lapse) = (self.now, self.setup.lapse);
         let settled = |p: &Peer| match p.link {
-            Some(_) => p.met,
+            Some(_) => p.has_reported,
             None => self.silence(p.last_heard) >= lapse,
         };
         let last_heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
@@ -223,7 +223,7 @@
         let bound = self.setup.policy.claims.link_lost;
         let recent = |at: Mono| self.now.since(at) < bound;
         let lost = self.peers.iter();
-        let lost = lost.filter(|(_, p)| p.lost.is_some_and(recent));
+        let lost = lost.filter(|(_, p)| p.lost_at.is_some_and(recent));
         let lost: Vec<&String> = lost.map(|(name, _)| name).collect();
         let listed = |name: &&String| self.leases.holds(name);
         if self.is_single_cell() || !lost.iter().all(listed) {
--- a/lib/src/dispatch/scheduler/evacuations.rs
+++ b/lib/src/dispatch/scheduler/evacuations.rs
@@ -1,8 +1,9 @@
-//! Evacuated availability zones: what a scheduler hears of them, passes on, and does about it.
+//! Evacuated availability zones: how a scheduler learns of them, passes them on, and reacts.
 //!
-//! Load pattern: a third of the workers is to get nothing more from one moment on, and comes back all at once
-//! later. What waits at executors there is handed back by them and placed elsewhere; executors of other zones take
-//! their place in the cell at once, so that the scheduler judges jobs by the room that is left.
+//! An evacuation makes a large part of the workers, such as a third, unavailable all at once, and its end
+//! makes them available again all at once. Executors in the zone return their waiting tasks, which are placed
+//! elsewhere. In the cell, executors of other zones replace them immediately, so that jobs are judged by the
+//! capacity that is left.
 
 use std::collections::BTreeMap;
 
@@ -16,48 +17,50 @@
 use crate::protos::dispatch as proto;
 
 impl Scheduler {
-    /// The zones that the store lists as evacuated, each with the revision of its key, at revision `at`.
+    /// Applies the store's list of evacuated zones, read at revision `at`. Each zone has the revision of its
+    /// key.
     pub fn set_evacuations(&mut self, now: Mono, listed: &BTreeMap<String, u64>, at: u64) {
         self.enter(now);
         for zone in self.zones.note_list(listed, at) {
-            self.zone_changed(&zone, "the store");
+            self.apply_zone_change(&zone, "the store");
         }
-        self.zones_noted();
+        self.schedule_zone_updates();
     }
 
-    /// The store tells of one zone.
+    /// Applies the store's record of one zone.
     pub fn set_evacuation(&mut self, now: Mono, zone: &str, record: ZoneRecord) {
         self.enter(now);
-        self.note_zone(zone, record, "the store");
+        self.record_zone(zone, record, "the store");
     }
 
-    /// The zones that are evacuated, as far as it is known here.
+    /// Returns the zones that are known to be evacuated.
     pub fn evacuated(&self) -> impl Iterator<Item = &str> {
         self.zones.evacuated()
     }
 
-    /// A peer or an executor tells of a zone.
+    /// Applies the record of a zone that a peer or an executor has sent.
     pub(super) fn record_zone_state(&mut self, state: &proto::ZoneState, origin: &str) {
-        self.note_zone(&state.zone, ZoneRecord::from_proto(state), origin);
+        self.record_zone(&state.zone, ZoneRecord::from_proto(state), origin);
     }
 
-    fn note_zone(&mut self, zone: &str, record: ZoneRecord, origin: &str) {
+    /// Records the state of a zone, and acts on it if it has changed. `origin` names the sender for the log.
+    fn record_zone(&mut self, zone: &str, record: ZoneRecord, origin: &str) {
         if self.zones.note(zone, record) {
-            self.zone_changed(zone, origin);
+            self.apply_zone_change(zone, origin);
         }
-        self.zones_noted();
+        self.schedule_zone_updates();
     }
 
-    /// Passes on what is news with the next messages.
-    fn zones_noted(&mut self) {
+    /// Has new zone records sent to peers and executors with the next flush.
+    fn schedule_zone_updates(&mut self) {
         if self.zones.edition() != self.zones_flushed {
             self.zones_flushed = self.zones.edition();
             self.sweep = true;
         }
     }
 
-    /// A zone is evacuated, or is so no more.
-    fn zone_changed(&mut self, zone: &str, origin: &str) {
+    /// Marks the executors of a zone as evacuated or available, and refuses or places jobs accordingly.
+    fn apply_zone_change(&mut self, zone: &str, origin: &str) {
         let evacuated = self.zones.is_evacuated(zone);
         let there = self.executors.iter().filter(|(_, e)| e.zone == zone);
         let keys: Vec<ExecutorKey> = there.map(|(key, _)| key).collect();
@@ -73,16 +76,17 @@
         }
         self.cell.stale = true;
         if evacuated && self.is_cut_off() {
-            self.refuse_waiting();
+            self.refuse_unstarted_jobs();
         }
         self.place();
     }
 
-    /// Refuses the jobs that nothing was started of: no executor is left that would take them.
-    fn refuse_waiting(&mut self) {
-        let fresh = self.jobs.iter();
-        let fresh = fresh.filter(|(_, j)| !j.began && j.phase == Phase::Active);
-        let numbers: Vec<JobNumber> = fresh.map(|(number, _)| *number).collect();
+    /// Refuses the jobs that have not been started, because no executor is left that would accept them. Jobs
+    /// that are being claimed are left out.
+    fn refuse_unstarted_jobs(&mut self) {
+        let unstarted = self.jobs.iter();
+        let unstarted = unstarted.filter(|(_, j)| !j.began && j.phase == Phase::Active);
+        let numbers: Vec<JobNumber> = unstarted.map(|(number, _)| *number).collect();
         for number in numbers {
             self.give_up(number, "no-executor");
         }
--- a/lib/src/dispatch/scheduler/peer_links.rs
+++ b/lib/src/dispatch/scheduler/peer_links.rs
@@ -40,7 +40,7 @@
         let old = peer.link.replace(link);
         peer.spare_links.extend(old);
         if peer.incarnation != greeting.incarnation {
-            peer.renewed = (peer.incarnation != 0).then_some(now);
+            peer.restarted_at = (peer.incarnation != 0).then_some(now);
         }
         peer.incarnation = greeting.incarnation;
         peer.address.clone_from(&greeting.address);
@@ -49,7 +49,7 @@
         peer.linked_at = now;
         peer.roster_read = false;
         peer.last_heard = now;
-        peer.met = false;
+        peer.has_reported = false;
         peer.leaving = false;
         peer.version = 0;
         peer.outgoing = introduction;
@@ -123,8 +123,8 @@
     }
 
     /// Asks a peer again for the outcomes of its jobs that callers here wait for: the request or the answer
-    /// may have been lost with a link. If a handed-over job was lost, the peer does not know it, and the job
-    /// is run here. Jobs whose handover has not been sent yet are left out.
+    /// may have been lost with a link. If the handoff of a job was lost, the peer does not know the job, and
+    /// it is run here. Jobs whose handoff has not been sent yet are left out.
     fn repeat_follows(&mut self, name: &str) {
         let followed = self.following.iter().filter(|(_, f)| f.peer == name);
         let mut numbers: Vec<u64> = followed.map(|(number, _)| number.0).collect();
@@ -165,7 +165,7 @@
         let unheard = self.now.since(peer.last_heard);
         let abrupt = unheard < self.setup.policy.claims.pause;
         if abrupt && !peer.leaving {
-            peer.lost = Some(self.now);
+            peer.lost_at = Some(self.now);
         }
         let unheard = crate::clock::millis(unheard);
         let detail = format!("scheduler {name}, heard {unheard} ms ago");
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -23,15 +23,15 @@
     pub spare_links: Vec<LinkId>,
     pub incarnation: u64,
     /// When it first linked with another incarnation than the one known before.
-    pub renewed: Option<Mono>,
+    pub restarted_at: Option<Mono>,
     pub address: String,
     /// When the last message from it arrived.
     pub last_heard: Mono,
     /// Whether its first update on the current link has arrived. That update lists the jobs that it holds.
-    pub met: bool,
+    pub has_reported: bool,
     /// When its last link broke unexpectedly: it had been heard just before and had not announced that it
     /// leaves.
-    pub lost: Option<Mono>,
+    pub lost_at: Option<Mono>,
     /// Whether it has announced that it shuts down.
     pub leaving: bool,
     pub zone: String,
@@ -93,7 +93,7 @@
 
     /// Returns whether it is linked with this incarnation and has listed the jobs that it holds.
     pub fn has_reported_in(&self, incarnation: u64) -> bool {
-        self.link.is_some() && self.met && self.incarnation == incarnation
+        self.link.is_some() && self.has_reported && self.incarnation == incarnation
     }
 
     /// Returns whether it is linked but not settled: it has just started, has no catalog, or leaves.
@@ -106,7 +106,7 @@
         self.zone == zone
     }
 
-    /// Hands a job over to it. The update is urgent.
+    /// Hands a job off to it. The update is urgent.
     pub fn hand(&mut self, job: proto::HandedJob) {
         self.outgoing.handed.push(job);
     }
@@ -211,7 +211,7 @@
         self.note_gap();
         if let Some(peer) = self.peers.get_mut(name) {
             peer.last_heard = now;
-            peer.met = true;
+            peer.has_reported = true;
             peer.version = update.catalog_version;
             peer.leaving = update.leaving;
             peer.settled = update.settled;
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -43,7 +43,7 @@
             return "a list with all linked executors".to_owned();
         }
         let open = |p: &Peer| match p.link {
-            Some(_) => !p.met,
+            Some(_) => !p.has_reported,
             None => self.silence(p.last_heard) < self.setup.lapse,
         };
         let peers = self.peers.iter().filter(|(_, p)| open(p));
