--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -382,7 +382,7 @@
         self.drop_expired();
         self.settle_claims();
         self.place();
-        self.even_out();
+        self.balance_jobs();
     }
 
     /// Drops records of ended, announced and withdrawn jobs that have expired.
@@ -422,7 +422,7 @@
     /// Sends the collected messages and due heartbeats to executors and peers.
     fn flush(&mut self) {
         let now = self.now;
-        self.settle_cell();
+        self.refresh_cell();
         if std::mem::take(&mut self.flush_all) {
             self.pending.clear();
             self.pending.extend(self.executors.keys());
@@ -431,7 +431,7 @@
             return;
         }
         self.flush_executors(now);
-        if self.peers.values().any(Peer::is_hurried) {
+        if self.peers.values().any(Peer::has_pending_update) {
             self.flush_peers();
         }
     }
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -45,8 +45,8 @@
 
     /// Returns when a peer was last heard; for an unknown peer, the start of this process.
     fn last_heard(&self, name: &str) -> Mono {
-        let heard = self.peers.get(name).map(|p| p.heard);
-        heard.unwrap_or_default().max(self.setup.started)
+        let last_heard = self.peers.get(name).map(|p| p.last_heard);
+        last_heard.unwrap_or_default().max(self.setup.started)
     }
 
     /// Returns whether a job that is submitted here for the first time may be running elsewhere without this
@@ -68,7 +68,7 @@
     /// are gone, and jobs that the peer has ended since then are not listed on the next link.
     fn has_lost_link(&self) -> bool {
         let bound = self.setup.policy.claims.link_lost;
-        let recent = |p: &Peer| p.lost.is_some_and(|at| self.now.since(at) < bound);
+        let recent = |p: &Peer| p.lost_at.is_some_and(|at| self.now.since(at) < bound);
         self.peers.values().any(recent)
     }
 
@@ -77,7 +77,7 @@
     fn is_minority(&self) -> bool {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
-        let unlinked = |p: &Peer| p.link.is_none() && now.since(p.heard) >= bound;
+        let unlinked = |p: &Peer| p.link.is_none() && now.since(p.last_heard) >= bound;
         let linked = self.executors.values().filter(|e| e.link.is_some());
         self.peers.values().any(unlinked) && linked.count() * 2 < self.executors.len()
     }
@@ -87,7 +87,7 @@
     /// a task would run twice at once.
     fn has_restarted_peer(&self) -> bool {
         let bound = self.setup.lapse;
-        let recent = |p: &Peer| p.renewed.is_some_and(|at| self.now.since(at) < bound);
+        let recent = |p: &Peer| p.restarted_at.is_some_and(|at| self.now.since(at) < bound);
         self.peers.values().any(recent)
     }
 
@@ -110,7 +110,7 @@
     pub(super) fn note_unheard_peers(&mut self) {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
-        let unheard = |p: &Peer| now.since(p.heard) >= bound;
+        let unheard = |p: &Peer| now.since(p.last_heard) >= bound;
         if self.peers.values().any(unheard) {
             self.gap = now;
         }
@@ -122,8 +122,8 @@
     fn peers_settled(&self) -> bool {
         let (now, lapse) = (self.now, self.setup.lapse);
         let settled = |p: &Peer| match p.link {
-            Some(_) => p.met,
-            None => self.silence(p.heard) >= lapse,
+            Some(_) => p.has_reported,
+            None => self.silence(p.last_heard) >= lapse,
         };
         let heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
         now.since(self.active_since) >= self.setup.policy.claims.meeting
@@ -142,7 +142,8 @@
     /// themselves.
     fn has_met_roster(&self) -> bool {
         let roster = self.roster.as_ref();
-        let met = roster.is_some_and(|names| names.iter().all(|name| self.is_met(name)));
+        let met =
+            roster.is_some_and(|names| names.iter().all(|name| self.is_linked_or_accounted(name)));
         met && !self.lacks_executors()
     }
 
@@ -188,7 +189,7 @@
         self.refresh_unreachable();
         self.counts.claims += 1;
         // No peer is known to have the job: only one whose link was lost may have it unannounced.
-        let unheard = !self.announced.knows(number) && !self.ended.contains_key(&number);
+        let unheard = !self.announced.is_announced(number) && !self.ended.contains_key(&number);
         let lost = !self.is_warming_up() && unheard && self.has_lost_link();
         if !self.is_warming_up() && !lost && !self.reaches_required() {
             return self.end_unclaimable(number);
@@ -196,7 +197,7 @@
         let now = self.now;
         // No peer is known to have the job: only an earlier incarnation of this scheduler may have had it.
         let starting = self.is_warming_up()
-            && !self.announced.knows(number)
+            && !self.announced.is_announced(number)
             && !self.ended.contains_key(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.phase = Phase::Claiming(BTreeSet::new());
@@ -224,15 +225,15 @@
     /// If one of 55 schedulers is lost, each of the others claims every new job for half a second. At all of
     /// 240 executors that would be 300,000 claims; at the executors that list the lost scheduler as a lease
     /// holder it is a fifth of them. The lists suffice, because a scheduler places tasks at an executor only
-    /// after the executor has had the time to list it for all others ([`super::cell::CELL_SETTLE`]).
+    /// after the executor has had the time to list it for all others ([`super::cell::CELL_JOIN_DELAY`]).
     fn lost_peer_executors(&self) -> Vec<ExecutorKey> {
         let bound = self.setup.policy.claims.link_lost;
         let recent = |at: Mono| self.now.since(at) < bound;
         let lost = self.peers.iter();
-        let lost = lost.filter(|(_, p)| p.lost.is_some_and(recent));
+        let lost = lost.filter(|(_, p)| p.lost_at.is_some_and(recent));
         let lost: Vec<&String> = lost.map(|(name, _)| name).collect();
         let listed = |name: &&String| self.leases.holds(name);
-        if self.is_one_cell() || !lost.iter().all(listed) {
+        if self.is_single_cell() || !lost.iter().all(listed) {
             return self.executors.keys().collect();
         }
         let lists = |e: &ExecutorView| e.profile.leased.iter().any(|name| lost.contains(&name));
@@ -251,8 +252,8 @@
             asked.insert(key);
         }
         let executor = &mut self.executors[key];
-        if executor.hurried <= executor.heard {
-            executor.hurried = self.now;
+        if executor.asked_at <= executor.last_heard {
+            executor.asked_at = self.now;
         }
         let orders = &mut executor.orders;
         if job.began_before {
@@ -341,7 +342,7 @@
         let all = self.must_reach_all();
         let wait = all || self.has_restarted_peer() || self.was_recently_withdrawn(number);
         // No peer is known to have the job: an executor whose runs are all known does not run it.
-        let unheard = job.startup_claim && !self.announced.knows(number);
+        let unheard = job.startup_claim && !self.announced.is_announced(number);
         let over = |e: &ExecutorView| self.is_lost(e) || (unheard && self.is_accounted(e));
         let may_run = |e: &ExecutorView| wait || !over(e);
         let open = |key: &ExecutorKey| self.executors.get(*key).is_some_and(may_run);
@@ -368,7 +369,7 @@
     /// announced this before it departed is not waited for: otherwise jobs would be refused for a while
     /// whenever executors are removed.
     fn is_lost(&self, executor: &ExecutorView) -> bool {
-        let over = executor.departed || self.silence(executor.heard) >= self.setup.lapse;
+        let over = executor.departed || self.silence(executor.last_heard) >= self.setup.lapse;
         executor.link.is_none() && over
     }
 
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -93,7 +93,7 @@
 
 impl Scheduler {
     /// Whether what waits elsewhere counts.
-    pub(super) fn contends(&self) -> bool {
+    pub(super) fn is_contention_on(&self) -> bool {
         self.setup.policy.contention.on
     }
 
@@ -103,7 +103,7 @@
         let most = policy.admission.round_jobs as usize;
         let numbers: Vec<JobNumber> = self.waiting.iter().take(most).map(|w| w.2).collect();
         self.note_unheard_peers();
-        self.settle_cell();
+        self.refresh_cell();
         self.allowed_executors = None;
         let free = self.free_room();
         let mut round = Round::new(self.now, free, policy.contention.round_misses);
@@ -146,14 +146,14 @@
         if after == 0 {
             return;
         }
-        self.widen_cell();
+        self.borrow_executors();
         if let Some(entrant) = &entrant
             && !confined
         {
             match after < before {
                 true => round.record_partial(),
                 // It waits by choice for a better worker, which the jobs behind it leave alone.
-                false if self.spares_room(number) => {}
+                false if self.leaves_room(number) => {}
                 false => round.record_miss(entrant),
             }
         }
@@ -213,8 +213,8 @@
     }
 
     fn free_room(&self) -> u64 {
-        let near = self.cell.near.iter().map(|key| &self.executors[*key]);
-        let open = near.filter(|e| e.takes(self.now, &e.profile.service));
+        let near = self.cell.executors.iter().map(|key| &self.executors[*key]);
+        let open = near.filter(|e| e.accepts_tasks(self.now, &e.profile.service));
         open.map(|e| e.free.cpu_milli.max(0) as u64).sum()
     }
 
@@ -230,9 +230,9 @@
 
     /// Whether a job that comes would start too late by a margin. One that may have run elsewhere is never refused for
     /// that: it could not be said that it has not run.
-    pub(super) fn is_hopeless(&self, job: &Job) -> bool {
+    pub(super) fn would_start_late(&self, job: &Job) -> bool {
         let may_have_run = self.ended.get(&job.request.number).is_some_and(|e| e.began);
-        if !self.contends() || may_have_run || !self.shares_room() {
+        if !self.is_contention_on() || may_have_run || !self.shares_room() {
             return false;
         }
         let policy = &self.setup.policy.contention;
@@ -263,7 +263,7 @@
 
     /// A job has begun, or was turned away before it did.
     pub(super) fn note_share(&mut self, job: &Job, served: bool) {
-        if !self.contends() {
+        if !self.is_contention_on() {
             return;
         }
         let need = job.first_cpu();
@@ -279,7 +279,7 @@
     pub(super) fn retry_delay_ms(&mut self) -> u32 {
         let admission = self.setup.policy.admission;
         let base = admission.retry_delay_ms(&mut self.rng);
-        if !self.contends() {
+        if !self.is_contention_on() {
             return base;
         }
         let policy = self.setup.policy.contention;
@@ -313,8 +313,8 @@
     }
 
     /// What peers are told of what waits here.
-    pub(super) fn backlog_news(&mut self) -> Vec<proto::Backlog> {
-        if !self.contends() && !self.setup.policy.balance.on {
+    pub(super) fn backlog_update(&mut self) -> Vec<proto::Backlog> {
+        if !self.is_contention_on() && !self.setup.policy.balance.on {
             return Vec::new();
         }
         if self.now.since(self.contention.summed) >= SUM_GAP {
@@ -324,8 +324,8 @@
     }
 
     /// A peer tells what waits at it.
-    pub(super) fn hear_backlog(&mut self, peer: &str, rows: &[proto::Backlog]) {
-        if self.contends() {
+    pub(super) fn record_peer_backlog(&mut self, peer: &str, rows: &[proto::Backlog]) {
+        if self.is_contention_on() {
             let backlog = Backlog::from_proto(rows);
             self.contention.peers.note(self.now, peer, backlog);
         }
@@ -341,7 +341,7 @@
 
     /// Tells operators when work begins to wait for longer than a moment, and when none does any more.
     pub(super) fn watch_contention(&mut self) {
-        if !self.contends() {
+        if !self.is_contention_on() {
             return;
         }
         self.sum_backlog();
@@ -372,8 +372,8 @@
     }
 
     /// A job was turned away: what was ahead of it is told to operators if it had not begun.
-    pub(super) fn note_turned(&mut self, job: &Job) {
-        if self.contends() && !job.began {
+    pub(super) fn record_rejection(&mut self, job: &Job) {
+        if self.is_contention_on() && !job.began {
             self.log_ahead(job);
             self.note_share(job, false);
         }
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -17,7 +17,7 @@
 impl Scheduler {
     /// Handles an executor's report of the end of a task run.
     pub(super) fn handle_task_end(&mut self, key: ExecutorKey, end: &proto::TaskEnd) {
-        if !self.note_end(key, end.number) {
+        if !self.mark_end_seen(key, end.number) {
             return;
         }
         let Some(kind) = EndKind::from_code(end.kind) else {
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handing.rs
@@ -52,7 +52,7 @@
 
     /// Chooses a random linked peer that accepts jobs, in this zone if there is one.
     fn choose_successor(&mut self) -> Option<String> {
-        let available = |p: &Peer| p.link.is_some() && p.stays();
+        let available = |p: &Peer| p.link.is_some() && p.accepts_jobs();
         let peers = self.peers.iter().filter(|(_, p)| available(p));
         let in_zone = peers.clone().filter(|(_, p)| p.is_in(&self.setup.zone));
         let chosen = in_zone.map(|(name, _)| name).choose(&mut self.rng);
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -141,8 +141,8 @@
         let fits = |k: &ExecutorKey| {
             let e = &self.executors[*k];
             let healthy = !e.slow && !e.report.suspect;
-            *k != key && healthy && e.takes(self.now, &job.service) && e.free.holds(demand)
+            *k != key && healthy && e.accepts_tasks(self.now, &job.service) && e.free.holds(demand)
         };
-        self.cell.near.iter().any(fits)
+        self.cell.executors.iter().any(fits)
     }
 }
--- a/lib/src/dispatch/scheduler/silent.rs
+++ b/lib/src/dispatch/scheduler/silent.rs
@@ -39,15 +39,15 @@
     /// Returns whether a linked executor should have been heard by now and was not. One on standby is heard
     /// seldom unless it is asked for something.
     fn does_not_answer(&self, executor: &ExecutorView) -> bool {
-        let asked = executor.hurried > executor.heard;
-        let due = executor.heard.max(executor.hurried);
+        let asked = executor.asked_at > executor.last_heard;
+        let due = executor.last_heard.max(executor.asked_at);
         (asked || !executor.standby) && self.silence(due) >= self.setup.policy.recovery.silent
     }
 
     /// Returns whether the same holds by what the executor has reported here alone.
     fn is_accounted_here(&self, executor: &ExecutorView) -> bool {
         let policy = self.setup.policy.recovery;
-        let heard = executor.heard.max(executor.hurried);
+        let heard = executor.last_heard.max(executor.asked_at);
         policy.on
             && executor.accounted
             && self.silence(heard) >= policy.silent
@@ -57,7 +57,7 @@
     /// Returns whether all schedulers with these incarnations are linked here and have named their jobs.
     fn are_all_met(&self, mut incarnations: impl Iterator<Item = u64>) -> bool {
         let own = self.setup.incarnation;
-        let met = |incarnation: u64| self.peers.values().any(|p| p.is_met_in(incarnation));
+        let met = |incarnation: u64| self.peers.values().any(|p| p.has_reported_in(incarnation));
         incarnations.all(|incarnation| incarnation == own || met(incarnation))
     }
 
@@ -98,7 +98,7 @@
         if !self.setup.policy.recovery.on {
             return;
         }
-        self.hear_of_executors(std::slice::from_ref(&silent.name));
+        self.record_executors(std::slice::from_ref(&silent.name));
         let (now, recent) = (self.now, self.setup.policy.recovery.silent);
         let Some(key) = self.executor_keys.get(&silent.name) else {
             return;
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -82,7 +82,7 @@
 
     /// Whether a worker is to be tried though tasks would be late there: it does nothing, so that nobody would
     /// notice if it were well again.
-    pub(super) fn is_unproved(&self, executor: &ExecutorView) -> bool {
+    pub(super) fn needs_probe(&self, executor: &ExecutorView) -> bool {
         let own = self.speeds.relative(executor.report.slowness_percent);
         let idle = executor.free.cpu_milli >= i64::from(executor.capacity.cpu_milli);
         idle && own >= self.setup.policy.speeds.sick_ratio
@@ -143,8 +143,8 @@
         let now = self.now;
         let policy = self.setup.policy.speeds;
         let executor = &mut self.executors[key];
-        let gap = now.since(executor.judged);
-        executor.judged = now;
+        let gap = now.since(executor.judged_at);
+        executor.judged_at = now;
         executor.usual.note(percent, gap, &policy);
         let sick = executor.usual.is_degraded(percent, executor.slow, &policy);
         if sick != executor.slow {
@@ -162,7 +162,7 @@
 
     /// Whether a job that has not found all its room leaves some to those behind it: it waits by choice, and they may
     /// have what it would be late at. The rest stays its own, or a stream of patient jobs would keep it waiting.
-    pub(super) fn spares_room(&mut self, number: JobNumber) -> bool {
+    pub(super) fn leaves_room(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(&number).filter(|j| j.held_back) else {
             return false;
         };
@@ -175,7 +175,7 @@
             matches!(fit, Some(Fit::Late(_))) && self.is_spared(*key)
         };
         let allowed_executors: BTreeSet<ExecutorKey> =
-            self.cell.near.iter().copied().filter(late).collect();
+            self.cell.executors.iter().copied().filter(late).collect();
         let some = !allowed_executors.is_empty();
         self.allowed_executors = Some(allowed_executors);
         some
--- a/lib/src/dispatch/scheduler/waiting.rs
+++ b/lib/src/dispatch/scheduler/waiting.rs
@@ -46,15 +46,17 @@
             return "a list with all linked executors".to_owned();
         }
         let open = |p: &Peer| match p.link {
-            Some(_) => !p.met,
-            None => self.silence(p.heard) < self.setup.lapse,
+            Some(_) => !p.has_reported,
+            None => self.silence(p.last_heard) < self.setup.lapse,
         };
         let peers = self.peers.iter().filter(|(_, p)| open(p));
         let peers: Vec<&String> = peers.map(|(name, _)| name).collect();
         if !peers.is_empty() {
             return format!("peers {}", list_names(&peers));
         }
-        let unmet = roster.iter().filter(|name| !self.is_met(name));
+        let unmet = roster
+            .iter()
+            .filter(|name| !self.is_linked_or_accounted(name));
         let unmet: Vec<&String> = unmet.collect();
         if !unmet.is_empty() {
             return format!("executors not met {}", list_names(&unmet));
@@ -77,8 +79,8 @@
         let known = waiting
             .iter()
             .filter_map(|(key, jobs)| Some((self.executors.get(*key)?, jobs)));
-        let slowest =
-            known.max_by_key(|(e, jobs)| (!self.is_accounted(e), self.silence(e.heard), **jobs));
+        let slowest = known
+            .max_by_key(|(e, jobs)| (!self.is_accounted(e), self.silence(e.last_heard), **jobs));
         let Some((executor, jobs)) = slowest else {
             return "nobody".to_owned();
         };
@@ -93,7 +95,7 @@
             "{} executors to confirm; {jobs} for {}, heard {} ms ago, {known}",
             waiting.len(),
             executor.name,
-            crate::clock::millis(self.silence(executor.heard)),
+            crate::clock::millis(self.silence(executor.last_heard)),
         )
     }
 }
