--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -10,8 +10,8 @@
 mod crashes;
 mod evacuation;
 mod health;
+mod incarnations;
 mod lists;
-mod lives;
 mod preempting;
 mod reports;
 mod runs;
@@ -24,9 +24,9 @@
 use crate::dispatch::executor::claims::Claim;
 use crate::dispatch::executor::crashes::CrashMemory;
 use crate::dispatch::executor::health::Health;
-use crate::dispatch::executor::lives::Lives;
+use crate::dispatch::executor::incarnations::Incarnations;
+use crate::dispatch::executor::runs::QueuedTask;
 use crate::dispatch::executor::runs::Run;
-use crate::dispatch::executor::runs::Waiting;
 use crate::dispatch::executor::sessions::Session;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::JobNumber;
@@ -145,67 +145,67 @@
 struct Worker {
     beat: WorkerBeat,
     /// When it last said what it is and has; none in a life that only its lists have told of yet.
-    heard: Option<Mono>,
+    last_heartbeat: Option<Mono>,
     /// Whether its lists have been read in this life, and nothing of an earlier executor runs.
-    clean: bool,
+    reconciled: bool,
     /// Whether it answered the last hold.
-    answers: bool,
+    responsive: bool,
     /// When it first failed to answer, since it last did.
     silent_since: Option<Mono>,
     clock: Option<(u64, Mono)>,
-    seen: u64,
+    last_end: u64,
     /// Whether something was started in this life, so that its service is one that is known.
-    used: bool,
+    has_started: bool,
     /// The last heartbeat with a lower number than the newest, and when it came.
-    lower: Option<(u64, Mono)>,
+    lower_sequence: Option<(u64, Mono)>,
 }
 
 /// The executor.
 pub struct Executor {
     setup: ExecutorSetup,
     worker: Option<Worker>,
-    lives: Lives,
+    incarnations: Incarnations,
     runs: BTreeMap<TaskName, Run>,
-    used: Demand,
-    queue: VecDeque<Waiting>,
+    allocated: Demand,
+    queue: VecDeque<QueuedTask>,
     sessions: BTreeMap<String, Session>,
     claims: BTreeMap<JobNumber, Claim>,
-    memory: CrashMemory,
+    crash_memory: CrashMemory,
     /// The number of the last end told to any scheduler. It rises over all sessions, since a
     /// scheduler may outlive its session here.
     last_end: u64,
     /// Tells apart what schedulers are told seldom.
-    profile_edition: u64,
+    profile_hash: u64,
     /// The schedulers that hold leases here, by name, as they are told.
     leased: Vec<String>,
     /// The incarnations of these, as they are told.
     owners: Vec<u64>,
     /// Since when that may be out of date.
-    leases_stale: Option<Mono>,
+    stale_since: Option<Mono>,
     health: Health,
     /// What stops for more urgent tasks may still throw away.
-    budget: Budget,
+    preemption_budget: Budget,
     /// Over all lives of the worker that this process has seen.
     speed: SpeedEstimate,
     fence: u64,
     /// How far it is raised next.
     fence_step: u64,
     /// Since when runs may be at the worker that are not known here.
-    unclean_since: Mono,
+    unreconciled_since: Mono,
     /// Until when runs may be alive by what was ordered, even if the worker is never asked again.
-    kept_until: Mono,
+    keepalive_until: Mono,
     /// Whether no run was found at the worker before it first said anything of itself.
-    vacant: bool,
+    verified_idle: bool,
     /// The life that is named by the hold that is under way, if it was sent before the worker
     /// said anything; empty if it names none.
     probing: Option<String>,
     /// What a worker said to an earlier life of this process. It is taken up if the worker is
     /// still in that life.
-    recalled: Option<WorkerBeat>,
-    holding: bool,
+    saved_heartbeat: Option<WorkerBeat>,
+    hold_pending: bool,
     /// Counts holds that were sent.
-    holds: u64,
-    hold_at: Mono,
+    holds_sent: u64,
+    next_hold: Mono,
     leaving: bool,
     /// The newest record of its availability zone.
     zone_record: ZoneRecord,
@@ -221,29 +221,29 @@
             fence: setup.fence,
             fence_step: runs::FENCE_STEP,
             worker: None,
-            lives: Lives::default(),
+            incarnations: Incarnations::default(),
             runs: BTreeMap::new(),
-            used: Demand::default(),
+            allocated: Demand::default(),
             queue: VecDeque::new(),
             sessions: BTreeMap::new(),
             claims: BTreeMap::new(),
-            memory: CrashMemory::default(),
+            crash_memory: CrashMemory::default(),
             last_end: 0,
-            profile_edition: reports::edition_of(&proto::Profile::default()),
+            profile_hash: reports::hash_profile(&proto::Profile::default()),
             leased: Vec::new(),
             owners: Vec::new(),
-            leases_stale: None,
+            stale_since: None,
             health: Health::new(setup.policy.health),
-            budget: Budget::default(),
+            preemption_budget: Budget::default(),
             speed: SpeedEstimate::new(setup.policy.speeds),
-            unclean_since: setup.started,
-            kept_until: Mono::default(),
-            vacant: false,
+            unreconciled_since: setup.started,
+            keepalive_until: Mono::default(),
+            verified_idle: false,
             probing: None,
-            recalled: None,
-            holding: false,
-            holds: 0,
-            hold_at: Mono::default(),
+            saved_heartbeat: None,
+            hold_pending: false,
+            holds_sent: 0,
+            next_hold: Mono::default(),
             leaving: false,
             zone_record: ZoneRecord::default(),
             counts: ExecutorCounts::default(),
@@ -294,12 +294,13 @@
     pub fn tick(&mut self, now: Mono) {
         self.expire_leases(now);
         self.expire_claims(now);
-        self.memory.expire(now, self.setup.policy.claims.memory);
-        self.settle_claims(now);
-        self.expire_waiting(now);
+        self.crash_memory
+            .expire(now, self.setup.policy.claims.memory);
+        self.confirm_claims(now);
+        self.expire_queued(now);
         self.resend_stops(now);
         self.stop_stalled(now);
-        self.work(now);
+        self.advance(now);
     }
 
     /// Takes nothing new; what runs goes on.
@@ -307,12 +308,12 @@
         self.leaving = true;
         self.log(Kind::Leaving, self.setup.name.clone());
         self.return_queue(now);
-        self.work(now);
+        self.advance(now);
     }
 
     /// Whether an executor that leaves has nothing more to do, and has told so.
     pub fn is_done(&self, now: Mono) -> bool {
-        let told = |s: &Session| s.ends.is_empty() && (s.link.is_none() || s.departure_told);
+        let told = |s: &Session| s.ends.is_empty() && (s.link.is_none() || s.departure_sent);
         self.has_departed(now) && self.sessions.values().all(told)
     }
 
@@ -324,16 +325,16 @@
 
     /// Whether tasks may start. Where the worker's word is old its room may have shrunk: an executor that woke
     /// after 3.5 s began a task under the room of before.
-    fn ready(&self, now: Mono) -> bool {
+    fn is_ready(&self, now: Mono) -> bool {
         let beats = self.setup.policy.orders.room_beats;
         let age = self.setup.heartbeat.mul_f64(beats);
-        let known = |w: &Worker| w.heard.is_some_and(|at| now.since(at) < age);
-        let ready = |w: &Worker| w.clean && w.answers && !w.beat.draining && known(w);
-        let open = !self.leaving && !self.zone_record.evacuated && !self.is_life_doubted();
+        let known = |w: &Worker| w.last_heartbeat.is_some_and(|at| now.since(at) < age);
+        let ready = |w: &Worker| w.reconciled && w.responsive && !w.beat.draining && known(w);
+        let open = !self.leaving && !self.zone_record.evacuated && !self.is_incarnation_uncertain();
         open && self.worker.as_ref().is_some_and(ready)
     }
 
-    fn life(&self) -> String {
+    fn worker_id(&self) -> String {
         let life = self.worker.as_ref().map(|w| w.beat.life.id.clone());
         life.unwrap_or_default()
     }
@@ -351,37 +352,40 @@
 
     /// The time on the worker's clock that is a span ahead; 0 if the clock is not known. An order
     /// that names it keeps all runs alive until then, whether it is answered or not.
-    fn deadline(&mut self, now: Mono, span: Duration) -> u64 {
+    fn extend_deadline(&mut self, now: Mono, span: Duration) -> u64 {
         match self.worker_clock(now) {
             0 => 0,
             clock => {
-                self.kept_until = self.kept_until.max(now + span.mul_f64(LAPSE_FACTOR));
+                self.keepalive_until = self.keepalive_until.max(now + span.mul_f64(LAPSE_FACTOR));
                 clock + crate::clock::millis(span)
             }
         }
     }
 
     /// What follows from the present state: starts, holds, reports.
-    fn work(&mut self, now: Mono) {
-        self.start_waiting(now);
-        self.hold(now);
-        self.report(now);
+    fn advance(&mut self, now: Mono) {
+        self.start_queued(now);
+        self.send_due_hold(now);
+        self.send_due_updates(now);
     }
 
-    fn hold(&mut self, now: Mono) {
-        let hurried = self.worker.is_some() && self.lives.is_unasked();
-        if self.holding || (now < self.hold_at && !hurried) {
+    fn send_due_hold(&mut self, now: Mono) {
+        let hurried = self.worker.is_some() && self.incarnations.has_new_candidate();
+        if self.hold_pending || (now < self.next_hold && !hurried) {
             return;
         }
         let Some(worker) = &self.worker else {
             return self.probe();
         };
-        if let Some(life) = self.lives.asked() {
-            return self.list_only(life);
+        if let Some(life) = self.incarnations.candidate_id() {
+            return self.request_lists(life);
         }
-        let (life, seen) = (worker.beat.life.id.clone(), worker.seen);
-        let (deadline_ms, wait) = if worker.clean && worker.answers {
-            (self.deadline(now, self.setup.worker_hold), self.hold_wait())
+        let (life, seen) = (worker.beat.life.id.clone(), worker.last_end);
+        let (deadline_ms, wait) = if worker.reconciled && worker.responsive {
+            (
+                self.extend_deadline(now, self.setup.worker_hold),
+                self.hold_wait(),
+            )
         } else {
             (0, Duration::ZERO)
         };
@@ -397,7 +401,7 @@
     /// How long the worker may wait before it answers. Where a stop is confirmed, its lists tell
     /// that a run is gone, and the room for the next one must not wait for that.
     fn hold_wait(&self) -> Duration {
-        let awaited = |run: &Run| matches!(run.state, RunState::Stopping { confirmed: Some(holds), .. } if self.holds == holds);
+        let awaited = |run: &Run| matches!(run.state, RunState::Stopping { confirmed: Some(holds), .. } if self.holds_sent == holds);
         if self.runs.values().any(awaited) {
             return Duration::ZERO;
         }
@@ -408,16 +412,19 @@
     /// its first heartbeat. The fencing token keeps late orders of an earlier executor from
     /// starting anything after that.
     fn probe(&mut self) {
-        if self.vacant && self.recalled.is_none() {
+        if self.verified_idle && self.saved_heartbeat.is_none() {
             return;
         }
-        let life = self.recalled.as_ref().map(|beat| beat.life.id.clone());
+        let life = self
+            .saved_heartbeat
+            .as_ref()
+            .map(|beat| beat.life.id.clone());
         let life = life.unwrap_or_default();
-        self.list_only(life);
+        self.request_lists(life);
     }
 
     /// Reads the lists under a life that the worker may not be in.
-    fn list_only(&mut self, life: String) {
+    fn request_lists(&mut self, life: String) {
         self.probing = Some(life.clone());
         self.send_hold(HoldCall {
             life,
@@ -429,8 +436,8 @@
     }
 
     fn send_hold(&mut self, call: HoldCall) {
-        self.holding = true;
-        self.holds += 1;
+        self.hold_pending = true;
+        self.holds_sent += 1;
         self.actions.push(Action::Hold(call));
     }
 
--- a/lib/src/dispatch/executor/evacuation.rs
+++ b/lib/src/dispatch/executor/evacuation.rs
@@ -11,12 +11,12 @@
 
 impl Executor {
     /// A scheduler tells of a zone.
-    pub(super) fn hear_of_zone(&mut self, now: Mono, owner: &str, state: &proto::ZoneState) {
+    pub(super) fn apply_zone_state(&mut self, now: Mono, owner: &str, state: &proto::ZoneState) {
         if state.zone != self.setup.zone {
             return;
         }
         if let Some(session) = self.sessions.get_mut(owner) {
-            session.zone_told = session.zone_told.max(state.revision);
+            session.zone_sent = session.zone_sent.max(state.revision);
         }
         let record = ZoneRecord::from_proto(state);
         if record.revision <= self.zone_record.revision {
--- a/lib/src/dispatch/executor/health.rs
+++ b/lib/src/dispatch/executor/health.rs
@@ -12,11 +12,11 @@
 use crate::prelude::*;
 
 /// Readings above this say no more than that the worker is very slow.
-const MOST_RATIO: f64 = 20.0;
+const MAX_RATIO: f64 = 20.0;
 
 /// How long a run took, or takes by its progress, against its estimate.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct PaceReading {
     job: JobNumber,
     ratio: f64,
     at: Mono,
@@ -24,7 +24,7 @@
 
 /// The middle of some numbers; 0 if there are none. Of an even count it is the lower one, so that
 /// half of the readings alone do not make a worker slow.
-fn middle(numbers: impl Iterator<Item = f64>) -> f64 {
+fn lower_median(numbers: impl Iterator<Item = f64>) -> f64 {
     let mut numbers: Vec<f64> = numbers.collect();
     numbers.sort_by(f64::total_cmp);
     let at = numbers.len().saturating_sub(1) / 2;
@@ -37,14 +37,14 @@
     policy: HealthPolicy,
     /// How long tasks took against their estimates, the newest reading of each job, the oldest
     /// first.
-    readings: VecDeque<Reading>,
+    readings: VecDeque<PaceReading>,
     /// The middle of the readings; 0 if not known.
     pace: f64,
     failures: u32,
     last_failed: Option<JobNumber>,
     /// When the last trial task was let through, while suspect.
-    trial: Option<Mono>,
-    gap: Duration,
+    last_trial: Option<Mono>,
+    trial_gap: Duration,
     suspect: bool,
 }
 
@@ -57,71 +57,71 @@
             pace: 0.0,
             failures: 0,
             last_failed: None,
-            trial: None,
-            gap: Duration::ZERO,
+            last_trial: None,
+            trial_gap: Duration::ZERO,
             suspect: false,
         }
     }
 
     /// A run ended whole.
-    pub fn done(&mut self, now: Mono, job: JobNumber, ratio: Option<f64>) {
+    pub fn record_success(&mut self, now: Mono, job: JobNumber, ratio: Option<f64>) {
         self.failures = 0;
         self.last_failed = None;
         self.suspect = false;
-        self.gap = self.policy.trial_first;
+        self.trial_gap = self.policy.trial_first;
         if let Some(ratio) = ratio {
-            self.read_pace(now, job, ratio);
+            self.record_pace(now, job, ratio);
         }
     }
 
     /// A run failed, or the worker turned a start away.
-    pub fn failed(&mut self, now: Mono, job: JobNumber) {
+    pub fn record_failure(&mut self, now: Mono, job: JobNumber) {
         if self.last_failed != Some(job) {
             self.failures += 1;
         }
         self.last_failed = Some(job);
         if self.failures >= self.policy.failures {
-            self.suspected(now);
+            self.mark_suspect(now);
         }
     }
 
-    fn suspected(&mut self, now: Mono) {
+    fn mark_suspect(&mut self, now: Mono) {
         let next = if self.suspect {
-            self.gap * 2
+            self.trial_gap * 2
         } else {
             self.policy.trial_first
         };
-        self.gap = next.clamp(self.policy.trial_first, self.policy.trial_last);
+        self.trial_gap = next.clamp(self.policy.trial_first, self.policy.trial_last);
         self.suspect = true;
-        self.trial = Some(now);
+        self.last_trial = Some(now);
     }
 
     /// A run stood still.
-    pub fn stalled(&mut self, now: Mono) {
+    pub fn record_stall(&mut self, now: Mono) {
         let at_once = self.suspect
             && self
-                .trial
+                .last_trial
                 .is_some_and(|at| now.since(at) < self.policy.trial_first / 4);
         if !at_once {
-            self.suspected(now);
+            self.mark_suspect(now);
         }
     }
 
     /// A run of a job takes this many times its estimate.
-    pub fn read_pace(&mut self, now: Mono, job: JobNumber, ratio: f64) {
+    pub fn record_pace(&mut self, now: Mono, job: JobNumber, ratio: f64) {
         let (most, age) = (self.policy.pace_jobs as usize, self.policy.pace_age);
         self.readings
             .retain(|r| r.job != job && now.since(r.at) < age);
         if self.readings.len() >= most {
             self.readings.pop_front();
         }
-        let ratio = ratio.min(MOST_RATIO);
-        self.readings.push_back(Reading {
+        let ratio = ratio.min(MAX_RATIO);
+        self.readings.push_back(PaceReading {
             job,
             ratio,
             at: now,
         });
-        self.pace = middle(self.readings.iter().map(|r| r.ratio));
+        self.pace = lower_median(self.readings.iter().map(|r| r.ratio));
     }
 
     /// The pace, in percent of the estimates; 0 if not known.
@@ -135,10 +135,12 @@
     }
 
     /// Whether a suspect worker may be tried now. Counts as the trial if so.
-    pub fn may_try(&mut self, now: Mono) -> bool {
-        let due = self.trial.is_none_or(|at| now.since(at) >= self.gap);
+    pub fn try_start_trial(&mut self, now: Mono) -> bool {
+        let due = self
+            .last_trial
+            .is_none_or(|at| now.since(at) >= self.trial_gap);
         if due {
-            self.trial = Some(now);
+            self.last_trial = Some(now);
         }
         due
     }
@@ -147,19 +149,21 @@
 impl Executor {
     /// Stops runs that stand still, so that they can run elsewhere.
     pub(super) fn stop_stalled(&mut self, now: Mono) {
-        let answers = self.worker.as_ref().is_some_and(|w| w.answers);
-        if !answers {
+        let responsive = self.worker.as_ref().is_some_and(|w| w.responsive);
+        if !responsive {
             return;
         }
         let stall = self.setup.policy.health.stall;
         let still = |run: &super::runs::Run| {
             let bound = stall + run.estimate / 10;
-            run.state == RunState::Running && now.since(run.moved) >= bound && run.percent < 100
+            run.state == RunState::Running
+                && now.since(run.progressed_at) >= bound
+                && run.percent < 100
         };
         let names = self.runs.iter().filter(|(_, r)| still(r));
         let names: Vec<TaskName> = names.map(|(t, _)| *t).collect();
         for name in names {
-            self.health.stalled(now);
+            self.health.record_stall(now);
             self.log(Kind::RunStalled, name.to_string());
             self.stop_run(now, name, EndKind::Stalled);
         }
--- a/lib/src/dispatch/executor/lives.rs
+++ b/lib/src/dispatch/executor/incarnations.rs
@@ -25,22 +25,22 @@
 use crate::prelude::*;
 
 /// So many lives that are over are remembered; a worker that crashes under each of a batch of tasks has tens.
-const PAST_LIVES: usize = 64;
+const MAX_PAST: usize = 64;
 /// The worker is asked so often whether it is in another life. Single answers can be lost.
-const MOST_ASKED: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// What is known of the worker's lives besides the present one.
 #[derive(Debug, Default)]
-pub(super) struct Lives {
+pub(super) struct Incarnations {
     /// Lives that are over, the oldest first.
     past: VecDeque<Life>,
     /// What was said by another life, which the worker has not confirmed, and how often it was asked.
     candidate: Option<(WorkerBeat, u32)>,
 }
 
-impl Lives {
+impl Incarnations {
     fn end(&mut self, life: Life) {
-        if self.past.len() >= PAST_LIVES {
+        if self.past.len() >= MAX_PAST {
             self.past.pop_front();
         }
         self.past.push_back(life);
@@ -51,31 +51,31 @@
     }
 
     /// Whether an earlier life had this id.
-    fn has_had(&self, id: &str) -> bool {
+    fn has_past_id(&self, id: &str) -> bool {
         self.past.iter().any(|life| life.id == id)
     }
 
     /// The id of the life to ask the worker about, if there is one.
-    pub fn asked(&self) -> Option<String> {
+    pub fn candidate_id(&self) -> Option<String> {
         self.candidate
             .as_ref()
             .map(|(beat, _)| beat.life.id.clone())
     }
 
     /// Whether the worker has not been asked about another life yet, which does not wait for its next hold.
-    pub fn is_unasked(&self) -> bool {
+    pub fn has_new_candidate(&self) -> bool {
         self.candidate
             .as_ref()
             .is_some_and(|(_, asked)| *asked == 0)
     }
 
-    fn is_asked(&self, id: &str) -> bool {
+    fn is_candidate(&self, id: &str) -> bool {
         let same = |(beat, _): &(WorkerBeat, u32)| beat.life.id == id;
         self.candidate.as_ref().is_some_and(same)
     }
 
     /// Takes what was said by another life. A later word of the same one stands.
-    fn ask(&mut self, beat: WorkerBeat) {
+    fn set_candidate(&mut self, beat: WorkerBeat) {
         let later = |(known, _): &(WorkerBeat, u32)| {
             known.life.is_same(&beat.life) && known.sequence > beat.sequence
         };
@@ -87,32 +87,36 @@
 
 impl Worker {
     /// Takes note of what it says in its present life; whether that counts.
-    fn take_beat(&mut self, now: Mono, beat: WorkerBeat, heartbeat: Duration) -> bool {
-        if self.used && beat.service != self.beat.service {
+    fn accept_heartbeat(&mut self, now: Mono, beat: WorkerBeat, heartbeat: Duration) -> bool {
+        if self.has_started && beat.service != self.beat.service {
             return false;
         }
         // A worker that leaves does not come back in the same life, so that this is true also of one that came late.
         let draining = beat.draining || self.beat.draining;
         self.beat.draining = draining;
-        if beat.sequence < self.beat.sequence && !self.was_ahead(now, beat.sequence, heartbeat) {
+        if beat.sequence < self.beat.sequence
+            && !self.confirm_lower_sequence(now, beat.sequence, heartbeat)
+        {
             return false;
         }
-        self.lower = None;
+        self.lower_sequence = None;
         self.beat = WorkerBeat { draining, ..beat };
-        self.heard = Some(now);
+        self.last_heartbeat = Some(now);
         true
     }
 
     /// Whether the number of the newest heartbeat was not the worker's, now that there is one below it: for a
     /// heartbeat nothing came that is above it, and two below it that rise and came apart, as what was held up
     /// on the way does not.
-    fn was_ahead(&mut self, now: Mono, sequence: u64, heartbeat: Duration) -> bool {
-        let Some((lower, at)) = self.lower.filter(|(lower, _)| *lower < sequence) else {
-            self.lower = Some((sequence, now));
+    fn confirm_lower_sequence(&mut self, now: Mono, sequence: u64, heartbeat: Duration) -> bool {
+        let Some((lower, at)) = self.lower_sequence.filter(|(lower, _)| *lower < sequence) else {
+            self.lower_sequence = Some((sequence, now));
             return false;
         };
-        self.lower = Some((lower, at));
-        let silent = self.heard.is_none_or(|at| now.since(at) >= heartbeat);
+        self.lower_sequence = Some((lower, at));
+        let silent = self
+            .last_heartbeat
+            .is_none_or(|at| now.since(at) >= heartbeat);
         now.since(at) >= heartbeat / 2 && silent
     }
 }
@@ -121,22 +125,24 @@
     /// Takes note of what the worker says of itself.
     pub fn beat(&mut self, now: Mono, beat: WorkerBeat) {
         match &self.worker {
-            None if self.lives.is_past(&beat.life) => self.recall(now, beat),
-            None => self.begin_life(now, beat),
-            Some(worker) if !worker.beat.life.is_same(&beat.life) => self.lives.ask(beat),
-            Some(_) => self.beat_again(now, beat),
+            None if self.incarnations.is_past(&beat.life) => self.recall(now, beat),
+            None => self.begin_incarnation(now, beat),
+            Some(worker) if !worker.beat.life.is_same(&beat.life) => {
+                self.incarnations.set_candidate(beat)
+            }
+            Some(_) => self.update_heartbeat(now, beat),
         }
-        self.work(now);
+        self.advance(now);
     }
 
-    fn beat_again(&mut self, now: Mono, beat: WorkerBeat) {
+    fn update_heartbeat(&mut self, now: Mono, beat: WorkerBeat) {
         let heartbeat = self.setup.heartbeat;
         let Some(worker) = &mut self.worker else {
             return;
         };
-        let (before, first) = (worker.beat.clone(), worker.heard.is_none());
+        let (before, first) = (worker.beat.clone(), worker.last_heartbeat.is_none());
         let (life, sequence) = (beat.life.clone(), beat.sequence);
-        let counts = worker.take_beat(now, beat, heartbeat);
+        let counts = worker.accept_heartbeat(now, beat, heartbeat);
         let drains = worker.beat.draining && !before.draining;
         let same = worker.beat.is_like(&before);
         if !counts {
@@ -144,22 +150,22 @@
                 "{life} number {sequence}; {} number {}",
                 before.life, before.sequence
             );
-            self.reject_beat(detail);
+            self.reject_heartbeat(detail);
         }
         if !same || first {
-            self.profile_changed();
+            self.update_profile();
         }
         if !same || drains || first {
-            self.keep_worker();
+            self.save_heartbeat();
         }
         if drains {
-            self.log(Kind::WorkerDraining, self.life());
+            self.log(Kind::WorkerDraining, self.worker_id());
             self.return_queue(now);
         }
     }
 
     /// A heartbeat changes nothing.
-    fn reject_beat(&mut self, detail: String) {
+    fn reject_heartbeat(&mut self, detail: String) {
         self.counts.beats_rejected += 1;
         self.log(Kind::BadBeat, detail);
     }
@@ -171,19 +177,19 @@
 
     /// Whether a hold was meant for a life that the worker has not confirmed.
     pub(super) fn is_candidate(&self, id: &str) -> bool {
-        self.worker.is_some() && self.lives.is_asked(id)
+        self.worker.is_some() && self.incarnations.is_candidate(id)
     }
 
     /// Whether calls to the worker may reach another life than the present one, since both have the same id. What it
     /// has room for is not known then.
-    pub(super) fn is_life_doubted(&self) -> bool {
-        self.is_candidate(&self.life())
+    pub(super) fn is_incarnation_uncertain(&self) -> bool {
+        self.is_candidate(&self.worker_id())
     }
 
     /// Whether lists are of another life than the present one, by the start that they name.
-    pub(super) fn is_of_another_life(&self, born: Option<u64>) -> bool {
+    pub(super) fn is_from_other_incarnation(&self, born: Option<u64>) -> bool {
         let answering = Life {
-            id: self.life(),
+            id: self.worker_id(),
             born,
         };
         let other = |worker: &Worker| !worker.beat.life.is_same(&answering);
@@ -192,8 +198,12 @@
 
     /// The worker's answer to a question for another life. Returns the reply if it is of the life that is the
     /// present one from now on.
-    pub(super) fn life_answered(&mut self, now: Mono, reply: HoldReply) -> Option<HoldReply> {
-        let (beat, asked) = self.lives.candidate.take()?;
+    pub(super) fn handle_candidate_reply(
+        &mut self,
+        now: Mono,
+        reply: HoldReply,
+    ) -> Option<HoldReply> {
+        let (beat, asked) = self.incarnations.candidate.take()?;
         match &reply {
             HoldReply::Lists { born, .. } => {
                 let answering = Life {
@@ -202,25 +212,25 @@
                 };
                 let present = self.worker.as_ref().map(|w| &w.beat.life);
                 if present.is_some_and(|life| life.is_same(&answering)) {
-                    self.reject_beat(format!("{} is not its life", beat.life));
+                    self.reject_heartbeat(format!("{} is not its life", beat.life));
                 } else if beat.life.is_same(&answering) {
-                    self.change_life(now, beat, Some(now), &reply);
+                    self.switch_incarnation(now, beat, Some(now), &reply);
                 } else {
-                    self.meet_unheard(now, answering, &reply);
+                    self.adopt_unannounced(now, answering, &reply);
                 }
                 return Some(reply);
             }
-            HoldReply::WrongLife => self.reject_beat(format!("{} is not its life", beat.life)),
-            HoldReply::Fenced if asked + 1 < MOST_ASKED => {
+            HoldReply::WrongLife => self.reject_heartbeat(format!("{} is not its life", beat.life)),
+            HoldReply::Fenced if asked + 1 < MAX_ATTEMPTS => {
                 self.raise_fence();
-                self.lives.candidate = Some((beat, asked + 1));
+                self.incarnations.candidate = Some((beat, asked + 1));
             }
-            HoldReply::NoAnswer | HoldReply::Unreachable if asked + 1 < MOST_ASKED => {
-                self.hold_at = now + self.setup.policy.orders.ask_soon;
-                self.lives.candidate = Some((beat, asked + 1));
+            HoldReply::NoAnswer | HoldReply::Unreachable if asked + 1 < MAX_ATTEMPTS => {
+                self.next_hold = now + self.setup.policy.orders.ask_soon;
+                self.incarnations.candidate = Some((beat, asked + 1));
             }
             HoldReply::Fenced | HoldReply::NoAnswer | HoldReply::Unreachable => {
-                self.reject_beat(format!(
+                self.reject_heartbeat(format!(
                     "{}: the worker does not answer under it",
                     beat.life
                 ));
@@ -231,7 +241,7 @@
 
     /// The lists are of a life that has not said anything yet: nothing is started there until it has said what
     /// room it has, as it may be of another kind than the one before.
-    pub(super) fn meet_unheard(&mut self, now: Mono, life: Life, reply: &HoldReply) {
+    pub(super) fn adopt_unannounced(&mut self, now: Mono, life: Life, reply: &HoldReply) {
         let Some(worker) = &self.worker else {
             return;
         };
@@ -241,26 +251,32 @@
             sequence: 0,
             ..worker.beat.clone()
         };
-        self.change_life(now, beat, None, reply);
+        self.switch_incarnation(now, beat, None, reply);
     }
 
     /// The worker has answered in another life. What its lists show is there, begun after it had started and before that
     /// was known: ended as lost it would run a second time elsewhere.
-    fn change_life(&mut self, now: Mono, beat: WorkerBeat, heard: Option<Mono>, reply: &HoldReply) {
-        let same_id = self.life() == beat.life.id;
+    fn switch_incarnation(
+        &mut self,
+        now: Mono,
+        beat: WorkerBeat,
+        last_heartbeat: Option<Mono>,
+        reply: &HoldReply,
+    ) {
+        let same_id = self.worker_id() == beat.life.id;
         let kept = if same_id {
-            self.found_in(reply)
+            self.surviving_runs(reply)
         } else {
             Vec::new()
         };
-        self.judge_crash(now, &kept);
-        self.end_life(now, "another life has registered", &kept);
-        self.meet(now, beat, heard);
+        self.record_crash(now, &kept);
+        self.end_incarnation(now, "another life has registered", &kept);
+        self.adopt_worker(now, beat, last_heartbeat);
     }
 
     /// The runs that lists show, and those of which it is not known yet whether they began: a worker that has
     /// started again under its id may have taken them.
-    fn found_in(&self, reply: &HoldReply) -> Vec<TaskName> {
+    fn surviving_runs(&self, reply: &HoldReply) -> Vec<TaskName> {
         let HoldReply::Lists {
             running, finished, ..
         } = reply
@@ -281,36 +297,36 @@
     /// the same id and have come late. While something runs, it is believed only of a worker that had said it leaves,
     /// under an id that no earlier life had; else the next hold tells.
     pub fn worker_left(&mut self, now: Mono, id: &str) {
-        if self.life() != id {
-            if self.lives.is_asked(id) {
-                self.lives.candidate = None;
+        if self.worker_id() != id {
+            if self.incarnations.is_candidate(id) {
+                self.incarnations.candidate = None;
             }
             return;
         }
         let draining = self.worker.as_ref().is_some_and(|w| w.beat.draining);
-        let certain = draining && !self.lives.has_had(id);
+        let certain = draining && !self.incarnations.has_past_id(id);
         if certain || self.runs.is_empty() {
-            self.lives.candidate = None;
-            self.end_life(now, "it has left", &[]);
+            self.incarnations.candidate = None;
+            self.end_incarnation(now, "it has left", &[]);
         } else {
-            self.reject_beat(format!("{id} says that it has left, and has runs"));
+            self.reject_heartbeat(format!("{id} says that it has left, and has runs"));
         }
-        self.work(now);
+        self.advance(now);
     }
 
     /// Meets the worker in a life that it has told of itself.
-    pub(super) fn begin_life(&mut self, now: Mono, beat: WorkerBeat) {
-        self.meet(now, beat, Some(now));
+    pub(super) fn begin_incarnation(&mut self, now: Mono, beat: WorkerBeat) {
+        self.adopt_worker(now, beat, Some(now));
     }
 
     /// Meets the worker in a life that an earlier life of this process knew. It is not known for how long that is over, and
     /// the worker's room may have shrunk since: nothing is started before it has said what it has. An executor that
     /// goes by what it has kept may take more than there is.
-    pub(super) fn begin_recalled_life(&mut self, now: Mono, beat: WorkerBeat) {
-        self.meet(now, beat, None);
+    pub(super) fn restore_incarnation(&mut self, now: Mono, beat: WorkerBeat) {
+        self.adopt_worker(now, beat, None);
     }
 
-    fn meet(&mut self, now: Mono, beat: WorkerBeat, heard: Option<Mono>) {
+    fn adopt_worker(&mut self, now: Mono, beat: WorkerBeat, last_heartbeat: Option<Mono>) {
         let detail = format!("{} of {}", beat.life, beat.service);
         self.log(Kind::WorkerUp, detail);
         if beat.draining {
@@ -318,15 +334,15 @@
         }
         self.health = Health::new(self.setup.policy.health);
         self.speed.begin_life();
-        self.unclean_since = now;
+        self.unreconciled_since = now;
         self.worker = Some(Worker {
             beat,
-            heard,
-            answers: true,
+            last_heartbeat,
+            responsive: true,
             ..Worker::default()
         });
-        self.profile_changed();
-        self.keep_worker();
+        self.update_profile();
+        self.save_heartbeat();
     }
 
     /// Takes note of what the worker said to an earlier life of this process, or in a life that was held to be
@@ -334,33 +350,33 @@
     /// again.
     pub fn recall(&mut self, now: Mono, beat: WorkerBeat) {
         if self.worker.is_none() {
-            self.recalled = Some(beat);
-            self.work(now);
+            self.saved_heartbeat = Some(beat);
+            self.advance(now);
         }
     }
 
-    fn keep_worker(&mut self) {
-        let heard = self.worker.as_ref().filter(|w| w.heard.is_some());
-        let beat = heard.map(|w| w.beat.clone());
+    fn save_heartbeat(&mut self) {
+        let announced = self.worker.as_ref().filter(|w| w.last_heartbeat.is_some());
+        let beat = announced.map(|w| w.beat.clone());
         self.actions.push(Action::Keep(beat));
     }
 
     /// Everything that ran in this life of the worker is over, except for what is known to be in the next one.
-    fn end_life(&mut self, now: Mono, cause: &str, kept: &[TaskName]) {
+    fn end_incarnation(&mut self, now: Mono, cause: &str, kept: &[TaskName]) {
         let Some(worker) = &self.worker else {
             return;
         };
         let life = worker.beat.life.clone();
         self.log(Kind::WorkerDown, life.to_string());
-        self.log_lost(now, cause, kept);
-        self.lives.end(life);
+        self.log_lost_runs(now, cause, kept);
+        self.incarnations.end(life);
         self.worker = None;
-        self.profile_changed();
-        self.keep_worker();
+        self.update_profile();
+        self.save_heartbeat();
         let lost = self.runs.keys().filter(|task| !kept.contains(task));
         let names: Vec<TaskName> = lost.copied().collect();
         for name in names {
-            self.end_run_lost(now, name);
+            self.end_lost_run(now, name);
         }
         self.return_queue(now);
     }
--- a/lib/src/dispatch/executor/preempting.rs
+++ b/lib/src/dispatch/executor/preempting.rs
@@ -2,10 +2,10 @@
 //! room: several schedulers may ask at once.
 
 use super::Executor;
+use super::runs::QueuedTask;
 use super::runs::Run;
 use super::runs::RunState;
-use super::runs::Waiting;
-use super::runs::less;
+use super::runs::subtract;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::EndKind;
 use crate::dispatch::model::TaskName;
@@ -34,7 +34,7 @@
 
 impl Run {
     /// Whether it is being stopped to make room.
-    fn is_clearing(&self) -> bool {
+    fn is_being_preempted(&self) -> bool {
         let why = match self.state {
             RunState::Stopping { why, .. } => Some(why),
             _ => None,
@@ -42,12 +42,12 @@
         why == Some(EndKind::Preempted)
     }
 
-    fn stoppable(&self, now: Mono, key: TaskName) -> Stoppable<TaskName> {
+    fn as_stoppable(&self, now: Mono, key: TaskName) -> Stoppable<TaskName> {
         Stoppable {
             key,
             priority: self.rank.priority,
             demand: self.demand,
-            age: now.since(self.began),
+            age: now.since(self.started_at),
             expected: self.estimate,
             progress: f64::from(self.percent) / 100.0,
             stops: self.rank.stops,
@@ -60,42 +60,42 @@
 impl Executor {
     /// Stops runs for an urgent task that has just come; says whether there will be room for it. It starts once the
     /// worker's lists confirm that the room is free.
-    pub(super) fn make_room(&mut self, now: Mono, waiting: &Waiting) -> bool {
-        if !waiting.preempts || self.health.is_suspect() || !self.spread_allows(waiting) {
+    pub(super) fn preempt_for(&mut self, now: Mono, queued: &QueuedTask) -> bool {
+        if !queued.preempts || self.health.is_suspect() || !self.is_within_spread(queued) {
             return false;
         }
         let policy = self.setup.policy.preemption;
         let wanted = Wanted {
-            priority: waiting.rank.priority,
-            missing: self.missing(now, waiting.demand),
-            latest: waiting.latest,
+            priority: queued.rank.priority,
+            missing: self.missing_capacity(now, queued.demand),
+            latest: queued.latest_start,
         };
-        let bounds = self.bounds(now);
+        let bounds = self.preemption_bounds(now);
         let runs = self.stoppable_runs(now);
         let Some(chosen) = preemption::choose(now, &wanted, &runs, bounds, &policy) else {
             let missing = wanted.missing.cpu_milli;
             let detail = format!(
                 "{}: {missing} milli-cores missing, {:.0} core-ms and {} milli-cores may be lost",
-                waiting.task, bounds.loss, bounds.cpu_milli
+                queued.task, bounds.loss, bounds.cpu_milli
             );
             self.log(Kind::RoomKept, detail);
             return false;
         };
         if !chosen.is_empty() {
-            self.clear(now, waiting, &chosen);
+            self.preempt_runs(now, queued, &chosen);
         }
         true
     }
 
     /// Stops the chosen runs.
-    fn clear(&mut self, now: Mono, waiting: &Waiting, chosen: &[TaskName]) {
+    fn preempt_runs(&mut self, now: Mono, queued: &QueuedTask, chosen: &[TaskName]) {
         let policy = self.setup.policy.preemption;
-        let lost = |task: &TaskName| self.runs[task].stoppable(now, *task).loss(&policy);
+        let lost = |task: &TaskName| self.runs[task].as_stoppable(now, *task).loss(&policy);
         let loss: f64 = chosen.iter().map(lost).sum();
         let capacity = self.capacity().cpu_milli;
-        self.budget.spend(now, capacity, loss, &policy);
+        self.preemption_budget.spend(now, capacity, loss, &policy);
         let names: Vec<String> = chosen.iter().map(TaskName::to_string).collect();
-        let detail = format!("{}: {}, {loss:.0} core-ms", waiting.task, names.join(" "));
+        let detail = format!("{}: {}, {loss:.0} core-ms", queued.task, names.join(" "));
         self.log(Kind::RunsPreempted, detail);
         for task in chosen {
             self.stop_run(now, *task, EndKind::Preempted);
@@ -103,17 +103,17 @@
     }
 
     /// What of a demand finds no room beside what waits, once the runs that end soon or are being stopped are gone.
-    fn missing(&self, now: Mono, demand: Demand) -> Demand {
-        let waiting = self.queue.iter().map(|w| w.demand);
-        let wanted = waiting.fold(demand, Demand::plus);
+    fn missing_capacity(&self, now: Mono, demand: Demand) -> Demand {
+        let queued = self.queue.iter().map(|w| w.demand);
+        let wanted = queued.fold(demand, Demand::plus);
         let soon = self.setup.policy.placement.room_wait;
         let going = |run: &&Run| {
             let stopping = matches!(run.state, RunState::Stopping { .. });
             stopping || run.ends_within(now, soon)
         };
         let freed = self.runs.values().filter(going).map(|r| r.demand);
-        let used = freed.fold(self.used, less);
-        less(used.plus(wanted), self.capacity())
+        let used = freed.fold(self.allocated, subtract);
+        subtract(used.plus(wanted), self.capacity())
     }
 
     /// The runs that may be stopped, as far as it is known that they run.
@@ -121,23 +121,23 @@
         let running = |run: &Run| run.state == RunState::Running;
         let running = self.runs.iter().filter(|(_, run)| running(run));
         running
-            .map(|(task, run)| run.stoppable(now, *task))
+            .map(|(task, run)| run.as_stoppable(now, *task))
             .collect()
     }
 
-    fn clearing(&self) -> u32 {
-        let clearing = self.runs.values().filter(|run| run.is_clearing());
+    fn preempted_cpu(&self) -> u32 {
+        let clearing = self.runs.values().filter(|run| run.is_being_preempted());
         clearing.map(|run| run.demand.cpu_milli).sum()
     }
 
     /// What may be stopped now.
-    fn bounds(&self, now: Mono) -> Bounds {
+    fn preemption_bounds(&self, now: Mono) -> Bounds {
         let policy = self.setup.policy.preemption;
         let capacity = self.capacity().cpu_milli;
         let share = (f64::from(capacity) * policy.room_share) as u32;
         Bounds {
-            loss: self.budget.left(now, capacity, &policy),
-            cpu_milli: share.saturating_sub(self.clearing()),
+            loss: self.preemption_budget.left(now, capacity, &policy),
+            cpu_milli: share.saturating_sub(self.preempted_cpu()),
         }
     }
 
@@ -149,19 +149,19 @@
             return 0;
         }
         let runs = self.stoppable_runs(now);
-        let bounds = self.bounds(now);
+        let bounds = self.preemption_bounds(now);
         let more = preemption::preemptible(now, MOST_URGENT, &runs, bounds, &policy);
-        self.clearing() + more
+        self.preempted_cpu() + more
     }
 
     /// Counts a run that has ended for a more urgent task.
-    pub(super) fn note_preempted(&mut self, now: Mono, run: &Run, kind: EndKind) {
+    pub(super) fn count_preempted(&mut self, now: Mono, run: &Run, kind: EndKind) {
         if kind != EndKind::Preempted {
             return;
         }
         self.counts.preempted += 1;
         if !run.rank.saves {
-            let ran = now.since(run.began).as_secs_f64();
+            let ran = now.since(run.started_at).as_secs_f64();
             self.counts.wasted += (ran * f64::from(run.demand.cpu_milli)) as u64;
         }
     }
--- a/lib/src/dispatch/executor/reports.rs
+++ b/lib/src/dispatch/executor/reports.rs
@@ -17,7 +17,7 @@
 
 /// What has changed of leases is told after this long: a scheduler that has just linked says within a round trip
 /// whether it places tasks here, and in a large fleet most do not.
-const LEASES_SETTLE: Duration = Duration::from_millis(20);
+const LEASE_DEBOUNCE: Duration = Duration::from_millis(20);
 
 /// A run that goes slowly, as it is told; none if it is not there any more.
 fn slow_run(runs: &BTreeMap<TaskName, Run>, task: TaskName) -> Option<proto::SlowRun> {
@@ -30,19 +30,19 @@
 
 impl Executor {
     /// Sends updates to the schedulers that are due one.
-    pub(super) fn report(&mut self, now: Mono) {
-        self.settle_leases(now);
+    pub(super) fn send_due_updates(&mut self, now: Mono) {
+        self.publish_leases(now);
         let reports = self.setup.policy.reports;
         let idle_heartbeat = self.setup.policy.cells.heartbeat;
         let near = self.sessions.values().filter(|s| !s.standby).count() as u32;
         let least = reports.gap.max(reports.gap_each * near);
-        let edition = self.profile_edition;
+        let profile_hash = self.profile_hash;
         let departed = self.has_departed(now);
         let due = |s: &Session| {
-            let gap = now.since(s.last_sent);
-            let untold = s.profile_told != edition;
+            let gap = now.since(s.last_update);
+            let untold = s.profile_sent != profile_hash;
             match s.standby {
-                _ if s.urgent || s.departure_told != departed => true,
+                _ if s.urgent || s.departure_sent != departed => true,
                 true => gap >= idle_heartbeat || (untold && gap >= reports.heartbeat),
                 false => gap >= reports.heartbeat || (s.changed && gap >= least),
             }
@@ -59,35 +59,37 @@
         let worker = Some(self.worker_report(now));
         let departed = self.has_departed(now);
         let accounted = self.is_accounted(now);
-        let told = self.sessions[name].profile_told;
-        let untold = told != self.profile_edition;
+        let told = self.sessions[name].profile_sent;
+        let untold = told != self.profile_hash;
         let profile = untold.then(|| self.profile_for(name));
-        let held = self.sessions[name].list_held.then(|| self.held_for(name));
+        let held = self.sessions[name].list_held.then(|| self.held_tasks(name));
         let Some(session) = self.sessions.get_mut(name) else {
             return;
         };
         let Some(link) = session.link else {
             return;
         };
-        let fresh = session.ends.range(session.told + 1..);
+        let fresh = session.ends.range(session.last_end_sent + 1..);
         let ends: Vec<proto::TaskEnd> = fresh.map(|(_, e)| e.clone()).collect();
-        session.told = self.last_end;
+        session.last_end_sent = self.last_end;
         session.urgent = false;
         session.changed = false;
         session.list_held = false;
         if let Some(profile) = &profile {
-            session.profile_told = edition_of(profile);
+            session.profile_sent = hash_profile(profile);
         }
-        session.departure_told = departed;
-        session.last_sent = now;
+        session.departure_sent = departed;
+        session.last_update = now;
         let claimed: Vec<JobNumber> = session.claimed.drain(..).collect();
-        let crashed = claimed.iter().flat_map(|job| self.memory.of_job(*job));
+        let crashed = claimed
+            .iter()
+            .flat_map(|job| self.crash_memory.job_records(*job));
         let crashed = crashed.collect();
         let claimed = claimed.iter().map(|job| job.0).collect();
         let denied = session.denied.drain(..).map(|j| j.0).collect();
         let record = self.zone_record;
-        let news = record.revision > session.zone_told;
-        session.zone_told = session.zone_told.max(record.revision);
+        let news = record.revision > session.zone_sent;
+        session.zone_sent = session.zone_sent.max(record.revision);
         let zone = news.then(|| record.proto(&self.setup.zone));
         let slow = std::mem::take(&mut session.slow);
         let slow = slow.iter().filter_map(|task| slow_run(&self.runs, *task));
@@ -109,7 +111,7 @@
             zone,
             departed,
             accounted,
-            newcomers: self.newcomers(),
+            newcomers: self.unpublished_holders(),
         };
         let body = proto::frame::Body::Update(update);
         self.actions.push(Action::Send(link, Box::new(body)));
@@ -117,7 +119,7 @@
 
     /// Notes that a run goes slowly at a worker that is slow, so that its scheduler can have it run
     /// elsewhere.
-    pub(super) fn tell_if_slow(&mut self, task: TaskName) {
+    pub(super) fn report_if_slow(&mut self, task: TaskName) {
         let slow =
             f64::from(self.health.pace_percent()) > self.setup.policy.health.slow_ratio * 100.0;
         let Some(run) = self.runs.get(&task).filter(|_| slow) else {
@@ -133,7 +135,7 @@
         }
     }
 
-    fn held_for(&self, name: &str) -> proto::HeldTasks {
+    fn held_tasks(&self, name: &str) -> proto::HeldTasks {
         let runs = self.runs.iter().filter(|(_, r)| r.scheduler == name);
         let runs = runs.map(|(t, r)| t.proto(r.attempt));
         let waits = self.queue.iter().filter(|w| w.scheduler == name);
@@ -148,12 +150,12 @@
             return proto::WorkerReport::default();
         };
         let capacity = worker.beat.capacity;
-        let mut free = Free::of(capacity).less(self.used);
-        for waiting in &self.queue {
-            free = free.less(waiting.demand);
+        let mut free = Free::of(capacity).less(self.allocated);
+        for queued in &self.queue {
+            free = free.less(queued.demand);
         }
         proto::WorkerReport {
-            ready: self.ready(now),
+            ready: self.is_ready(now),
             free_cpu_milli: free.cpu_milli,
             free_memory_mb: free.memory_mb,
             free_gpu: free.gpu,
@@ -166,27 +168,27 @@
     }
 
     /// Takes note that what schedulers are told seldom has changed.
-    pub(super) fn profile_changed(&mut self) {
-        self.profile_edition = edition_of(&self.profile(self.leased.clone()));
+    pub(super) fn update_profile(&mut self) {
+        self.profile_hash = hash_profile(&self.profile(self.leased.clone()));
         for session in self.sessions.values_mut() {
             session.changed = true;
         }
     }
 
     /// Takes note that schedulers have come or gone, or have begun or ceased to place tasks here.
-    pub(super) fn leases_changed(&mut self, now: Mono) {
-        self.leases_stale.get_or_insert(now);
+    pub(super) fn mark_leases_stale(&mut self, now: Mono) {
+        self.stale_since.get_or_insert(now);
     }
 
     /// Tells who holds leases here, once it has been the same for a moment.
-    fn settle_leases(&mut self, now: Mono) {
+    fn publish_leases(&mut self, now: Mono) {
         if self
-            .leases_stale
-            .is_none_or(|at| now.since(at) < LEASES_SETTLE)
+            .stale_since
+            .is_none_or(|at| now.since(at) < LEASE_DEBOUNCE)
         {
             return;
         }
-        self.leases_stale = None;
+        self.stale_since = None;
         let holders = self.sessions.values().filter(|s| !s.standby);
         let mut leased: Vec<String> = holders.map(|s| s.name.clone()).collect();
         leased.sort();
@@ -194,7 +196,7 @@
         if leased != self.leased || owners != self.owners {
             self.leased = leased;
             self.owners = owners;
-            self.profile_changed();
+            self.update_profile();
         }
     }
 
@@ -209,7 +211,7 @@
 
     /// Those of them that the profile does not name yet. Without them an executor that is lost while schedulers link to
     /// it, as all do after the return of a fleet, would have said of nobody that nothing runs for them.
-    fn newcomers(&self) -> Vec<u64> {
+    fn unpublished_holders(&self) -> Vec<u64> {
         let mut holders = self.lease_holders();
         holders.retain(|life| !self.owners.contains(life));
         holders
@@ -256,6 +258,6 @@
 }
 
 /// Tells editions of the profile apart.
-pub(super) fn edition_of(profile: &proto::Profile) -> u64 {
+pub(super) fn hash_profile(profile: &proto::Profile) -> u64 {
     xxh3_64(&profile.encode_to_vec())
 }
--- a/lib/src/dispatch/executor/runs.rs
+++ b/lib/src/dispatch/executor/runs.rs
@@ -51,16 +51,16 @@
     pub state: RunState,
     pub demand: Demand,
     pub estimate: Duration,
-    pub began: Mono,
+    pub started_at: Mono,
     pub waited: Duration,
     /// A run that a hold sent after this one does not list is gone.
     pub listed_by: u64,
     pub percent: u32,
-    pub moved: Mono,
+    pub progressed_at: Mono,
     /// From when and where on its pace is read next.
-    mark: (Mono, u32),
+    pace_mark: (Mono, u32),
     /// The share of it that the worker's speed was read from.
-    pub read: f64,
+    pub sampled_share: f64,
     /// How long it will still take at its present pace, once that was read.
     pub remaining: Option<Duration>,
     /// What is known of its task from workers that crashed.
@@ -83,16 +83,16 @@
         if self.percent == 0 {
             return false;
         }
-        let moved = self.moved.since(self.began);
-        let whole = moved.mul_f64(100.0 / f64::from(self.percent));
-        now.since(self.began) + span >= whole
+        let elapsed = self.progressed_at.since(self.started_at);
+        let whole = elapsed.mul_f64(100.0 / f64::from(self.percent));
+        now.since(self.started_at) + span >= whole
     }
 }
 
 impl Run {
     /// Its pace since it was last read, against its estimate, if it has run for `span` since.
-    pub fn read_pace(&mut self, now: Mono, span: Duration) -> Option<f64> {
-        let (since, from) = self.mark;
+    pub fn sample_pace(&mut self, now: Mono, span: Duration) -> Option<f64> {
+        let (since, from) = self.pace_mark;
         let ran = now.since(since);
         if ran < span.max(self.estimate / 10) || self.estimate.is_zero() {
             return None;
@@ -101,7 +101,7 @@
         let gained = f64::from(self.percent.saturating_sub(from)).max(0.5);
         let whole = ran.mul_f64(100.0 / gained);
         let left = f64::from(100u32.saturating_sub(self.percent));
-        self.mark = (now, self.percent);
+        self.pace_mark = (now, self.percent);
         self.remaining = Some(whole.mul_f64(left / 100.0));
         Some(whole.as_secs_f64() / self.estimate.as_secs_f64())
     }
@@ -112,23 +112,23 @@
     }
 
     /// How long it ran against its estimate, now that it has ended.
-    pub fn ratio(&self, now: Mono) -> Option<f64> {
-        let ran = now.since(self.began).as_secs_f64();
+    pub fn time_ratio(&self, now: Mono) -> Option<f64> {
+        let ran = now.since(self.started_at).as_secs_f64();
         (!self.estimate.is_zero()).then(|| ran / self.estimate.as_secs_f64())
     }
 }
 
 /// A task that waits for room.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedTask {
     pub scheduler: String,
     pub task: TaskName,
     pub attempt: u32,
     pub demand: Demand,
     pub spread: u32,
     pub estimate: Duration,
-    pub came: Mono,
-    pub latest: Mono,
+    pub arrived: Mono,
+    pub latest_start: Mono,
     pub spec: Rc<str>,
     pub checkpoint: String,
     /// What is known of it from workers that crashed.
@@ -141,91 +141,91 @@
 
 impl Executor {
     /// Queues a task, soonest start first. One for which runs are stopped goes before the others.
-    pub(super) fn enqueue(&mut self, waiting: Waiting) {
-        let order = |w: &Waiting| (!w.preempts, w.latest);
-        let later = |w: &Waiting| order(w) > order(&waiting);
+    pub(super) fn enqueue(&mut self, queued: QueuedTask) {
+        let order = |w: &QueuedTask| (!w.preempts, w.latest_start);
+        let later = |w: &QueuedTask| order(w) > order(&queued);
         let at = self.queue.iter().position(later);
-        self.queue.insert(at.unwrap_or(self.queue.len()), waiting);
+        self.queue.insert(at.unwrap_or(self.queue.len()), queued);
     }
 
     /// Starts what fits of the tasks that wait.
-    pub(super) fn start_waiting(&mut self, now: Mono) {
-        if !self.ready(now) {
+    pub(super) fn start_queued(&mut self, now: Mono) {
+        if !self.is_ready(now) {
             return;
         }
         let mut at = 0;
         while at < self.queue.len() {
-            let waiting = &self.queue[at];
-            if !self.may_start(now, waiting) {
+            let queued = &self.queue[at];
+            if !self.can_start(now, queued) {
                 at += 1;
                 continue;
             }
-            let waiting = self.queue.remove(at).expect("it is there");
-            self.start(now, waiting);
+            let queued = self.queue.remove(at).expect("it is there");
+            self.start(now, queued);
         }
     }
 
-    fn may_start(&self, now: Mono, waiting: &Waiting) -> bool {
-        let fits = waiting.demand.fits(self.used, self.capacity());
-        fits && !self.runs.contains_key(&waiting.task)
-            && self.spread_allows(waiting)
-            && !self.awaits_trial(now, waiting)
+    fn can_start(&self, now: Mono, queued: &QueuedTask) -> bool {
+        let fits = queued.demand.fits(self.allocated, self.capacity());
+        fits && !self.runs.contains_key(&queued.task)
+            && self.is_within_spread(queued)
+            && !self.is_blocked_by_trial(now, queued)
     }
 
     /// Whether there will be room soon for a task that arrives now, behind those that wait.
-    pub(super) fn has_room_soon(&self, now: Mono, demand: Demand) -> bool {
-        let waiting = self.queue.iter().map(|w| w.demand);
-        let wanted = waiting.fold(demand, Demand::plus);
+    pub(super) fn has_capacity_soon(&self, now: Mono, demand: Demand) -> bool {
+        let queued = self.queue.iter().map(|w| w.demand);
+        let wanted = queued.fold(demand, Demand::plus);
         let ends_soon = |run: &&Run| run.ends_within(now, self.setup.policy.placement.room_wait);
         let freed = self.runs.values().filter(ends_soon).map(|r| r.demand);
-        wanted.fits(freed.fold(self.used, less), self.capacity())
+        wanted.fits(freed.fold(self.allocated, subtract), self.capacity())
     }
 
-    pub(super) fn spread_allows(&self, waiting: &Waiting) -> bool {
-        if waiting.spread == 0 {
+    pub(super) fn is_within_spread(&self, queued: &QueuedTask) -> bool {
+        if queued.spread == 0 {
             return true;
         }
-        let same = self.runs.keys().filter(|t| t.same_step(waiting.task));
-        same.count() < waiting.spread as usize
+        let same = self.runs.keys().filter(|t| t.same_step(queued.task));
+        same.count() < queued.spread as usize
     }
 
-    fn start(&mut self, now: Mono, waiting: Waiting) {
+    fn start(&mut self, now: Mono, queued: QueuedTask) {
         let run = Run {
-            scheduler: waiting.scheduler,
-            attempt: waiting.attempt,
-            run: waiting.attempt,
+            scheduler: queued.scheduler,
+            attempt: queued.attempt,
+            run: queued.attempt,
             state: RunState::Starting,
-            demand: waiting.demand,
-            estimate: waiting.estimate,
-            began: now,
-            waited: now.since(waiting.came),
+            demand: queued.demand,
+            estimate: queued.estimate,
+            started_at: now,
+            waited: now.since(queued.arrived),
             listed_by: u64::MAX,
             percent: 0,
-            moved: now,
-            mark: (now, 0),
-            read: 0.0,
+            progressed_at: now,
+            pace_mark: (now, 0),
+            sampled_share: 0.0,
             remaining: None,
-            crashes: waiting.crashes,
+            crashes: queued.crashes,
             crashed: false,
             blame: 0,
             sole: false,
-            rank: waiting.rank,
-            spec: waiting.spec,
-            checkpoint: waiting.checkpoint,
+            rank: queued.rank,
+            spec: queued.spec,
+            checkpoint: queued.checkpoint,
         };
-        self.used = self.used.plus(run.demand);
+        self.allocated = self.allocated.plus(run.demand);
         if let Some(worker) = &mut self.worker {
-            worker.used = true;
+            worker.has_started = true;
         }
-        self.runs.insert(waiting.task, run);
-        self.send_start(now, waiting.task);
+        self.runs.insert(queued.task, run);
+        self.send_start(now, queued.task);
     }
 
     fn send_start(&mut self, now: Mono, task: TaskName) {
-        let deadline_ms = self.deadline(now, self.setup.policy.orders.start_within);
+        let deadline_ms = self.extend_deadline(now, self.setup.policy.orders.start_within);
         let run = &self.runs[&task];
         let call = StartCall {
-            life: self.life(),
+            life: self.worker_id(),
             run: RunName { task, run: run.run },
             spec: run.spec.clone(),
             deadline_ms,
@@ -246,14 +246,14 @@
         }
         match reply {
             OrderReply::Done(_) => {
-                run.listed_by = self.holds;
+                run.listed_by = self.holds_sent;
                 if run.state == RunState::Starting {
                     run.state = RunState::Running;
-                    run.moved = now;
-                    run.mark = (now, 0);
+                    run.progressed_at = now;
+                    run.pace_mark = (now, 0);
                 }
             }
-            OrderReply::Refused(reason) => self.start_refused(now, name, reason),
+            OrderReply::Refused(reason) => self.handle_start_refusal(now, name, reason),
             OrderReply::WrongLife => self.end_run(now, name.task, EndKind::Unavailable),
             OrderReply::Unreachable => self.end_run(now, name.task, EndKind::Unavailable),
             // The worker has listed it meanwhile: only the answer was lost.
@@ -265,10 +265,10 @@
                 self.stop_run(now, name.task, EndKind::Stalled);
             }
         }
-        self.work(now);
+        self.advance(now);
     }
 
-    fn start_refused(&mut self, now: Mono, name: RunName, reason: StartRefusal) {
+    fn handle_start_refusal(&mut self, now: Mono, name: RunName, reason: StartRefusal) {
         let stopping = self.runs[&name.task].state != RunState::Starting;
         let again = matches!(
             reason,
@@ -283,12 +283,12 @@
             if reason == StartRefusal::Old {
                 run.run += 1;
             }
-            if run.run < run.attempt + MAX_RENUMBER && now.since(run.began) < within {
+            if run.run < run.attempt + MAX_RENUMBER && now.since(run.started_at) < within {
                 return self.send_start(now, name.task);
             }
         }
         if reason == StartRefusal::Unwell {
-            self.health.failed(now, name.task.job);
+            self.health.record_failure(now, name.task.job);
         }
         let detail = format!("{} run {}: {reason:?}", name.task, name.run);
         self.log(Kind::StartRefused, detail);
@@ -308,8 +308,8 @@
     /// Stops a run, or drops a task that waits. The scheduler is told `why` once it is gone.
     pub(super) fn stop_task(&mut self, now: Mono, task: TaskName, why: EndKind) {
         if let Some(at) = self.queue.iter().position(|w| w.task == task) {
-            let waiting = self.queue.remove(at).expect("it is there");
-            self.tell_unstarted(now, &waiting, why);
+            let queued = self.queue.remove(at).expect("it is there");
+            self.report_unstarted(now, &queued, why);
         }
         self.stop_run(now, task, why);
     }
@@ -333,7 +333,7 @@
 
     pub(super) fn send_stop(&mut self, name: RunName) {
         self.counts.stops += 1;
-        let life = self.life();
+        let life = self.worker_id();
         self.actions.push(Action::Stop(life, name, self.fence));
     }
 
@@ -342,7 +342,7 @@
         if reply == OrderReply::Refused(StartRefusal::Fence) {
             self.raise_fence();
         }
-        let holds = self.holds;
+        let holds = self.holds_sent;
         if let Some(run) = self.runs.get_mut(&name.task)
             && run.run == name.run
             && let RunState::Stopping {
@@ -357,7 +357,7 @@
                 _ => *sent = Some(now),
             }
         }
-        self.work(now);
+        self.advance(now);
     }
 
     /// Sends stops again that got no answer.
@@ -383,8 +383,8 @@
     }
 
     /// A run is gone without the worker having said how.
-    pub(super) fn end_run_lost(&mut self, now: Mono, task: TaskName) {
-        let kind = self.lost_kind(task);
+    pub(super) fn end_lost_run(&mut self, now: Mono, task: TaskName) {
+        let kind = self.lost_end_kind(task);
         self.end_run(now, task, kind);
     }
 
@@ -402,9 +402,9 @@
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
-        self.used = less(self.used, run.demand);
-        self.timings.note(kind.word(), now.since(run.began));
-        self.note_preempted(now, &run, kind);
+        self.allocated = subtract(self.allocated, run.demand);
+        self.timings.note(kind.word(), now.since(run.started_at));
+        self.count_preempted(now, &run, kind);
         match kind {
             EndKind::Done => self.counts.done += 1,
             EndKind::Failed => self.counts.failed += 1,
@@ -415,15 +415,15 @@
             EndKind::Preempted => {}
             _ => self.counts.returned += 1,
         }
-        self.tell_end(now, task, &run, kind, checkpoint);
-        self.settle_claim(now, task.job);
+        self.report_end(now, task, &run, kind, checkpoint);
+        self.confirm_claim(now, task.job);
     }
 }
 
 /// Run numbers tried above the attempt before a start is given up.
 const MAX_RENUMBER: u32 = 16;
 
-pub(super) fn less(used: Demand, demand: Demand) -> Demand {
+pub(super) fn subtract(used: Demand, demand: Demand) -> Demand {
     Demand {
         cpu_milli: used.cpu_milli.saturating_sub(demand.cpu_milli),
         memory_mb: used.memory_mb.saturating_sub(demand.memory_mb),
--- a/lib/src/dispatch/executor/sessions.rs
+++ b/lib/src/dispatch/executor/sessions.rs
@@ -7,8 +7,8 @@
 use super::Action;
 use super::Executor;
 use super::preempting::RunRank;
+use super::runs::QueuedTask;
 use super::runs::Run;
-use super::runs::Waiting;
 use crate::dispatch::crashes::CrashRecord;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::EndKind;
@@ -28,10 +28,10 @@
     pub lease_until: Mono,
     /// Whether the scheduler places nothing here at present: it needs no lease and seldom a report.
     pub standby: bool,
-    pub heard: Mono,
+    pub last_heard: Mono,
     /// Ends the scheduler has not confirmed, by number.
     pub ends: BTreeMap<u64, proto::TaskEnd>,
-    pub told: u64,
+    pub last_end_sent: u64,
     pub sequence: u64,
     pub claimed: Vec<JobNumber>,
     pub denied: Vec<JobNumber>,
@@ -39,26 +39,26 @@
     pub slow: Vec<TaskName>,
     pub urgent: bool,
     pub changed: bool,
-    pub last_sent: Mono,
+    pub last_update: Mono,
     /// Whether what is held must be listed in the next update.
     pub list_held: bool,
     /// The edition of the profile that was last sent on this link; 0 for none.
-    pub profile_told: u64,
+    pub profile_sent: u64,
     /// The revision of the record of the own zone that was sent or came on this link.
-    pub zone_told: u64,
+    pub zone_sent: u64,
     /// Whether it was told on this link that nothing runs here any more, nor will.
-    pub departure_told: bool,
+    pub departure_sent: bool,
 }
 
 /// The key of a session, and of what runs for it: a scheduler's name and life.
-fn owner_of(greeting: &proto::Greeting) -> String {
+fn session_key(greeting: &proto::Greeting) -> String {
     format!("{}#{:x}", greeting.name, greeting.incarnation)
 }
 
 impl Executor {
     /// A scheduler's link is up.
     pub fn link_up(&mut self, now: Mono, link: LinkId, greeting: &proto::Greeting) {
-        let owner = owner_of(greeting);
+        let owner = session_key(greeting);
         let earlier = |key: &String, s: &Session| s.name == greeting.name && *key != owner;
         let earlier = self.sessions.iter().filter(|(key, s)| earlier(key, s));
         let earlier: Vec<String> = earlier.map(|(key, _)| key.clone()).collect();
@@ -72,35 +72,35 @@
             link: None,
             lease_until,
             standby: false,
-            heard: now,
+            last_heard: now,
             ends: BTreeMap::new(),
-            told: 0,
+            last_end_sent: 0,
             sequence: 0,
             claimed: Vec::new(),
             denied: Vec::new(),
             slow: Vec::new(),
             urgent: true,
             changed: true,
-            last_sent: Mono::default(),
+            last_update: Mono::default(),
             list_held: true,
-            profile_told: 0,
-            zone_told: 0,
-            departure_told: false,
+            profile_sent: 0,
+            zone_sent: 0,
+            departure_sent: false,
         });
         if let Some(old) = session.link.replace(link) {
             self.actions.push(Action::Close(old));
         }
-        session.heard = now;
+        session.last_heard = now;
         session.sequence = 0;
-        session.told = 0;
+        session.last_end_sent = 0;
         session.list_held = true;
-        session.profile_told = 0;
-        session.zone_told = 0;
-        session.departure_told = false;
+        session.profile_sent = 0;
+        session.zone_sent = 0;
+        session.departure_sent = false;
         session.urgent = true;
-        self.leases_changed(now);
+        self.mark_leases_stale(now);
         self.log(Kind::LinkUp, format!("scheduler {}", greeting.name));
-        self.work(now);
+        self.advance(now);
     }
 
     /// A link is down. What runs for its scheduler goes on until the lease is over.
@@ -128,7 +128,7 @@
             session.sequence = orders.sequence;
             session.changed = true;
         }
-        session.heard = now;
+        session.last_heard = now;
         let asks = !(orders.claims.is_empty() && orders.renewals.is_empty());
         // It counts on an answer at once, since it does not hear otherwise whether this process lives.
         session.urgent |= asks && orders.standby;
@@ -138,35 +138,35 @@
             session.lease_until = session.lease_until.max(now + self.setup.lease);
         }
         if moved {
-            self.leases_changed(now);
+            self.mark_leases_stale(now);
         }
         let fresh = now < lease_until;
         if let Some(state) = &orders.zone {
-            self.hear_of_zone(now, &name, state);
+            self.apply_zone_state(now, &name, state);
         }
         for job in orders.claims {
-            self.claim(now, &name, JobNumber(job), false);
+            self.register_claim(now, &name, JobNumber(job), false);
         }
         for job in orders.renewals {
-            self.claim(now, &name, JobNumber(job), true);
+            self.register_claim(now, &name, JobNumber(job), true);
         }
         for stop in &orders.stops {
             let (task, attempt) = TaskName::from_proto(stop);
-            self.stop_for(now, &name, task, attempt);
+            self.stop_on_order(now, &name, task, attempt);
         }
         if !orders.starts.is_empty() {
             self.sessions.values_mut().for_each(|s| s.changed = true);
         }
         for start in orders.starts {
-            self.take_start(now, &name, start, fresh);
+            self.accept_start(now, &name, start, fresh);
         }
         if !orders.members.is_empty() {
             self.actions.push(Action::Dial(orders.members));
         }
-        self.work(now);
+        self.advance(now);
     }
 
-    fn stop_for(&mut self, now: Mono, scheduler: &str, task: TaskName, attempt: u32) {
+    fn stop_on_order(&mut self, now: Mono, scheduler: &str, task: TaskName, attempt: u32) {
         let mine = |s: &str, a: u32| s == scheduler && a == attempt;
         let runs = self.runs.get(&task);
         let runs = runs.is_some_and(|r| mine(&r.scheduler, r.attempt));
@@ -176,7 +176,7 @@
         }
     }
 
-    fn take_start(&mut self, now: Mono, scheduler: &str, start: proto::StartTasks, fresh: bool) {
+    fn accept_start(&mut self, now: Mono, scheduler: &str, start: proto::StartTasks, fresh: bool) {
         let spec: Rc<str> = Rc::from(start.spec.as_str());
         let demand = Demand::from_proto(start.demand);
         for task in start.tasks {
@@ -186,15 +186,15 @@
                 step: start.step,
                 index: task.index,
             };
-            let mut waiting = Waiting {
+            let mut queued = QueuedTask {
                 scheduler: scheduler.to_owned(),
                 task: name,
                 attempt: task.attempt,
                 demand,
                 spread: start.spread,
                 estimate: Duration::from_millis(u64::from(start.estimate_ms)),
-                came: now,
-                latest: now + Duration::from_millis(u64::from(start.slack_ms)),
+                arrived: now,
+                latest_start: now + Duration::from_millis(u64::from(start.slack_ms)),
                 spec: spec.clone(),
                 checkpoint: task.checkpoint,
                 crashes: CrashRecord::from_proto(task.crashes),
@@ -206,49 +206,49 @@
                     latest: now + Duration::from_millis(u64::from(start.slack_ms)),
                 },
             };
-            self.recall_crashes(&mut waiting);
-            self.take_task(now, waiting, fresh);
+            self.merge_crash_record(&mut queued);
+            self.accept_task(now, queued, fresh);
         }
     }
 
-    fn take_task(&mut self, now: Mono, waiting: Waiting, fresh: bool) {
-        if self.claimed_from(&waiting.scheduler, waiting.task.job) {
-            return self.tell_unstarted(now, &waiting, EndKind::Claimed);
+    fn accept_task(&mut self, now: Mono, queued: QueuedTask, fresh: bool) {
+        if self.is_claimed_by_other(&queued.scheduler, queued.task.job) {
+            return self.report_unstarted(now, &queued, EndKind::Claimed);
         }
-        if waiting.crashes.is_final(&self.setup.policy.crashes) {
-            return self.tell_unstarted(now, &waiting, EndKind::Crashed);
+        if queued.crashes.is_final(&self.setup.policy.crashes) {
+            return self.report_unstarted(now, &queued, EndKind::Crashed);
         }
-        if !self.ready(now) || !fresh {
-            return self.tell_unstarted(now, &waiting, EndKind::Unavailable);
+        if !self.is_ready(now) || !fresh {
+            return self.report_unstarted(now, &queued, EndKind::Unavailable);
         }
-        if !waiting.demand.fits(Demand::default(), self.capacity()) {
-            return self.tell_unstarted(now, &waiting, EndKind::Unavailable);
+        if !queued.demand.fits(Demand::default(), self.capacity()) {
+            return self.report_unstarted(now, &queued, EndKind::Unavailable);
         }
-        if self.health.is_suspect() && !self.health.may_try(now) {
-            return self.tell_unstarted(now, &waiting, EndKind::Unavailable);
+        if self.health.is_suspect() && !self.health.try_start_trial(now) {
+            return self.report_unstarted(now, &queued, EndKind::Unavailable);
         }
-        if !self.has_room_soon(now, waiting.demand) && !self.make_room(now, &waiting) {
-            return self.tell_unstarted(now, &waiting, EndKind::NoRoom);
+        if !self.has_capacity_soon(now, queued.demand) && !self.preempt_for(now, &queued) {
+            return self.report_unstarted(now, &queued, EndKind::NoRoom);
         }
-        self.enqueue(waiting);
+        self.enqueue(queued);
     }
 
     /// Hands back the tasks that wait.
     pub(super) fn return_queue(&mut self, now: Mono) {
-        for waiting in std::mem::take(&mut self.queue) {
-            self.tell_unstarted(now, &waiting, EndKind::Unavailable);
+        for queued in std::mem::take(&mut self.queue) {
+            self.report_unstarted(now, &queued, EndKind::Unavailable);
         }
     }
 
     /// Hands back tasks whose time has passed.
-    pub(super) fn expire_waiting(&mut self, now: Mono) {
+    pub(super) fn expire_queued(&mut self, now: Mono) {
         let (expired, queue) = std::mem::take(&mut self.queue)
             .into_iter()
-            .partition(|w| w.latest <= now);
+            .partition(|w| w.latest_start <= now);
         self.queue = queue;
-        let expired: VecDeque<Waiting> = expired;
-        for waiting in expired {
-            self.tell_unstarted(now, &waiting, EndKind::Expired);
+        let expired: VecDeque<QueuedTask> = expired;
+        for queued in expired {
+            self.report_unstarted(now, &queued, EndKind::Expired);
         }
     }
 
@@ -256,8 +256,9 @@
     pub(super) fn expire_leases(&mut self, now: Mono) {
         let silence = self.setup.policy.cells.silence;
         let runs = |owner: &str| self.runs.values().any(|r| r.scheduler == owner);
-        let idle =
-            |owner: &str, s: &Session| s.standby && now.since(s.heard) < silence && !runs(owner);
+        let idle = |owner: &str, s: &Session| {
+            s.standby && now.since(s.last_heard) < silence && !runs(owner)
+        };
         let over = self.sessions.iter();
         let over = over.filter(|(owner, s)| s.lease_until <= now && !idle(owner, s));
         let over: Vec<String> = over.map(|(name, _)| name.clone()).collect();
@@ -269,7 +270,7 @@
     }
 
     fn end_session(&mut self, now: Mono, name: &str) {
-        self.leases_changed(now);
+        self.mark_leases_stale(now);
         if let Some(session) = self.sessions.remove(name)
             && let Some(link) = session.link
         {
@@ -284,7 +285,7 @@
     }
 
     /// Tells a scheduler how a run ended.
-    pub(super) fn tell_end(
+    pub(super) fn report_end(
         &mut self,
         now: Mono,
         task: TaskName,
@@ -297,7 +298,7 @@
             task: Some(task.proto(run.attempt)),
             kind: kind.code(),
             checkpoint,
-            ran_us: crate::clock::micros(now.since(run.began)).max(1),
+            ran_us: crate::clock::micros(now.since(run.started_at)).max(1),
             waited_us: crate::clock::micros(run.waited),
             crashes: run.crashes.proto(),
             blame: run.blame,
@@ -307,20 +308,20 @@
     }
 
     /// Tells a scheduler that a task was not started.
-    pub(super) fn tell_unstarted(&mut self, now: Mono, waiting: &Waiting, kind: EndKind) {
+    pub(super) fn report_unstarted(&mut self, now: Mono, queued: &QueuedTask, kind: EndKind) {
         self.counts.returned += 1;
         let end = proto::TaskEnd {
             number: 0,
-            task: Some(waiting.task.proto(waiting.attempt)),
+            task: Some(queued.task.proto(queued.attempt)),
             kind: kind.code(),
             checkpoint: String::new(),
             ran_us: 0,
-            waited_us: crate::clock::micros(now.since(waiting.came)),
-            crashes: waiting.crashes.proto(),
+            waited_us: crate::clock::micros(now.since(queued.arrived)),
+            crashes: queued.crashes.proto(),
             blame: 0,
             sole: false,
         };
-        self.push_end(&waiting.scheduler, end);
+        self.push_end(&queued.scheduler, end);
     }
 
     fn push_end(&mut self, scheduler: &str, mut end: proto::TaskEnd) {
--- a/lib/src/dispatch/executor/speeds.rs
+++ b/lib/src/dispatch/executor/speeds.rs
@@ -10,29 +10,29 @@
     /// The share of the run that a reading at this time is the first of, by its expected time. All shares of a run
     /// make one, so that a long run counts no more than a short one.
     fn take_share(&mut self, now: Mono) -> f64 {
-        let ran = now.since(self.began).as_secs_f64();
-        let share = (ran / self.estimate.as_secs_f64()).min(1.0) - self.read;
-        self.read += share;
+        let ran = now.since(self.started_at).as_secs_f64();
+        let share = (ran / self.estimate.as_secs_f64()).min(1.0) - self.sampled_share;
+        self.sampled_share += share;
         share
     }
 }
 
 impl Executor {
     /// A run takes `ratio` times its expected time, by its progress.
-    pub(super) fn read_progress(&mut self, now: Mono, task: TaskName, ratio: f64) {
+    pub(super) fn sample_progress(&mut self, now: Mono, task: TaskName, ratio: f64) {
         if let Some(run) = self.timed_run(task) {
             let share = run.take_share(now);
-            self.read_speed(ratio, share);
+            self.update_speed(ratio, share);
         }
     }
 
     /// A run has ended whole.
-    pub(super) fn read_whole(&mut self, now: Mono, task: TaskName) {
+    pub(super) fn sample_finished_run(&mut self, now: Mono, task: TaskName) {
         if let Some(run) = self.timed_run(task)
-            && let Some(ratio) = run.ratio(now)
+            && let Some(ratio) = run.time_ratio(now)
         {
-            let share = 1.0 - run.read;
-            self.read_speed(ratio, share);
+            let share = 1.0 - run.sampled_share;
+            self.update_speed(ratio, share);
         }
     }
 
@@ -46,14 +46,14 @@
         (run.is_fresh() && !run.estimate.is_zero()).then_some(run)
     }
 
-    fn read_speed(&mut self, ratio: f64, share: f64) {
+    fn update_speed(&mut self, ratio: f64, share: f64) {
         let before = self.speed.percent();
         if self.speed.read(ratio, share) {
             self.counts.speed_changes += 1;
             let after = self.speed.percent();
             let detail = format!(
                 "{}: {before} % of the expected times before, {after} % now",
-                self.life()
+                self.worker_id()
             );
             self.log(Kind::SpeedChanged, detail);
         }
