--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -13,7 +13,7 @@
 use stackcourse_lib::dispatch::executor::OrderReply;
 use stackcourse_lib::dispatch::executor::RunName;
 use stackcourse_lib::dispatch::executor::StartCall;
-use stackcourse_lib::dispatch::executor::WorkerBeat;
+use stackcourse_lib::dispatch::executor::WorkerHeartbeat;
 use stackcourse_lib::dispatch::policy::Links as LinkPolicy;
 use stackcourse_lib::event::Event;
 use stackcourse_lib::event::Kind;
@@ -70,7 +70,7 @@
     executor: RefCell<Executor>,
     worker: W,
     /// What the worker says of itself, to be kept for the next life.
-    kept: watch::Sender<Option<WorkerBeat>>,
+    kept: watch::Sender<Option<WorkerHeartbeat>>,
     clock: BootClock,
     links: Links,
     lag: LoopLag,
@@ -158,7 +158,7 @@
     }
 
     /// What the worker says of itself, as it changes, to be kept for the next life.
-    pub fn kept(&self) -> watch::Receiver<Option<WorkerBeat>> {
+    pub fn kept(&self) -> watch::Receiver<Option<WorkerHeartbeat>> {
         self.inner.kept.subscribe()
     }
 
@@ -182,8 +182,8 @@
             Action::Dial(members) => links::addresses(&members)
                 .into_iter()
                 .for_each(|address| self.dial(address)),
-            Action::Keep(beat) => {
-                self.inner.kept.send_replace(beat);
+            Action::SaveHeartbeat(heartbeat) => {
+                self.inner.kept.send_replace(heartbeat);
             }
             Action::Log(event) => self.inner.log.borrow_mut().log(now, &event),
         }
@@ -210,7 +210,7 @@
         let host = self.clone();
         actix_rt::spawn(async move {
             let reply = host.inner.worker.hold(call).await;
-            host.with(|e, now| e.held(now, reply));
+            host.with(|e, now| e.handle_hold_reply(now, reply));
         });
     }
 }
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -196,7 +196,7 @@
     let counts = executor.counts();
     let runs = [
         ("started", counts.starts),
-        ("unanswered", counts.unanswered),
+        ("unanswered", counts.unanswered_starts),
         ("stops", counts.stops),
         ("done", counts.done),
         ("failed", counts.failed),
@@ -204,12 +204,12 @@
         ("crashed", counts.crashed),
         ("stalled", counts.stalled),
         ("returned", counts.returned),
-        ("leases_over", counts.lapsed),
-        ("strangers", counts.strangers),
-        ("ends_passed", counts.ends_passed),
-        ("heartbeats_rejected", counts.beats_rejected),
+        ("leases_over", counts.expired_leases),
+        ("strangers", counts.unknown_runs),
+        ("ends_passed", counts.skipped_ends),
+        ("heartbeats_rejected", counts.rejected_heartbeats),
         ("preempted", counts.preempted),
-        ("preempted_core_ms", counts.wasted),
+        ("preempted_core_ms", counts.wasted_core_ms),
         ("speed_changes", counts.speed_changes),
         ("log_lines_dropped", process.dropped),
     ];
@@ -220,7 +220,7 @@
     let held = [
         ("tasks_running", running as i64),
         ("tasks_waiting", waiting as i64),
-        ("schedulers_linked", executor.linked() as i64),
+        ("schedulers_linked", executor.linked_schedulers() as i64),
         ("zone_evacuated", evacuated),
         (
             "worker_slowness_percent",
--- a/lib/daemon/src/dispatch/recall.rs
+++ b/lib/daemon/src/dispatch/recall.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use serde::Deserialize;
 use serde::Serialize;
-use stackcourse_lib::dispatch::executor::WorkerBeat;
+use stackcourse_lib::dispatch::executor::WorkerHeartbeat;
 use stackcourse_lib::event::Kind;
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgentRecord {
     /// What the worker last said of itself; none if there is no worker.
-    pub worker: Option<WorkerBeat>,
+    pub worker: Option<WorkerHeartbeat>,
 }
 
 impl AgentRecord {
@@ -53,7 +53,7 @@
     tokio::select! {
         item = follow::read(&*store, &key) => {
             if let Some(item) = item {
-                recall(&host, &item.value);
+                restore_worker(&host, &item.value);
             }
         }
         () = leaving.cancelled() => return,
@@ -65,21 +65,23 @@
     writing.abort();
 }
 
-fn record(worker: &Option<WorkerBeat>) -> Bytes {
+fn record(worker: &Option<WorkerHeartbeat>) -> Bytes {
     let worker = worker.clone();
     AgentRecord { worker }.bytes()
 }
 
-fn recall<W: Worker>(host: &ExecutorHost<W>, value: &[u8]) {
+fn restore_worker<W: Worker>(host: &ExecutorHost<W>, value: &[u8]) {
     match AgentRecord::parse(value) {
-        Ok(AgentRecord { worker: Some(beat) }) => host.with(|e, now| e.recall(now, beat)),
+        Ok(AgentRecord {
+            worker: Some(heartbeat),
+        }) => host.with(|e, now| e.restore_worker(now, heartbeat)),
         Ok(AgentRecord { worker: None }) => {}
         Err(error) => host.log(Kind::BadRecord, error.to_string()),
     }
 }
 
 /// Passes on what the worker says of itself, as it changes.
-async fn pass_on(mut kept: watch::Receiver<Option<WorkerBeat>>, told: watch::Sender<Bytes>) {
+async fn pass_on(mut kept: watch::Receiver<Option<WorkerHeartbeat>>, told: watch::Sender<Bytes>) {
     while kept.changed().await.is_ok() {
         told.send_replace(record(&kept.borrow_and_update()));
     }
--- a/lib/src/dispatch/crashes.rs
+++ b/lib/src/dispatch/crashes.rs
@@ -49,7 +49,7 @@
 
     /// What two processes know of the same task. Each count includes what was known when the task
     /// was sent on, so the larger one includes the smaller.
-    pub fn merged(self, other: CrashRecord) -> CrashRecord {
+    pub fn merge(self, other: CrashRecord) -> CrashRecord {
         CrashRecord {
             count: self.count.max(other.count),
             suspect: self.suspect || other.suspect,
@@ -59,7 +59,7 @@
     }
 
     /// Whether the task is not started any more.
-    pub fn is_final(self, policy: &Crashes) -> bool {
+    pub fn is_given_up(self, policy: &Crashes) -> bool {
         let all = self.count.saturating_add(self.unsure);
         self.proven || self.count >= policy.most || all >= policy.most_unsure
     }
--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -44,14 +44,14 @@
 pub use crate::dispatch::executor::calls::FinishedRow;
 pub use crate::dispatch::executor::calls::HoldCall;
 pub use crate::dispatch::executor::calls::HoldReply;
-pub use crate::dispatch::executor::calls::Life;
 pub use crate::dispatch::executor::calls::OrderReply;
+pub use crate::dispatch::executor::calls::RunEnd;
 pub use crate::dispatch::executor::calls::RunName;
 pub use crate::dispatch::executor::calls::RunningRow;
 pub use crate::dispatch::executor::calls::StartCall;
 pub use crate::dispatch::executor::calls::StartRefusal;
-pub use crate::dispatch::executor::calls::WorkerBeat;
-pub use crate::dispatch::executor::calls::WorkerEnd;
+pub use crate::dispatch::executor::calls::WorkerHeartbeat;
+pub use crate::dispatch::executor::calls::WorkerIncarnation;
 pub use crate::dispatch::executor::runs::RunState;
 
 /// The executor's settings that concern decisions.
@@ -95,7 +95,7 @@
     Dial(Vec<proto::Member>),
     /// Keep what the worker says of itself where the next life of this process finds it; nothing
     /// if there is no worker.
-    Keep(Option<WorkerBeat>),
+    SaveHeartbeat(Option<WorkerHeartbeat>),
     /// Write a log line.
     Log(Event),
 }
@@ -106,7 +106,7 @@
     /// Starts sent to the worker.
     pub starts: u64,
     /// Starts that got no answer.
-    pub unanswered: u64,
+    pub unanswered_starts: u64,
     /// Stops sent to the worker.
     pub stops: u64,
     /// Runs that ended whole.
@@ -122,17 +122,17 @@
     /// Tasks handed back without having run.
     pub returned: u64,
     /// Leases of schedulers that ran out.
-    pub lapsed: u64,
+    pub expired_leases: u64,
     /// Runs found at the worker that nobody here had started.
-    pub strangers: u64,
+    pub unknown_runs: u64,
     /// Ends of runs that are here still, passed over since ends with higher numbers had been taken note of.
-    pub ends_passed: u64,
+    pub skipped_ends: u64,
     /// Heartbeats that could not be read, or were not of the worker's life.
-    pub beats_rejected: u64,
+    pub rejected_heartbeats: u64,
     /// Runs that were stopped for more urgent tasks.
     pub preempted: u64,
     /// The work of theirs that was thrown away, in thousandths of a core-second.
-    pub wasted: u64,
+    pub wasted_core_ms: u64,
     /// How often the worker's speed has changed for good.
     pub speed_changes: u64,
 }
@@ -143,7 +143,7 @@
 /// The worker, in its present life.
 #[derive(Debug, Default)]
 struct Worker {
-    beat: WorkerBeat,
+    heartbeat: WorkerHeartbeat,
     /// When it last said what it is and has; none in a life that only its lists have told of yet.
     last_heartbeat: Option<Mono>,
     /// Whether its lists have been read in this life, and nothing of an earlier executor runs.
@@ -201,7 +201,7 @@
     probing: Option<String>,
     /// What a worker said to an earlier life of this process. It is taken up if the worker is
     /// still in that life.
-    saved_heartbeat: Option<WorkerBeat>,
+    saved_heartbeat: Option<WorkerHeartbeat>,
     hold_pending: bool,
     /// Counts holds that were sent.
     holds_sent: u64,
@@ -274,7 +274,7 @@
     }
 
     /// How many schedulers have a link here.
-    pub fn linked(&self) -> usize {
+    pub fn linked_schedulers(&self) -> usize {
         self.sessions.values().filter(|s| s.link.is_some()).count()
     }
 
@@ -312,7 +312,7 @@
     }
 
     /// Whether an executor that leaves has nothing more to do, and has told so.
-    pub fn is_done(&self, now: Mono) -> bool {
+    pub fn is_drained(&self, now: Mono) -> bool {
         let told = |s: &Session| s.ends.is_empty() && (s.link.is_none() || s.departure_sent);
         self.has_departed(now) && self.sessions.values().all(told)
     }
@@ -329,18 +329,18 @@
         let beats = self.setup.policy.orders.room_beats;
         let age = self.setup.heartbeat.mul_f64(beats);
         let known = |w: &Worker| w.last_heartbeat.is_some_and(|at| now.since(at) < age);
-        let ready = |w: &Worker| w.reconciled && w.responsive && !w.beat.draining && known(w);
+        let ready = |w: &Worker| w.reconciled && w.responsive && !w.heartbeat.draining && known(w);
         let open = !self.leaving && !self.zone_record.evacuated && !self.is_incarnation_uncertain();
         open && self.worker.as_ref().is_some_and(ready)
     }
 
     fn worker_id(&self) -> String {
-        let life = self.worker.as_ref().map(|w| w.beat.life.id.clone());
+        let life = self.worker.as_ref().map(|w| w.heartbeat.life.id.clone());
         life.unwrap_or_default()
     }
 
     fn capacity(&self) -> Demand {
-        let capacity = self.worker.as_ref().map(|w| w.beat.capacity);
+        let capacity = self.worker.as_ref().map(|w| w.heartbeat.capacity);
         capacity.unwrap_or_default()
     }
 
@@ -380,7 +380,7 @@
         if let Some(life) = self.incarnations.candidate_id() {
             return self.request_lists(life);
         }
-        let (life, seen) = (worker.beat.life.id.clone(), worker.last_end);
+        let (life, seen) = (worker.heartbeat.life.id.clone(), worker.last_end);
         let (deadline_ms, wait) = if worker.reconciled && worker.responsive {
             (
                 self.extend_deadline(now, self.setup.worker_hold),
@@ -418,7 +418,7 @@
         let life = self
             .saved_heartbeat
             .as_ref()
-            .map(|beat| beat.life.id.clone());
+            .map(|heartbeat| heartbeat.life.id.clone());
         let life = life.unwrap_or_default();
         self.request_lists(life);
     }
--- a/lib/src/dispatch/executor/calls.rs
+++ b/lib/src/dispatch/executor/calls.rs
@@ -12,7 +12,7 @@
 
 /// One life of a worker, from its start to its end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct WorkerIncarnation {
     /// The name under which the worker takes calls.
     #[serde(rename = "life")]
     pub id: String,
@@ -21,15 +21,15 @@
     pub born: Option<u64>,
 }
 
-impl Life {
+impl WorkerIncarnation {
     /// Whether both are the same life. One that does not say when it started is told from others by its id alone.
-    pub fn is_same(&self, other: &Life) -> bool {
+    pub fn is_same_as(&self, other: &WorkerIncarnation) -> bool {
         let born = self.born.zip(other.born);
         self.id == other.id && born.is_none_or(|(one, two)| one == two)
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for WorkerIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
             Some(born) => write!(f, "{}, born {born}", self.id),
@@ -40,10 +40,10 @@
 
 /// What a worker says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkerBeat {
+pub struct WorkerHeartbeat {
     /// Its present life.
     #[serde(flatten)]
-    pub life: Life,
+    pub life: WorkerIncarnation,
     /// The service it works for.
     pub service: String,
     /// Whether it is leaving.
@@ -56,9 +56,9 @@
     pub sequence: u64,
 }
 
-impl WorkerBeat {
+impl WorkerHeartbeat {
     /// Whether both say the same of what the worker is and has.
-    pub(super) fn is_like(&self, other: &WorkerBeat) -> bool {
+    pub(super) fn is_like(&self, other: &WorkerHeartbeat) -> bool {
         self.service == other.service
             && self.capacity == other.capacity
             && self.labels == other.labels
@@ -156,14 +156,14 @@
     /// The run.
     pub run: RunName,
     /// How it ended.
-    pub end: WorkerEnd,
+    pub end: RunEnd,
     /// Its checkpoint, if it left one.
     pub checkpoint: String,
 }
 
 /// How a run ended, as the worker says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkerEnd {
+pub enum RunEnd {
     /// Whole.
     Done,
     /// By a fault of its own or the worker's.
--- a/lib/src/dispatch/executor/crashes.rs
+++ b/lib/src/dispatch/executor/crashes.rs
@@ -87,7 +87,7 @@
     /// The worker has crashed: judges the tasks that ran there, but for those that are `kept`. A worker that was leaving
     /// has not crashed.
     pub(super) fn record_crash(&mut self, now: Mono, kept: &[TaskName]) {
-        if self.worker.as_ref().is_none_or(|w| w.beat.draining) {
+        if self.worker.as_ref().is_none_or(|w| w.heartbeat.draining) {
             return;
         }
         let ended = self.last_alive(now);
@@ -135,7 +135,7 @@
     /// Adds what is known here to what a scheduler has sent of a task.
     pub(super) fn merge_crash_record(&self, queued: &mut QueuedTask) {
         let known = self.crash_memory.record(queued.task);
-        queued.crashes = queued.crashes.merged(known);
+        queued.crashes = queued.crashes.merge(known);
     }
 
     /// Whether a task that waits must not start yet: two suspects that began together could not be
--- a/lib/src/dispatch/executor/incarnations.rs
+++ b/lib/src/dispatch/executor/incarnations.rs
@@ -13,12 +13,12 @@
 use super::Executor;
 use super::FinishedRow;
 use super::HoldReply;
-use super::Life;
 use super::RunName;
 use super::RunState;
 use super::RunningRow;
 use super::Worker;
-use super::WorkerBeat;
+use super::WorkerHeartbeat;
+use super::WorkerIncarnation;
 use super::health::Health;
 use crate::dispatch::model::TaskName;
 use crate::event::Kind;
@@ -33,21 +33,21 @@
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
     /// Lives that are over, the oldest first.
-    past: VecDeque<Life>,
+    past: VecDeque<WorkerIncarnation>,
     /// What was said by another life, which the worker has not confirmed, and how often it was asked.
-    candidate: Option<(WorkerBeat, u32)>,
+    candidate: Option<(WorkerHeartbeat, u32)>,
 }
 
 impl Incarnations {
-    fn end(&mut self, life: Life) {
+    fn end(&mut self, life: WorkerIncarnation) {
         if self.past.len() >= MAX_PAST {
             self.past.pop_front();
         }
         self.past.push_back(life);
     }
 
-    fn is_past(&self, life: &Life) -> bool {
-        self.past.iter().any(|l| l.is_same(life))
+    fn is_past(&self, life: &WorkerIncarnation) -> bool {
+        self.past.iter().any(|l| l.is_same_as(life))
     }
 
     /// Whether an earlier life had this id.
@@ -59,7 +59,7 @@
     pub fn candidate_id(&self) -> Option<String> {
         self.candidate
             .as_ref()
-            .map(|(beat, _)| beat.life.id.clone())
+            .map(|(heartbeat, _)| heartbeat.life.id.clone())
     }
 
     /// Whether the worker has not been asked about another life yet, which does not wait for its next hold.
@@ -70,37 +70,45 @@
     }
 
     fn is_candidate(&self, id: &str) -> bool {
-        let same = |(beat, _): &(WorkerBeat, u32)| beat.life.id == id;
+        let same = |(heartbeat, _): &(WorkerHeartbeat, u32)| heartbeat.life.id == id;
         self.candidate.as_ref().is_some_and(same)
     }
 
     /// Takes what was said by another life. A later word of the same one stands.
-    fn set_candidate(&mut self, beat: WorkerBeat) {
-        let later = |(known, _): &(WorkerBeat, u32)| {
-            known.life.is_same(&beat.life) && known.sequence > beat.sequence
+    fn set_candidate(&mut self, heartbeat: WorkerHeartbeat) {
+        let later = |(known, _): &(WorkerHeartbeat, u32)| {
+            known.life.is_same_as(&heartbeat.life) && known.sequence > heartbeat.sequence
         };
         if !self.candidate.as_ref().is_some_and(later) {
-            self.candidate = Some((beat, 0));
+            self.candidate = Some((heartbeat, 0));
         }
     }
 }
 
 impl Worker {
     /// Takes note of what it says in its present life; whether that counts.
-    fn accept_heartbeat(&mut self, now: Mono, beat: WorkerBeat, heartbeat: Duration) -> bool {
-        if self.has_started && beat.service != self.beat.service {
+    fn accept_heartbeat(
+        &mut self,
+        now: Mono,
+        heartbeat: WorkerHeartbeat,
+        interval: Duration,
+    ) -> bool {
+        if self.has_started && heartbeat.service != self.heartbeat.service {
             return false;
         }
         // A worker that leaves does not come back in the same life, so that this is true also of one that came late.
-        let draining = beat.draining || self.beat.draining;
-        self.beat.draining = draining;
-        if beat.sequence < self.beat.sequence
-            && !self.confirm_lower_sequence(now, beat.sequence, heartbeat)
+        let draining = heartbeat.draining || self.heartbeat.draining;
+        self.heartbeat.draining = draining;
+        if heartbeat.sequence < self.heartbeat.sequence
+            && !self.confirm_lower_sequence(now, heartbeat.sequence, interval)
         {
             return false;
         }
         self.lower_sequence = None;
-        self.beat = WorkerBeat { draining, ..beat };
+        self.heartbeat = WorkerHeartbeat {
+            draining,
+            ..heartbeat
+        };
         self.last_heartbeat = Some(now);
         true
     }
@@ -108,7 +116,7 @@
     /// Whether the number of the newest heartbeat was not the worker's, now that there is one below it: for a
     /// heartbeat nothing came that is above it, and two below it that rise and came apart, as what was held up
     /// on the way does not.
-    fn confirm_lower_sequence(&mut self, now: Mono, sequence: u64, heartbeat: Duration) -> bool {
+    fn confirm_lower_sequence(&mut self, now: Mono, sequence: u64, interval: Duration) -> bool {
         let Some((lower, at)) = self.lower_sequence.filter(|(lower, _)| *lower < sequence) else {
             self.lower_sequence = Some((sequence, now));
             return false;
@@ -116,35 +124,37 @@
         self.lower_sequence = Some((lower, at));
         let silent = self
             .last_heartbeat
-            .is_none_or(|at| now.since(at) >= heartbeat);
-        now.since(at) >= heartbeat / 2 && silent
+            .is_none_or(|at| now.since(at) >= interval);
+        now.since(at) >= interval / 2 && silent
     }
 }
 
 impl Executor {
     /// Takes note of what the worker says of itself.
-    pub fn beat(&mut self, now: Mono, beat: WorkerBeat) {
+    pub fn heartbeat(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         match &self.worker {
-            None if self.incarnations.is_past(&beat.life) => self.recall(now, beat),
-            None => self.begin_incarnation(now, beat),
-            Some(worker) if !worker.beat.life.is_same(&beat.life) => {
-                self.incarnations.set_candidate(beat)
+            None if self.incarnations.is_past(&heartbeat.life) => {
+                self.restore_worker(now, heartbeat)
+            }
+            None => self.begin_incarnation(now, heartbeat),
+            Some(worker) if !worker.heartbeat.life.is_same_as(&heartbeat.life) => {
+                self.incarnations.set_candidate(heartbeat)
             }
-            Some(_) => self.update_heartbeat(now, beat),
+            Some(_) => self.update_heartbeat(now, heartbeat),
         }
         self.advance(now);
     }
 
-    fn update_heartbeat(&mut self, now: Mono, beat: WorkerBeat) {
-        let heartbeat = self.setup.heartbeat;
+    fn update_heartbeat(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
+        let interval = self.setup.heartbeat;
         let Some(worker) = &mut self.worker else {
             return;
         };
-        let (before, first) = (worker.beat.clone(), worker.last_heartbeat.is_none());
-        let (life, sequence) = (beat.life.clone(), beat.sequence);
-        let counts = worker.accept_heartbeat(now, beat, heartbeat);
-        let drains = worker.beat.draining && !before.draining;
-        let same = worker.beat.is_like(&before);
+        let (before, first) = (worker.heartbeat.clone(), worker.last_heartbeat.is_none());
+        let (life, sequence) = (heartbeat.life.clone(), heartbeat.sequence);
+        let counts = worker.accept_heartbeat(now, heartbeat, interval);
+        let drains = worker.heartbeat.draining && !before.draining;
+        let same = worker.heartbeat.is_like(&before);
         if !counts {
             let detail = format!(
                 "{life} number {sequence}; {} number {}",
@@ -166,13 +176,13 @@
 
     /// A heartbeat changes nothing.
     fn reject_heartbeat(&mut self, detail: String) {
-        self.counts.beats_rejected += 1;
+        self.counts.rejected_heartbeats += 1;
         self.log(Kind::BadBeat, detail);
     }
 
     /// A heartbeat could not be read.
-    pub fn beat_unreadable(&mut self) {
-        self.counts.beats_rejected += 1;
+    pub fn count_unreadable_heartbeat(&mut self) {
+        self.counts.rejected_heartbeats += 1;
     }
 
     /// Whether a hold was meant for a life that the worker has not confirmed.
@@ -188,11 +198,11 @@
 
     /// Whether lists are of another life than the present one, by the start that they name.
     pub(super) fn is_from_other_incarnation(&self, born: Option<u64>) -> bool {
-        let answering = Life {
+        let answering = WorkerIncarnation {
             id: self.worker_id(),
             born,
         };
-        let other = |worker: &Worker| !worker.beat.life.is_same(&answering);
+        let other = |worker: &Worker| !worker.heartbeat.life.is_same_as(&answering);
         self.worker.as_ref().is_some_and(other)
     }
 
@@ -203,36 +213,38 @@
         now: Mono,
         reply: HoldReply,
     ) -> Option<HoldReply> {
-        let (beat, asked) = self.incarnations.candidate.take()?;
+        let (heartbeat, asked) = self.incarnations.candidate.take()?;
         match &reply {
             HoldReply::Lists { born, .. } => {
-                let answering = Life {
-                    id: beat.life.id.clone(),
+                let answering = WorkerIncarnation {
+                    id: heartbeat.life.id.clone(),
                     born: *born,
                 };
-                let present = self.worker.as_ref().map(|w| &w.beat.life);
-                if present.is_some_and(|life| life.is_same(&answering)) {
-                    self.reject_heartbeat(format!("{} is not its life", beat.life));
-                } else if beat.life.is_same(&answering) {
-                    self.switch_incarnation(now, beat, Some(now), &reply);
+                let present = self.worker.as_ref().map(|w| &w.heartbeat.life);
+                if present.is_some_and(|life| life.is_same_as(&answering)) {
+                    self.reject_heartbeat(format!("{} is not its life", heartbeat.life));
+                } else if heartbeat.life.is_same_as(&answering) {
+                    self.switch_incarnation(now, heartbeat, Some(now), &reply);
                 } else {
                     self.adopt_unannounced(now, answering, &reply);
                 }
                 return Some(reply);
             }
-            HoldReply::WrongLife => self.reject_heartbeat(format!("{} is not its life", beat.life)),
+            HoldReply::WrongLife => {
+                self.reject_heartbeat(format!("{} is not its life", heartbeat.life))
+            }
             HoldReply::Fenced if asked + 1 < MAX_ATTEMPTS => {
                 self.raise_fence();
-                self.incarnations.candidate = Some((beat, asked + 1));
+                self.incarnations.candidate = Some((heartbeat, asked + 1));
             }
             HoldReply::NoAnswer | HoldReply::Unreachable if asked + 1 < MAX_ATTEMPTS => {
                 self.next_hold = now + self.setup.policy.orders.ask_soon;
-                self.incarnations.candidate = Some((beat, asked + 1));
+                self.incarnations.candidate = Some((heartbeat, asked + 1));
             }
             HoldReply::Fenced | HoldReply::NoAnswer | HoldReply::Unreachable => {
                 self.reject_heartbeat(format!(
                     "{}: the worker does not answer under it",
-                    beat.life
+                    heartbeat.life
                 ));
             }
         }
@@ -241,17 +253,22 @@
 
     /// The lists are of a life that has not said anything yet: nothing is started there until it has said what
     /// room it has, as it may be of another kind than the one before.
-    pub(super) fn adopt_unannounced(&mut self, now: Mono, life: Life, reply: &HoldReply) {
+    pub(super) fn adopt_unannounced(
+        &mut self,
+        now: Mono,
+        life: WorkerIncarnation,
+        reply: &HoldReply,
+    ) {
         let Some(worker) = &self.worker else {
             return;
         };
-        let beat = WorkerBeat {
+        let heartbeat = WorkerHeartbeat {
             life,
             draining: false,
             sequence: 0,
-            ..worker.beat.clone()
+            ..worker.heartbeat.clone()
         };
-        self.switch_incarnation(now, beat, None, reply);
+        self.switch_incarnation(now, heartbeat, None, reply);
     }
 
     /// The worker has answered in another life. What its lists show is there, begun after it had started and before that
@@ -259,11 +276,11 @@
     fn switch_incarnation(
         &mut self,
         now: Mono,
-        beat: WorkerBeat,
+        heartbeat: WorkerHeartbeat,
         last_heartbeat: Option<Mono>,
         reply: &HoldReply,
     ) {
-        let same_id = self.worker_id() == beat.life.id;
+        let same_id = self.worker_id() == heartbeat.life.id;
         let kept = if same_id {
             self.surviving_runs(reply)
         } else {
@@ -271,7 +288,7 @@
         };
         self.record_crash(now, &kept);
         self.end_incarnation(now, "another life has registered", &kept);
-        self.adopt_worker(now, beat, last_heartbeat);
+        self.adopt_worker(now, heartbeat, last_heartbeat);
     }
 
     /// The runs that lists show, and those of which it is not known yet whether they began: a worker that has
@@ -296,14 +313,14 @@
     /// Takes note that a worker with this id says that it has left. That names no start: it may be of an earlier life under
     /// the same id and have come late. While something runs, it is believed only of a worker that had said it leaves,
     /// under an id that no earlier life had; else the next hold tells.
-    pub fn worker_left(&mut self, now: Mono, id: &str) {
+    pub fn handle_worker_left(&mut self, now: Mono, id: &str) {
         if self.worker_id() != id {
             if self.incarnations.is_candidate(id) {
                 self.incarnations.candidate = None;
             }
             return;
         }
-        let draining = self.worker.as_ref().is_some_and(|w| w.beat.draining);
+        let draining = self.worker.as_ref().is_some_and(|w| w.heartbeat.draining);
         let certain = draining && !self.incarnations.has_past_id(id);
         if certain || self.runs.is_empty() {
             self.incarnations.candidate = None;
@@ -315,28 +332,33 @@
     }
 
     /// Meets the worker in a life that it has told of itself.
-    pub(super) fn begin_incarnation(&mut self, now: Mono, beat: WorkerBeat) {
-        self.adopt_worker(now, beat, Some(now));
+    pub(super) fn begin_incarnation(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
+        self.adopt_worker(now, heartbeat, Some(now));
     }
 
     /// Meets the worker in a life that an earlier life of this process knew. It is not known for how long that is over, and
     /// the worker's room may have shrunk since: nothing is started before it has said what it has. An executor that
     /// goes by what it has kept may take more than there is.
-    pub(super) fn restore_incarnation(&mut self, now: Mono, beat: WorkerBeat) {
-        self.adopt_worker(now, beat, None);
+    pub(super) fn restore_incarnation(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
+        self.adopt_worker(now, heartbeat, None);
     }
 
-    fn adopt_worker(&mut self, now: Mono, beat: WorkerBeat, last_heartbeat: Option<Mono>) {
-        let detail = format!("{} of {}", beat.life, beat.service);
+    fn adopt_worker(
+        &mut self,
+        now: Mono,
+        heartbeat: WorkerHeartbeat,
+        last_heartbeat: Option<Mono>,
+    ) {
+        let detail = format!("{} of {}", heartbeat.life, heartbeat.service);
         self.log(Kind::WorkerUp, detail);
-        if beat.draining {
-            self.log(Kind::WorkerDraining, beat.life.to_string());
+        if heartbeat.draining {
+            self.log(Kind::WorkerDraining, heartbeat.life.to_string());
         }
         self.health = Health::new(self.setup.policy.health);
         self.speed.begin_life();
         self.unreconciled_since = now;
         self.worker = Some(Worker {
-            beat,
+            heartbeat,
             last_heartbeat,
             responsive: true,
             ..Worker::default()
@@ -348,17 +370,17 @@
     /// Takes note of what the worker said to an earlier life of this process, or in a life that was held to be
     /// over. It is asked at once whether it is in that life, so that it need not be waited for until it says so
     /// again.
-    pub fn recall(&mut self, now: Mono, beat: WorkerBeat) {
+    pub fn restore_worker(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         if self.worker.is_none() {
-            self.saved_heartbeat = Some(beat);
+            self.saved_heartbeat = Some(heartbeat);
             self.advance(now);
         }
     }
 
     fn save_heartbeat(&mut self) {
         let announced = self.worker.as_ref().filter(|w| w.last_heartbeat.is_some());
-        let beat = announced.map(|w| w.beat.clone());
-        self.actions.push(Action::Keep(beat));
+        let heartbeat = announced.map(|w| w.heartbeat.clone());
+        self.actions.push(Action::SaveHeartbeat(heartbeat));
     }
 
     /// Everything that ran in this life of the worker is over, except for what is known to be in the next one.
@@ -366,7 +388,7 @@
         let Some(worker) = &self.worker else {
             return;
         };
-        let life = worker.beat.life.clone();
+        let life = worker.heartbeat.life.clone();
         self.log(Kind::WorkerDown, life.to_string());
         self.log_lost_runs(now, cause, kept);
         self.incarnations.end(life);
--- a/lib/src/dispatch/executor/lists.rs
+++ b/lib/src/dispatch/executor/lists.rs
@@ -3,12 +3,12 @@
 use super::Executor;
 use super::FinishedRow;
 use super::HoldReply;
-use super::Life;
+use super::RunEnd;
 use super::RunName;
 use super::RunState;
 use super::RunningRow;
-use super::WorkerBeat;
-use super::WorkerEnd;
+use super::WorkerHeartbeat;
+use super::WorkerIncarnation;
 use super::runs::Run;
 use crate::dispatch::model::EndKind;
 use crate::dispatch::model::TaskName;
@@ -22,7 +22,7 @@
 
 impl Executor {
     /// The reply to a hold.
-    pub fn held(&mut self, now: Mono, mut reply: HoldReply) {
+    pub fn handle_hold_reply(&mut self, now: Mono, mut reply: HoldReply) {
         self.hold_pending = false;
         self.next_hold = now;
         let probing = self.probing.take();
@@ -46,7 +46,7 @@
             && self.is_from_other_incarnation(born)
         {
             let id = self.worker_id();
-            self.adopt_unannounced(now, Life { id, born }, &reply);
+            self.adopt_unannounced(now, WorkerIncarnation { id, born }, &reply);
         }
         match reply {
             HoldReply::Lists {
@@ -66,18 +66,19 @@
     /// Whether a hold was meant for the life of the worker that an earlier life of this process
     /// knew.
     fn is_saved_incarnation(&self, life: &str) -> bool {
-        let same = |beat: &WorkerBeat| beat.life.id == life;
+        let same = |heartbeat: &WorkerHeartbeat| heartbeat.life.id == life;
         self.worker.is_none() && self.saved_heartbeat.as_ref().is_some_and(same)
     }
 
     /// Whether the worker has answered in the life that was recalled.
     fn is_from_saved_incarnation(&self, reply: &HoldReply) -> bool {
-        let (HoldReply::Lists { born, .. }, Some(beat)) = (reply, &self.saved_heartbeat) else {
+        let (HoldReply::Lists { born, .. }, Some(heartbeat)) = (reply, &self.saved_heartbeat)
+        else {
             return false;
         };
         let born = *born;
-        let id = beat.life.id.clone();
-        beat.life.is_same(&Life { id, born })
+        let id = heartbeat.life.id.clone();
+        heartbeat.life.is_same_as(&WorkerIncarnation { id, born })
     }
 
     /// The worker is not in the life that was recalled, or has not answered yet.
@@ -94,13 +95,13 @@
 
     /// The worker has answered under the life that was recalled.
     fn resume_saved_incarnation(&mut self, now: Mono) {
-        if let Some(beat) = self.saved_heartbeat.take() {
+        if let Some(heartbeat) = self.saved_heartbeat.take() {
             // Its next beat may have a lower number than the last one told to the earlier life.
-            let beat = WorkerBeat {
+            let heartbeat = WorkerHeartbeat {
                 sequence: 0,
-                ..beat
+                ..heartbeat
             };
-            self.restore_incarnation(now, beat);
+            self.restore_incarnation(now, heartbeat);
         }
     }
 
@@ -150,7 +151,7 @@
         self.next_hold = now + wait;
         if worker.responsive && (long || refused) {
             worker.responsive = false;
-            let detail = format!("{}: {reply:?}", worker.beat.life);
+            let detail = format!("{}: {reply:?}", worker.heartbeat.life);
             self.log(Kind::WorkerSilent, detail);
         }
         let gone = *reply != HoldReply::NoAnswer && now.since(since) >= orders.gone_after;
@@ -222,10 +223,10 @@
             return;
         }
         let kind = match (row.end, run.state) {
-            (WorkerEnd::Done, _) => EndKind::Done,
-            (WorkerEnd::Failed, _) => EndKind::Failed,
+            (RunEnd::Done, _) => EndKind::Done,
+            (RunEnd::Failed, _) => EndKind::Failed,
             (_, RunState::Stopping { why, .. }) => why,
-            (WorkerEnd::Stopped | WorkerEnd::Lapsed, _) => EndKind::Lost,
+            (RunEnd::Stopped | RunEnd::Lapsed, _) => EndKind::Lost,
         };
         self.update_health(now, &row, kind);
         self.finish_run(now, row.run.task, kind, row.checkpoint);
@@ -235,7 +236,7 @@
     fn skip_end(&mut self, row: &FinishedRow, seen: u64) {
         let known = self.runs.get(&row.run.task);
         if known.is_some_and(|run| run.run == row.run.run) {
-            self.counts.ends_passed += 1;
+            self.counts.skipped_ends += 1;
             let detail = format!(
                 "{} run {}: number {}, after {seen}",
                 row.run.task, row.run.run, row.number
@@ -283,7 +284,7 @@
     /// Stops a run that nobody here has started: an earlier executor's, or an order that was
     /// carried out late.
     fn stop_unknown_run(&mut self, name: RunName) {
-        self.counts.strangers += 1;
+        self.counts.unknown_runs += 1;
         let detail = format!("{} run {}", name.task, name.run);
         self.log(Kind::StrangerRun, detail);
         self.send_stop(name);
--- a/lib/src/dispatch/executor/preempting.rs
+++ b/lib/src/dispatch/executor/preempting.rs
@@ -162,7 +162,7 @@
         self.counts.preempted += 1;
         if !run.rank.saves {
             let ran = now.since(run.started_at).as_secs_f64();
-            self.counts.wasted += (ran * f64::from(run.demand.cpu_milli)) as u64;
+            self.counts.wasted_core_ms += (ran * f64::from(run.demand.cpu_milli)) as u64;
         }
     }
 }
--- a/lib/src/dispatch/executor/reports.rs
+++ b/lib/src/dispatch/executor/reports.rs
@@ -149,7 +149,7 @@
         let Some(worker) = &self.worker else {
             return proto::WorkerReport::default();
         };
-        let capacity = worker.beat.capacity;
+        let capacity = worker.heartbeat.capacity;
         let mut free = Free::of(capacity).less(self.allocated);
         for queued in &self.queue {
             free = free.less(queued.demand);
@@ -247,10 +247,10 @@
             };
         };
         proto::Profile {
-            worker: worker.beat.life.id.clone(),
-            service: worker.beat.service.clone(),
-            capacity: Some(worker.beat.capacity.proto()),
-            labels: worker.beat.labels.clone(),
+            worker: worker.heartbeat.life.id.clone(),
+            service: worker.heartbeat.service.clone(),
+            capacity: Some(worker.heartbeat.capacity.proto()),
+            labels: worker.heartbeat.labels.clone(),
             leased,
             owners: self.owners.clone(),
         }
--- a/lib/src/dispatch/executor/runs.rs
+++ b/lib/src/dispatch/executor/runs.rs
@@ -259,7 +259,7 @@
             // The worker has listed it meanwhile: only the answer was lost.
             OrderReply::NoAnswer if run.state == RunState::Running => {}
             OrderReply::NoAnswer => {
-                self.counts.unanswered += 1;
+                self.counts.unanswered_starts += 1;
                 let detail = format!("{} run {}", name.task, name.run);
                 self.log(Kind::StartUnanswered, detail);
                 self.stop_run(now, name.task, EndKind::Stalled);
--- a/lib/src/dispatch/executor/sessions.rs
+++ b/lib/src/dispatch/executor/sessions.rs
@@ -215,7 +215,7 @@
         if self.is_claimed_by_other(&queued.scheduler, queued.task.job) {
             return self.report_unstarted(now, &queued, EndKind::Claimed);
         }
-        if queued.crashes.is_final(&self.setup.policy.crashes) {
+        if queued.crashes.is_given_up(&self.setup.policy.crashes) {
             return self.report_unstarted(now, &queued, EndKind::Crashed);
         }
         if !self.is_ready(now) || !fresh {
@@ -263,7 +263,7 @@
         let over = over.filter(|(owner, s)| s.lease_until <= now && !idle(owner, s));
         let over: Vec<String> = over.map(|(name, _)| name.clone()).collect();
         for name in over {
-            self.counts.lapsed += 1;
+            self.counts.expired_leases += 1;
             self.log(Kind::LeaseOver, format!("scheduler {name}"));
             self.end_session(now, &name);
         }
--- a/lib/src/dispatch/scheduler/ends.rs
+++ b/lib/src/dispatch/scheduler/ends.rs
@@ -48,7 +48,7 @@
         if let Some(job) = self.jobs.get_mut(&name.job)
             && let Some(task) = job.task_mut(name)
         {
-            task.crashes = task.crashes.merged(record);
+            task.crashes = task.crashes.merge(record);
         }
     }
 
@@ -70,7 +70,7 @@
             return false;
         };
         let record = task.crashes;
-        if !record.is_final(&self.setup.policy.crashes) {
+        if !record.is_given_up(&self.setup.policy.crashes) {
             return false;
         }
         let cause = if record.proven {
--- a/lib/tests/runner/test_executor.rs
+++ b/lib/tests/runner/test_executor.rs
@@ -21,13 +21,13 @@
 use stackcourse_lib::dispatch::executor::ExecutorSetup;
 use stackcourse_lib::dispatch::executor::FinishedRow;
 use stackcourse_lib::dispatch::executor::HoldReply;
-use stackcourse_lib::dispatch::executor::Life;
 use stackcourse_lib::dispatch::executor::OrderReply;
+use stackcourse_lib::dispatch::executor::RunEnd;
 use stackcourse_lib::dispatch::executor::RunName;
 use stackcourse_lib::dispatch::executor::RunningRow;
 use stackcourse_lib::dispatch::executor::StartRefusal;
-use stackcourse_lib::dispatch::executor::WorkerBeat;
-use stackcourse_lib::dispatch::executor::WorkerEnd;
+use stackcourse_lib::dispatch::executor::WorkerHeartbeat;
+use stackcourse_lib::dispatch::executor::WorkerIncarnation;
 use stackcourse_lib::dispatch::model::Demand;
 use stackcourse_lib::dispatch::model::EndKind;
 use stackcourse_lib::dispatch::model::JobNumber;
@@ -53,7 +53,7 @@
     /// A worker that has been met, with nothing running.
     fn ready() -> Bench {
         let mut bench = Bench::new();
-        bench.beat("w1", false, 1);
+        bench.heartbeat("w1", false, 1);
         bench.lists(&[], Vec::new());
         bench.link(ONE, "one");
         bench
@@ -87,8 +87,8 @@
         self.actions.extend(fresh);
     }
 
-    fn beat(&mut self, life: &str, draining: bool, sequence: u64) {
-        let beat = WorkerBeat {
+    fn heartbeat(&mut self, life: &str, draining: bool, sequence: u64) {
+        let heartbeat = WorkerHeartbeat {
             life: life_of(life),
             service: "s".to_owned(),
             draining,
@@ -100,7 +100,7 @@
             labels: Vec::new(),
             sequence,
         };
-        self.executor.beat(self.now, beat);
+        self.executor.heartbeat(self.now, heartbeat);
         self.take();
     }
 
@@ -117,11 +117,11 @@
             running: running.iter().map(row).collect(),
             finished,
         };
-        self.held(reply);
+        self.handle_hold_reply(reply);
     }
 
-    fn held(&mut self, reply: HoldReply) {
-        self.executor.held(self.now, reply);
+    fn handle_hold_reply(&mut self, reply: HoldReply) {
+        self.executor.handle_hold_reply(self.now, reply);
         self.take();
     }
 
@@ -226,8 +226,8 @@
 }
 
 /// A life of a worker that does not say when it started.
-fn life_of(id: &str) -> Life {
-    Life {
+fn life_of(id: &str) -> WorkerIncarnation {
+    WorkerIncarnation {
         id: id.to_owned(),
         born: None,
     }
@@ -245,7 +245,7 @@
     }
 }
 
-fn finished(number: u64, run: RunName, end: WorkerEnd) -> FinishedRow {
+fn finished(number: u64, run: RunName, end: RunEnd) -> FinishedRow {
     FinishedRow {
         number,
         run,
@@ -267,7 +267,7 @@
         .started(bench.now, run(1, 1, 1), OrderReply::Done(1));
     bench.lists(
         &[run(1, 1, 1)],
-        vec![finished(1, run(1, 0, 1), WorkerEnd::Done)],
+        vec![finished(1, run(1, 0, 1), RunEnd::Done)],
     );
     assert_eq!(bench.started().len(), 2, "what did not fit was handed back");
     bench.start(ONE, 2, &[0, 1]);
@@ -304,7 +304,7 @@
     assert_eq!(bench.ends(ONE), [], "a run ends within some milliseconds");
     bench.lists(
         &[run(1, 1, 1)],
-        vec![finished(1, run(1, 0, 1), WorkerEnd::Done)],
+        vec![finished(1, run(1, 0, 1), RunEnd::Done)],
     );
     assert_eq!(bench.started().len(), 3);
 }
@@ -394,7 +394,7 @@
 #[test]
 fn test_executor_stops_strangers_before_it_starts_anything() {
     let mut bench = Bench::new();
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench.link(ONE, "one");
     bench.lists(&[run(9, 0, 4)], Vec::new());
     bench.start(ONE, 1, &[0]);
@@ -464,7 +464,7 @@
     bench
         .executor
         .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
-    bench.lists(&[], vec![finished(1, run(1, 0, 1), WorkerEnd::Done)]);
+    bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Done)]);
     bench.pass(800);
     bench.lists(&[], Vec::new());
     bench.link(TWO, "one");
@@ -472,7 +472,7 @@
     bench
         .executor
         .started(bench.now, run(2, 0, 1), OrderReply::Done(1));
-    bench.lists(&[], vec![finished(2, run(2, 0, 1), WorkerEnd::Done)]);
+    bench.lists(&[], vec![finished(2, run(2, 0, 1), RunEnd::Done)]);
     assert_eq!(bench.ends(ONE), [(1, EndKind::Done)]);
     assert_eq!(bench.ends(TWO), [(2, EndKind::Done)]);
 }
--- a/lib/tests/runner/test_executor/accounts.rs
+++ b/lib/tests/runner/test_executor/accounts.rs
@@ -6,7 +6,7 @@
     let mut policy = Policy::default();
     policy.recovery.on = true;
     let mut bench = Bench::with_policy(policy);
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench
 }
 
@@ -54,7 +54,7 @@
     bench.pass(100);
     bench.pass(100);
     assert!(!last(&bench, TWO).accounted, "the run may not have ended");
-    bench.lists(&[], vec![finished(1, run(1, 0, 1), WorkerEnd::Stopped)]);
+    bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Stopped)]);
     bench.pass(100);
     assert!(last(&bench, TWO).accounted);
     assert_eq!(owners(&bench, TWO), [8]);
--- a/lib/tests/runner/test_executor/claims.rs
+++ b/lib/tests/runner/test_executor/claims.rs
@@ -14,7 +14,7 @@
     assert_eq!(bench.stopped(), [run(1, 0, 1)]);
     let claimed = |b: &Bench| b.updates(TWO).iter().any(|u| u.claimed == [1]);
     assert!(!claimed(&bench));
-    bench.lists(&[], vec![finished(1, run(1, 0, 1), WorkerEnd::Stopped)]);
+    bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Stopped)]);
     assert!(claimed(&bench));
     bench.start(ONE, 1, &[1]);
     assert_eq!(
@@ -65,7 +65,7 @@
     let mut bench = Bench::new();
     bench.link(ONE, "one");
     bench.claim(ONE, 1);
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench.lists(&[], Vec::new());
     assert!(bench.updates(ONE).iter().all(|u| u.claimed.is_empty()));
     bench.lists(&[], Vec::new());
--- a/lib/tests/runner/test_executor/crashes.rs
+++ b/lib/tests/runner/test_executor/crashes.rs
@@ -61,10 +61,10 @@
 
 /// Lets a worker that refuses connections from now on be taken for gone.
 fn crash(bench: &mut Bench) {
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     for _ in 0..20 {
         bench.pass(10);
-        bench.held(HoldReply::Unreachable);
+        bench.handle_hold_reply(HoldReply::Unreachable);
     }
 }
 
@@ -167,7 +167,7 @@
 fn test_executor_blames_nobody_for_a_worker_that_leaves() {
     let mut bench = Bench::ready();
     bench.start(ONE, 1, &[0]);
-    bench.beat("w1", true, 2);
+    bench.heartbeat("w1", true, 2);
     crash(&mut bench);
     assert_eq!(bench.records(ONE), [(1, EndKind::Lost, None)]);
 }
@@ -179,7 +179,7 @@
     for _ in 0..200 {
         bench.pass(10);
         bench.orders(ONE, proto::Orders::default());
-        bench.held(HoldReply::NoAnswer);
+        bench.handle_hold_reply(HoldReply::NoAnswer);
     }
     assert_eq!(bench.records(ONE), [(1, EndKind::Lost, None)]);
 }
@@ -258,7 +258,7 @@
     for _ in 0..12 {
         bench.pass(100);
         bench.orders(TWO, proto::Orders::default());
-        bench.held(HoldReply::Unreachable);
+        bench.handle_hold_reply(HoldReply::Unreachable);
     }
     let claimed = bench.updates(TWO).into_iter().flat_map(|u| u.claimed);
     assert_eq!(claimed.collect::<Vec<u64>>(), [1]);
--- a/lib/tests/runner/test_executor/evacuation.rs
+++ b/lib/tests/runner/test_executor/evacuation.rs
@@ -74,7 +74,7 @@
     bench.orders(ONE, zone("z", 5, true));
     assert_eq!(bench.ends(ONE), [(1, EndKind::Unavailable)]);
     assert_eq!(bench.stopped(), []);
-    bench.lists(&[], vec![finished(1, run(1, 0, 1), WorkerEnd::Done)]);
+    bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Done)]);
     assert_eq!(bench.ends(ONE)[1], (2, EndKind::Done));
     assert_eq!(bench.started().len(), 2);
 }
--- a/lib/tests/runner/test_executor/lives.rs
+++ b/lib/tests/runner/test_executor/lives.rs
@@ -5,13 +5,13 @@
 impl Bench {
     /// The worker is in another life, says so, and answers under it. The hold that waits is for the earlier one.
     pub(super) fn new_life(&mut self, life: &str) {
-        self.beat(life, false, 1);
-        self.held(HoldReply::WrongLife);
+        self.heartbeat(life, false, 1);
+        self.handle_hold_reply(HoldReply::WrongLife);
         self.lists(&[], Vec::new());
     }
 
     fn beat_of(&mut self, service: &str, sequence: u64) {
-        let beat = WorkerBeat {
+        let heartbeat = WorkerHeartbeat {
             life: life_of("w1"),
             service: service.to_owned(),
             capacity: Demand {
@@ -20,9 +20,9 @@
                 gpu: 0,
             },
             sequence,
-            ..WorkerBeat::default()
+            ..WorkerHeartbeat::default()
         };
-        self.executor.beat(self.now, beat);
+        self.executor.heartbeat(self.now, heartbeat);
         self.take();
     }
 
@@ -64,13 +64,13 @@
     bench
         .executor
         .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
-    bench.beat("w1", false, 9);
+    bench.heartbeat("w1", false, 9);
     bench.lists(&[run(1, 0, 1)], Vec::new());
     assert_matches!(bench.actions.iter().rev().find_map(asked), Some(life) if life == "w1");
-    bench.held(HoldReply::WrongLife);
+    bench.handle_hold_reply(HoldReply::WrongLife);
     bench.pass(50);
     assert_eq!(bench.ends(ONE), []);
-    assert_eq!(bench.executor.counts().beats_rejected, 1);
+    assert_eq!(bench.executor.counts().rejected_heartbeats, 1);
     assert_eq!(bench.last_profile().worker, "w2");
 }
 
@@ -85,19 +85,19 @@
 #[test]
 fn test_executor_asks_some_times_about_another_life() {
     let mut bench = Bench::ready();
-    bench.beat("w2", false, 1);
+    bench.heartbeat("w2", false, 1);
     bench.lists(&[], Vec::new());
     for _ in 0..2 {
-        bench.held(HoldReply::NoAnswer);
+        bench.handle_hold_reply(HoldReply::NoAnswer);
         bench.pass(25);
     }
     bench.lists(&[], Vec::new());
     bench.pass(25);
     assert_eq!(bench.last_profile().worker, "w2", "the third answer came");
-    bench.beat("w3", false, 1);
+    bench.heartbeat("w3", false, 1);
     bench.lists(&[], Vec::new());
     for _ in 0..3 {
-        bench.held(HoldReply::NoAnswer);
+        bench.handle_hold_reply(HoldReply::NoAnswer);
         bench.pass(25);
     }
     assert_matches!(bench.actions.iter().rev().find_map(asked), Some(life) if life == "w2");
@@ -106,10 +106,10 @@
 #[test]
 fn test_executor_late_heartbeat_after_the_worker_has_left_is_asked_about() {
     let mut bench = Bench::ready();
-    bench.executor.worker_left(bench.now, "w1");
+    bench.executor.handle_worker_left(bench.now, "w1");
     bench.take();
-    bench.beat("w1", false, 7);
-    bench.held(HoldReply::Unreachable);
+    bench.heartbeat("w1", false, 7);
+    bench.handle_hold_reply(HoldReply::Unreachable);
     bench.pass(50);
     assert_eq!(bench.last_profile().worker, "");
 }
@@ -118,16 +118,16 @@
 #[test]
 fn test_executor_without_a_worker_asks_as_seldom_as_ever() {
     let mut bench = Bench::ready();
-    bench.beat("w2", false, 1);
-    bench.executor.worker_left(bench.now, "w1");
+    bench.heartbeat("w2", false, 1);
+    bench.executor.handle_worker_left(bench.now, "w1");
     bench.take();
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     let before = bench.holds();
     let mut answered = before - 1;
     for _ in 0..20 {
         if bench.holds() > answered {
             answered = bench.holds();
-            bench.held(HoldReply::NoAnswer);
+            bench.handle_hold_reply(HoldReply::NoAnswer);
         }
         bench.pass(1);
     }
@@ -164,7 +164,7 @@
         for _ in 0..15 {
             bench.live();
         }
-        bench.beat("w1", false, sequence);
+        bench.heartbeat("w1", false, sequence);
     }
     bench.live();
     assert!(bench.is_ready());
@@ -174,15 +174,15 @@
 #[test]
 fn test_executor_heartbeats_that_were_held_up_together_are_old() {
     let mut bench = Bench::ready();
-    bench.beat("w1", true, 8);
+    bench.heartbeat("w1", true, 8);
     for _ in 0..16 {
         bench.live();
     }
     for sequence in 3..7 {
-        bench.beat("w1", false, sequence);
+        bench.heartbeat("w1", false, sequence);
     }
-    assert_eq!(bench.executor.counts().beats_rejected, 4);
-    bench.beat("w1", false, 9);
+    assert_eq!(bench.executor.counts().rejected_heartbeats, 4);
+    bench.heartbeat("w1", false, 9);
     bench.live();
     assert!(!bench.is_ready(), "a worker that leaves does not come back");
 }
@@ -192,13 +192,13 @@
 fn test_executor_tells_of_an_end_that_is_passed_over() {
     let mut bench = Bench::ready();
     bench.begin(1);
-    bench.lists(&[], vec![finished(9, run(1, 0, 1), WorkerEnd::Done)]);
+    bench.lists(&[], vec![finished(9, run(1, 0, 1), RunEnd::Done)]);
     bench.begin(2);
     bench.lists(
         &[run(2, 0, 1)],
-        vec![finished(2, run(2, 0, 1), WorkerEnd::Done)],
+        vec![finished(2, run(2, 0, 1), RunEnd::Done)],
     );
     let told = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::EndPassed);
     assert!(bench.actions.iter().any(told));
-    assert_eq!(bench.executor.counts().ends_passed, 1);
+    assert_eq!(bench.executor.counts().skipped_ends, 1);
 }
--- a/lib/tests/runner/test_executor/preempting.rs
+++ b/lib/tests/runner/test_executor/preempting.rs
@@ -3,9 +3,9 @@
 use stackcourse_lib::dispatch::executor::Action;
 use stackcourse_lib::dispatch::executor::HoldReply;
 use stackcourse_lib::dispatch::executor::OrderReply;
+use stackcourse_lib::dispatch::executor::RunEnd;
 use stackcourse_lib::dispatch::executor::RunName;
 use stackcourse_lib::dispatch::executor::RunningRow;
-use stackcourse_lib::dispatch::executor::WorkerEnd;
 use stackcourse_lib::dispatch::model::EndKind;
 use stackcourse_lib::dispatch::policy::Policy;
 use stackcourse_lib::event::Kind;
@@ -95,7 +95,7 @@
     policy.preemption.on = on;
     policy.preemption.waste_share = 0.1;
     let mut bench = Bench::with_policy(policy);
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench.lists(&[], Vec::new());
     bench.link(ONE, "one");
     bench.link(TWO, "two");
@@ -124,11 +124,15 @@
     assert_eq!(bench.started(), BOTH, "the stop is not confirmed");
     bench.stop_replied(YOUNGER, OrderReply::Done(1));
     assert_eq!(bench.started(), BOTH, "it may run still");
-    bench.lists(&[OLDER], vec![finished(1, YOUNGER, WorkerEnd::Stopped)]);
+    bench.lists(&[OLDER], vec![finished(1, YOUNGER, RunEnd::Stopped)]);
     assert_eq!(bench.started(), [OLDER, YOUNGER, ASKED]);
     assert_eq!(bench.ends(TWO), [(1, EndKind::Preempted)]);
     assert_eq!(bench.executor.counts().preempted, 1);
-    assert_eq!(bench.executor.counts().wasted, 10, "10 ms of a core");
+    assert_eq!(
+        bench.executor.counts().wasted_core_ms,
+        10,
+        "10 ms of a core"
+    );
 }
 
 #[test]
@@ -181,7 +185,7 @@
     bench.start_like(ONE, &small, 7, 1);
     bench.start_like(THREE, &small, 8, 1);
     assert_eq!(bench.stopped(), [YOUNGER]);
-    bench.lists(&[OLDER], vec![finished(1, YOUNGER, WorkerEnd::Stopped)]);
+    bench.lists(&[OLDER], vec![finished(1, YOUNGER, RunEnd::Stopped)]);
     assert_eq!(bench.started(), [OLDER, YOUNGER, ASKED, run(8, 0, 1)]);
 }
 
@@ -190,7 +194,7 @@
 fn test_executor_keeps_cleared_room_for_the_urgent_task() {
     let mut bench = full(true);
     let row = |run: RunName, percent: u32| RunningRow { run, percent };
-    bench.held(HoldReply::Lists {
+    bench.handle_hold_reply(HoldReply::Lists {
         born: None,
         clock_ms: 1031,
         running: vec![row(OLDER, 99), row(YOUNGER, 1)],
@@ -204,7 +208,7 @@
     assert_eq!(bench.ends(THREE), [], "it waits for the older run");
     bench.start_like(ONE, &urgent(), 7, 1);
     assert_eq!(bench.stopped(), [YOUNGER]);
-    bench.lists(&[OLDER], vec![finished(1, YOUNGER, WorkerEnd::Stopped)]);
+    bench.lists(&[OLDER], vec![finished(1, YOUNGER, RunEnd::Stopped)]);
     assert!(bench.started().contains(&ASKED));
     assert!(!bench.started().contains(&run(8, 0, 1)));
 }
@@ -214,7 +218,7 @@
     let mut policy = Policy::default();
     policy.preemption.on = true;
     let mut bench = Bench::with_policy(policy);
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench.lists(&[], Vec::new());
     bench.link(ONE, "one");
     for job in [1, 2] {
@@ -239,7 +243,7 @@
     bench.executor.link_up(bench.now, LinkId(9), &greeting);
     bench.take();
     bench.stop_replied(YOUNGER, OrderReply::Done(1));
-    bench.lists(&[OLDER], vec![finished(1, YOUNGER, WorkerEnd::Stopped)]);
+    bench.lists(&[OLDER], vec![finished(1, YOUNGER, RunEnd::Stopped)]);
     assert_eq!(bench.started(), BOTH);
     assert_eq!(bench.ends(TWO), [(1, EndKind::Preempted)]);
     bench.start_like(THREE, &patient(), 8, 1);
@@ -267,7 +271,7 @@
 fn test_executor_stops_an_urgent_task_whose_start_is_lost() {
     let mut bench = full(true);
     bench.start_like(ONE, &urgent(), 7, 1);
-    bench.lists(&[OLDER], vec![finished(1, YOUNGER, WorkerEnd::Stopped)]);
+    bench.lists(&[OLDER], vec![finished(1, YOUNGER, RunEnd::Stopped)]);
     bench
         .executor
         .started(bench.now, ASKED, OrderReply::NoAnswer);
@@ -283,7 +287,7 @@
 fn test_executor_counts_a_run_that_ends_before_its_stop_as_done() {
     let mut bench = full(true);
     bench.start_like(ONE, &urgent(), 7, 1);
-    bench.lists(&[OLDER], vec![finished(1, YOUNGER, WorkerEnd::Done)]);
+    bench.lists(&[OLDER], vec![finished(1, YOUNGER, RunEnd::Done)]);
     assert_eq!(bench.ends(TWO), [(1, EndKind::Done)]);
     assert_eq!(bench.started(), [OLDER, YOUNGER, ASKED]);
     assert_eq!(bench.executor.counts().preempted, 0);
--- a/lib/tests/runner/test_executor/recall.rs
+++ b/lib/tests/runner/test_executor/recall.rs
@@ -2,7 +2,7 @@
 
 use stackcourse_lib::dispatch::executor::Action;
 use stackcourse_lib::dispatch::executor::HoldReply;
-use stackcourse_lib::dispatch::executor::WorkerBeat;
+use stackcourse_lib::dispatch::executor::WorkerHeartbeat;
 use stackcourse_lib::dispatch::model::Demand;
 
 use super::Bench;
@@ -10,8 +10,8 @@
 use super::life_of;
 use super::run;
 
-fn beat(life: &str) -> WorkerBeat {
-    WorkerBeat {
+fn heartbeat(life: &str) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         life: life_of(life),
         service: "s".to_owned(),
         capacity: Demand {
@@ -20,14 +20,14 @@
             gpu: 0,
         },
         sequence: 40,
-        ..WorkerBeat::default()
+        ..WorkerHeartbeat::default()
     }
 }
 
 /// An executor that has just started and knows of a life of its worker.
 fn recalled() -> Bench {
     let mut bench = Bench::new();
-    bench.executor.recall(bench.now, beat("w1"));
+    bench.executor.restore_worker(bench.now, heartbeat("w1"));
     bench.take();
     bench.link(ONE, "one");
     bench
@@ -60,7 +60,7 @@
     assert!(!is_ready(&bench));
     bench.start(ONE, 1, &[0]);
     assert_eq!(bench.started(), []);
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench.pass(20);
     assert!(is_ready(&bench));
     bench.start(ONE, 2, &[0]);
@@ -79,12 +79,12 @@
 #[test]
 fn test_executor_drops_a_life_that_is_over() {
     let mut bench = recalled();
-    bench.held(HoldReply::WrongLife);
+    bench.handle_hold_reply(HoldReply::WrongLife);
     bench.pass(50);
     assert_eq!(last_life_asked(&bench).as_deref(), Some(""));
     assert!(!is_ready(&bench));
     bench.lists(&[], Vec::new());
-    bench.beat("w2", false, 1);
+    bench.heartbeat("w2", false, 1);
     bench.lists(&[], Vec::new());
     bench.pass(20);
     assert!(is_ready(&bench));
@@ -93,7 +93,7 @@
 #[test]
 fn test_executor_asks_again_when_a_recalled_worker_gave_no_answer() {
     let mut bench = recalled();
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     bench.pass(50);
     assert_eq!(bench.holds(), 2);
     assert_eq!(last_life_asked(&bench).as_deref(), Some("w1"));
@@ -103,7 +103,7 @@
 fn test_executor_hears_that_a_recalled_worker_is_leaving() {
     let mut bench = recalled();
     bench.lists(&[], Vec::new());
-    bench.beat("w1", true, 1);
+    bench.heartbeat("w1", true, 1);
     bench.pass(20);
     assert!(!is_ready(&bench));
 }
@@ -112,7 +112,7 @@
 #[test]
 fn test_executor_goes_by_what_the_worker_says_now() {
     let mut bench = Bench::ready();
-    bench.executor.recall(bench.now, beat("w0"));
+    bench.executor.restore_worker(bench.now, heartbeat("w0"));
     bench.take();
     bench.pass(20);
     assert!(is_ready(&bench));
@@ -121,11 +121,11 @@
 #[test]
 fn test_executor_keeps_what_its_worker_says() {
     let mut bench = Bench::new();
-    bench.beat("w1", false, 1);
-    bench.beat("w1", false, 2);
-    bench.beat("w1", true, 3);
+    bench.heartbeat("w1", false, 1);
+    bench.heartbeat("w1", false, 2);
+    bench.heartbeat("w1", true, 3);
     let kept = bench.actions.iter().filter_map(|a| match a {
-        Action::Keep(Some(beat)) => Some(beat.draining),
+        Action::SaveHeartbeat(Some(heartbeat)) => Some(heartbeat.draining),
         _ => None,
     });
     let kept: Vec<bool> = kept.collect();
--- a/lib/tests/runner/test_executor/restarts.rs
+++ b/lib/tests/runner/test_executor/restarts.rs
@@ -13,8 +13,8 @@
 impl Bench {
     /// The worker says something in the life that began at a time.
     fn beat_born(&mut self, born: u64, draining: bool, sequence: u64) {
-        let beat = WorkerBeat {
-            life: Life {
+        let heartbeat = WorkerHeartbeat {
+            life: WorkerIncarnation {
                 id: "w1".to_owned(),
                 born: Some(born),
             },
@@ -26,9 +26,9 @@
                 gpu: 0,
             },
             sequence,
-            ..WorkerBeat::default()
+            ..WorkerHeartbeat::default()
         };
-        self.executor.beat(self.now, beat);
+        self.executor.heartbeat(self.now, heartbeat);
         self.take();
     }
 
@@ -38,7 +38,7 @@
             run: *run,
             percent: 0,
         };
-        self.held(HoldReply::Lists {
+        self.handle_hold_reply(HoldReply::Lists {
             born: Some(born),
             clock_ms: 1000,
             running: running.iter().map(row).collect(),
@@ -55,7 +55,7 @@
         bench.start(ONE, 1, &[0]);
         let reply = OrderReply::Done(1);
         bench.executor.started(bench.now, run(1, 0, 1), reply);
-        let end = finished(9, run(1, 0, 1), WorkerEnd::Done);
+        let end = finished(9, run(1, 0, 1), RunEnd::Done);
         bench.lists_born(100, &[], vec![end]);
         bench
     }
@@ -64,7 +64,7 @@
     fn restarted(born: u64) -> Bench {
         let mut bench = Bench::used();
         for _ in 0..20 {
-            bench.held(HoldReply::Unreachable);
+            bench.handle_hold_reply(HoldReply::Unreachable);
             bench.orders(ONE, proto::Orders::default());
             bench.pass(100);
         }
@@ -83,7 +83,7 @@
     bench.start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
     bench.executor.started(bench.now, run(2, 0, 1), reply);
-    let end = finished(1, run(2, 0, 1), WorkerEnd::Done);
+    let end = finished(1, run(2, 0, 1), RunEnd::Done);
     bench.lists_born(200, &[], vec![end]);
     let ends = bench.ends(ONE);
     bench.beat_born(200, true, 2);
@@ -100,7 +100,7 @@
     bench.start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
     bench.executor.started(bench.now, run(2, 0, 1), reply);
-    let end = finished(1, run(2, 0, 1), WorkerEnd::Done);
+    let end = finished(1, run(2, 0, 1), RunEnd::Done);
     bench.lists_born(50, &[], vec![end]);
     assert_eq!(bench.ends(ONE)[1], (2, EndKind::Done));
 }
@@ -119,7 +119,7 @@
     bench.start(ONE, 3, &[0]);
     assert_eq!(bench.started().len(), 3);
     assert_eq!(bench.ends(ONE).len(), 1, "nothing has ended");
-    assert_eq!(bench.executor.counts().beats_rejected, 1);
+    assert_eq!(bench.executor.counts().rejected_heartbeats, 1);
 }
 
 /// Orders are sent between the restart and the first word of the new life, and reach it.
@@ -139,7 +139,7 @@
     bench.pass(20);
     assert_eq!(bench.ends(ONE)[1..], [(2, EndKind::Crashed)]);
     assert_eq!(bench.stopped(), []);
-    let end = finished(1, run(3, 0, 1), WorkerEnd::Done);
+    let end = finished(1, run(3, 0, 1), RunEnd::Done);
     bench.lists_born(200, &[], vec![end]);
     assert_eq!(bench.ends(ONE)[2..], [(3, EndKind::Done)]);
 }
@@ -148,7 +148,7 @@
 #[test]
 fn test_executor_starts_nothing_in_a_life_that_has_not_said_what_it_has() {
     let mut bench = Bench::used();
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     for _ in 0..2 {
         bench.lists_born(200, &[], Vec::new());
     }
@@ -177,7 +177,7 @@
     bench.executor.started(bench.now, run(2, 0, 1), reply);
     for leaves in [false, true] {
         bench.beat_born(200, leaves, 2);
-        bench.executor.worker_left(bench.now, "w1");
+        bench.executor.handle_worker_left(bench.now, "w1");
         bench.lists_born(200, &[run(2, 0, 1)], Vec::new());
         bench.pass(20);
         assert_eq!(bench.ends(ONE).len(), 1, "only that of before");
@@ -188,15 +188,15 @@
 #[test]
 fn test_executor_recalls_no_life_that_is_over_under_the_same_id() {
     let mut bench = Bench::new();
-    let beat = WorkerBeat {
-        life: Life {
+    let heartbeat = WorkerHeartbeat {
+        life: WorkerIncarnation {
             id: "w1".to_owned(),
             born: Some(100),
         },
         service: "s".to_owned(),
-        ..WorkerBeat::default()
+        ..WorkerHeartbeat::default()
     };
-    bench.executor.recall(bench.now, beat);
+    bench.executor.restore_worker(bench.now, heartbeat);
     bench.take();
     bench.lists_born(200, &[], Vec::new());
     bench.link(ONE, "one");
@@ -229,7 +229,7 @@
     while last_fence(&bench) <= seen {
         refused += 1;
         assert!(refused <= 20, "refused {refused} times");
-        bench.held(HoldReply::Fenced);
+        bench.handle_hold_reply(HoldReply::Fenced);
         bench.pass(1);
     }
 }
--- a/lib/tests/runner/test_executor/speeds.rs
+++ b/lib/tests/runner/test_executor/speeds.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stackcourse_lib::dispatch::executor::OrderReply;
-use stackcourse_lib::dispatch::executor::WorkerEnd;
+use stackcourse_lib::dispatch::executor::RunEnd;
 use stackcourse_lib::dispatch::policy::Policy;
 use stackcourse_lib::event::Kind;
 use stackcourse_lib::protos::dispatch as proto;
@@ -18,7 +18,7 @@
     let mut policy = Policy::default();
     policy.speeds.on = on;
     let mut bench = Bench::with_policy(policy);
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench.lists(&[], Vec::new());
     bench.link(ONE, "one");
     bench
@@ -28,13 +28,13 @@
     /// Runs so many tasks of 100 ms one after the other, each of which takes `ms`.
     fn end_runs(&mut self, life: &str, first: u64, count: u64, ms: u64) {
         for job in first..first + count {
-            self.beat(life, false, job + 1);
+            self.heartbeat(life, false, job + 1);
             self.start(ONE, job, &[0]);
             let name = run(job, 0, 1);
             self.executor.started(self.now, name, OrderReply::Done(1));
             self.now = self.now + Duration::from_millis(ms);
             self.orders(ONE, proto::Orders::default());
-            let end = finished(job, name, WorkerEnd::Done);
+            let end = finished(job, name, RunEnd::Done);
             self.lists(&[], vec![end]);
         }
     }
@@ -73,9 +73,9 @@
 fn test_executor_begins_a_new_life_with_the_speed_of_the_earlier_one() {
     let mut bench = learning(true);
     bench.end_runs("w1", 1, 40, 200);
-    bench.executor.worker_left(bench.now, "w1");
+    bench.executor.handle_worker_left(bench.now, "w1");
     bench.take();
-    bench.beat("w2", false, 1);
+    bench.heartbeat("w2", false, 1);
     bench.lists(&[], Vec::new());
     assert_eq!(bench.slowness(), 200);
     bench.end_runs("w2", 60, 8, 100);
--- a/lib/tests/runner/test_executor/worker.rs
+++ b/lib/tests/runner/test_executor/worker.rs
@@ -14,7 +14,7 @@
         [],
         "it waits for a run that is about to end"
     );
-    bench.beat("w1", true, 2);
+    bench.heartbeat("w1", true, 2);
     assert_eq!(
         bench.ends(ONE),
         [(1, EndKind::Unavailable)],
@@ -28,7 +28,7 @@
 #[test]
 fn test_executor_tells_of_a_worker_that_drains_when_it_is_met() {
     let mut bench = Bench::new();
-    bench.beat("w1", true, 1);
+    bench.heartbeat("w1", true, 1);
     let told = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::WorkerDraining);
     assert!(bench.actions.iter().any(told));
 }
@@ -36,11 +36,11 @@
 #[test]
 fn test_executor_survives_a_single_lost_answer_of_a_hold() {
     let mut bench = Bench::ready();
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     bench.start(ONE, 1, &[0]);
     assert_eq!(bench.started(), [run(1, 0, 1)]);
     bench.pass(250);
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     bench.start(ONE, 2, &[0]);
     assert_eq!(bench.started().len(), 1, "now it counts as silent");
 }
@@ -53,7 +53,7 @@
     for _ in 0..2000 {
         if bench.holds() > answered {
             answered = bench.holds();
-            bench.held(HoldReply::NoAnswer);
+            bench.handle_hold_reply(HoldReply::NoAnswer);
         }
         bench.pass(1);
     }
@@ -71,24 +71,24 @@
 #[test]
 fn test_executor_does_not_forget_runs_that_a_start_has_kept_alive() {
     let mut bench = Bench::ready();
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     bench.now = bench.now + Duration::from_millis(3000);
     bench.link(ONE, "one");
     bench.start(ONE, 1, &[0]);
     assert_eq!(bench.started(), [run(1, 0, 1)]);
-    bench.held(HoldReply::NoAnswer);
+    bench.handle_hold_reply(HoldReply::NoAnswer);
     bench.pass(20);
     assert_eq!(bench.ends(ONE), [], "the start keeps it alive for a while");
     for _ in 0..15 {
         bench.orders(ONE, proto::Orders::default());
         bench.pass(20);
-        bench.held(HoldReply::NoAnswer);
+        bench.handle_hold_reply(HoldReply::NoAnswer);
     }
     assert_eq!(bench.ends(ONE), []);
     for _ in 0..60 {
         bench.orders(ONE, proto::Orders::default());
         bench.pass(20);
-        bench.held(HoldReply::NoAnswer);
+        bench.handle_hold_reply(HoldReply::NoAnswer);
     }
     assert_eq!(bench.ends(ONE), [(1, EndKind::Lost)]);
 }
@@ -105,7 +105,7 @@
             bench.orders(ONE, proto::Orders::default());
             bench.lists(&[name], Vec::new());
         }
-        let end = finished(job as u64 + 1, name, WorkerEnd::Done);
+        let end = finished(job as u64 + 1, name, RunEnd::Done);
         bench.lists(&[], vec![end]);
     }
     let last = bench.updates(ONE).pop().expect("an update");
@@ -124,7 +124,7 @@
         if step % 10 != 0 {
             continue;
         }
-        bench.beat("w1", false, step + 2);
+        bench.heartbeat("w1", false, step + 2);
         bench.start(ONE, step + 1, &[0]);
         let begun = run(step + 1, 0, 1);
         if bench.started().last() == Some(&begun) {
@@ -133,7 +133,7 @@
             bench
                 .executor
                 .started(bench.now, begun, OrderReply::Done(1));
-            bench.lists(&[], vec![finished(number, begun, WorkerEnd::Failed)]);
+            bench.lists(&[], vec![finished(number, begun, RunEnd::Failed)]);
         } else {
             bench.lists(&[], Vec::new());
         }
@@ -161,7 +161,7 @@
 impl Bench {
     /// The worker says that it has room for so many tasks.
     fn resize(&mut self, room: u32, sequence: u64) {
-        let beat = WorkerBeat {
+        let heartbeat = WorkerHeartbeat {
             life: life_of("w1"),
             service: "s".to_owned(),
             draining: false,
@@ -173,7 +173,7 @@
             labels: Vec::new(),
             sequence,
         };
-        self.executor.beat(self.now, beat);
+        self.executor.heartbeat(self.now, heartbeat);
         self.take();
     }
 }
@@ -208,7 +208,7 @@
     assert_eq!(last.map(|w| w.free_cpu_milli), Some(-1000));
     bench.lists(
         &[run(1, 1, 1)],
-        vec![finished(1, run(1, 0, 1), WorkerEnd::Done)],
+        vec![finished(1, run(1, 0, 1), RunEnd::Done)],
     );
     bench.start(ONE, 2, &[0]);
     assert_eq!(bench.started().len(), 2, "one still takes all that is left");
@@ -230,7 +230,7 @@
     bench.link(TWO, "two");
     bench.start(TWO, 1, &[0]);
     assert_eq!(bench.started(), [], "the room may have shrunk meanwhile");
-    bench.beat("w1", false, 2);
+    bench.heartbeat("w1", false, 2);
     bench.start(TWO, 2, &[0]);
     assert_eq!(bench.started(), [run(2, 0, 1)]);
 }
@@ -239,7 +239,7 @@
 #[test]
 fn test_executor_that_leaves_says_once_that_nothing_runs() {
     let mut bench = Bench::new();
-    bench.beat("w1", false, 1);
+    bench.heartbeat("w1", false, 1);
     bench.link(ONE, "one");
     bench.executor.leave(bench.now);
     bench.take();
@@ -248,9 +248,9 @@
     bench.lists(&[run(9, 0, 4)], Vec::new());
     bench.pass(20);
     assert!(!departed(&bench), "a forerunner's run is there");
-    assert!(!bench.executor.is_done(bench.now));
+    assert!(!bench.executor.is_drained(bench.now));
     bench.lists(&[], Vec::new());
     bench.pass(20);
     assert!(departed(&bench));
-    assert!(bench.executor.is_done(bench.now));
+    assert!(bench.executor.is_drained(bench.now));
 }
--- a/lib/testutils/src/dispatch/worker.rs
+++ b/lib/testutils/src/dispatch/worker.rs
@@ -7,13 +7,13 @@
 use stackcourse_lib::dispatch::executor::FinishedRow;
 use stackcourse_lib::dispatch::executor::HoldCall;
 use stackcourse_lib::dispatch::executor::HoldReply;
-use stackcourse_lib::dispatch::executor::Life;
 use stackcourse_lib::dispatch::executor::OrderReply;
+use stackcourse_lib::dispatch::executor::RunEnd;
 use stackcourse_lib::dispatch::executor::RunName;
 use stackcourse_lib::dispatch::executor::RunningRow;
 use stackcourse_lib::dispatch::executor::StartCall;
 use stackcourse_lib::dispatch::executor::StartRefusal;
-use stackcourse_lib::dispatch::executor::WorkerEnd;
+use stackcourse_lib::dispatch::executor::WorkerIncarnation;
 use stackcourse_lib::dispatch::model::TaskName;
 
 /// Runs are kept for at most this long without a renewal, in microseconds of the worker's clock.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerModel {
     /// Which life of the worker it is.
-    pub life: Life,
+    pub life: WorkerIncarnation,
     /// When its clock stood at nothing, in microseconds of the world's clock.
     clock_zero: u64,
     /// How often it has said what it is and has.
@@ -74,7 +74,7 @@
 
 impl WorkerModel {
     /// A worker that has just come up.
-    pub fn new(life: Life, capacity: u32) -> WorkerModel {
+    pub fn new(life: WorkerIncarnation, capacity: u32) -> WorkerModel {
         WorkerModel {
             life,
             clock_zero: 0,
@@ -240,25 +240,25 @@
     }
 
     /// Ends what is over by now; gives the ends.
-    pub fn advance(&mut self, now: u64) -> Vec<(RunName, WorkerEnd)> {
+    pub fn advance(&mut self, now: u64) -> Vec<(RunName, RunEnd)> {
         let lapsed = now >= self.held_until;
         let end = |run: &ModelRun| {
             if run.ends <= now {
                 Some(if run.fails {
-                    WorkerEnd::Failed
+                    RunEnd::Failed
                 } else {
-                    WorkerEnd::Done
+                    RunEnd::Done
                 })
             } else if run.stopping.is_some_and(|at| at <= now) {
-                Some(WorkerEnd::Stopped)
+                Some(RunEnd::Stopped)
             } else if lapsed {
-                Some(WorkerEnd::Lapsed)
+                Some(RunEnd::Lapsed)
             } else {
                 None
             }
         };
         let over = self.running.iter();
-        let over: Vec<(RunName, WorkerEnd)> = over
+        let over: Vec<(RunName, RunEnd)> = over
             .filter_map(|(task, r)| {
                 let run = RunName {
                     task: *task,
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -19,7 +19,7 @@
 use stackcourse_lib::dispatch::executor::OrderReply;
 use stackcourse_lib::dispatch::executor::RunName;
 use stackcourse_lib::dispatch::executor::StartCall;
-use stackcourse_lib::dispatch::executor::WorkerBeat;
+use stackcourse_lib::dispatch::executor::WorkerHeartbeat;
 use stackcourse_lib::dispatch::model::JobNumber;
 use stackcourse_lib::dispatch::model::JobOutcome;
 use stackcourse_lib::dispatch::policy::Policy;
@@ -100,7 +100,7 @@
     /// An executor that leaves is looked at; it is killed once its time is up.
     Departing(usize, u64, u64),
     /// A heartbeat of a life of a worker that is over arrives.
-    LateBeat(usize, WorkerBeat),
+    LateBeat(usize, WorkerHeartbeat),
 }
 
 /// How an order goes to a worker.
@@ -175,7 +175,7 @@
     schedulers: Vec<SchedulerNode>,
     executors: Vec<ExecutorNode>,
     /// What executors have written to the store of their workers.
-    kept: Vec<Option<WorkerBeat>>,
+    kept: Vec<Option<WorkerHeartbeat>>,
     /// Which zones are evacuated by the store, and since when.
     evacuations: Evacuations,
     due: BTreeMap<(u64, u64), Due>,
@@ -333,7 +333,7 @@
             Due::Deliver(link, node, body) => self.deliver(link, node, *body),
             Due::Closed(link, node) => self.closed(link, node),
             Due::Dial(from, to, life) => self.dial(from, to, life),
-            Due::Beat(number) => self.beat(number),
+            Due::Beat(number) => self.heartbeat(number),
             Due::Start(n, life, call, order) => self.start(n, life, &call, order),
             Due::Stop(n, life, worker, run, fence, order) => {
                 self.stop(n, life, &worker, run, fence, order);
@@ -345,18 +345,20 @@
             Due::Stopped(n, life, run, reply) => {
                 self.with_executor(n, life, |e, now| e.stopped(now, run, reply));
             }
-            Due::Held(n, life, reply) => self.with_executor(n, life, |e, now| e.held(now, reply)),
+            Due::Held(n, life, reply) => {
+                self.with_executor(n, life, |e, now| e.handle_hold_reply(now, reply))
+            }
             Due::Again(number) => self.hand_in_again(number),
             Due::Return(node) => self.come_back(node),
             Due::Roster(n, life) => self.tell_roster(n, life),
-            Due::Recall(n, life) => self.recall(n, life),
+            Due::Recall(n, life) => self.restore_worker(n, life),
             Due::Catalog(n, life, catalog) => self.tell_catalog(n, life, catalog),
             Due::Ended(n, life) => self.end_leaving(n, life),
             Due::Zone(n, life, zone, word) => self.tell_zone(n, life, &zone, word),
             Due::Crash(n, life, run) => self.crash_under(n, &life, run),
             Due::Back(n) => self.worker_back(n),
             Due::Departing(n, life, until) => self.watch_departing(n, life, until),
-            Due::LateBeat(n, beat) => self.late_beat(n, beat),
+            Due::LateBeat(n, heartbeat) => self.late_beat(n, heartbeat),
         }
     }
 
@@ -438,7 +440,7 @@
                     }
                 }
                 executor::Action::Log(event) => self.print(Node::Executor(n), &event.to_string()),
-                executor::Action::Keep(beat) => self.kept[n] = beat,
+                executor::Action::SaveHeartbeat(heartbeat) => self.kept[n] = heartbeat,
                 executor::Action::Dial(_) => {}
             }
         }
--- a/lib/testutils/src/dispatch/world/at_workers.rs
+++ b/lib/testutils/src/dispatch/world/at_workers.rs
@@ -3,12 +3,12 @@
 use rand::Rng;
 use stackcourse_lib::dispatch::executor::HoldCall;
 use stackcourse_lib::dispatch::executor::HoldReply;
-use stackcourse_lib::dispatch::executor::Life;
 use stackcourse_lib::dispatch::executor::OrderReply;
+use stackcourse_lib::dispatch::executor::RunEnd;
 use stackcourse_lib::dispatch::executor::RunName;
 use stackcourse_lib::dispatch::executor::StartCall;
-use stackcourse_lib::dispatch::executor::WorkerBeat;
-use stackcourse_lib::dispatch::executor::WorkerEnd;
+use stackcourse_lib::dispatch::executor::WorkerHeartbeat;
+use stackcourse_lib::dispatch::executor::WorkerIncarnation;
 use stackcourse_lib::dispatch::model::Demand;
 
 use super::BEAT_US;
@@ -150,22 +150,22 @@
         self.at(wait, Due::Held(n, life, reply));
     }
 
-    pub(super) fn beat(&mut self, number: usize) {
+    pub(super) fn heartbeat(&mut self, number: usize) {
         self.at(BEAT_US, Due::Beat(number));
         let node = &self.executors[number];
         if !self.workers[number].up || !node.up || node.frozen_until > self.now {
             return;
         }
         let life = node.life;
-        let beat = self.next_beat(number);
-        self.with_executor(number, life, |e, now| e.beat(now, beat));
+        let heartbeat = self.next_beat(number);
+        self.with_executor(number, life, |e, now| e.heartbeat(now, heartbeat));
     }
 
     /// What a worker says of itself now.
-    fn next_beat(&mut self, number: usize) -> WorkerBeat {
+    fn next_beat(&mut self, number: usize) -> WorkerHeartbeat {
         let worker = &mut self.workers[number];
         worker.beats += 1;
-        WorkerBeat {
+        WorkerHeartbeat {
             life: worker.life.clone(),
             service: SERVICE.to_owned(),
             draining: worker.draining,
@@ -181,17 +181,17 @@
 
     /// A heartbeat of a life that is over was held up on the way.
     fn hold_up_beat(&mut self, number: usize) {
-        let beat = self.next_beat(number);
+        let heartbeat = self.next_beat(number);
         let wait = self.rng.random_range(0..HELD_UP_US);
-        self.at(wait, Due::LateBeat(number, beat));
+        self.at(wait, Due::LateBeat(number, heartbeat));
     }
 
     /// A heartbeat that was held up arrives, whoever listens there by now.
-    pub(super) fn late_beat(&mut self, number: usize, beat: WorkerBeat) {
+    pub(super) fn late_beat(&mut self, number: usize, heartbeat: WorkerHeartbeat) {
         let node = &self.executors[number];
         if node.up && node.frozen_until <= self.now {
             let life = node.life;
-            self.with_executor(number, life, |e, now| e.beat(now, beat));
+            self.with_executor(number, life, |e, now| e.heartbeat(now, heartbeat));
         }
     }
 
@@ -209,16 +209,16 @@
         }
     }
 
-    pub(super) fn note_end(&mut self, run: RunName, end: WorkerEnd) {
+    pub(super) fn note_end(&mut self, run: RunName, end: RunEnd) {
         let Some(job) = self.witness.jobs.get_mut(&run.task.job) else {
             return;
         };
         match end {
-            WorkerEnd::Done => {
+            RunEnd::Done => {
                 job.done.insert(run.task.index);
             }
-            WorkerEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
-            WorkerEnd::Stopped | WorkerEnd::Lapsed => {}
+            RunEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
+            RunEnd::Stopped | RunEnd::Lapsed => {}
         }
     }
 
@@ -277,7 +277,7 @@
         let life = self.new_life();
         if !self.reborn {
             let id = format!("w{life}");
-            return WorkerModel::new(Life { id, born: None }, CAPACITY);
+            return WorkerModel::new(WorkerIncarnation { id, born: None }, CAPACITY);
         }
         // A clock that was set back has let the later of two lives begin before the earlier one.
         let id = format!("w-{number}");
@@ -286,6 +286,6 @@
         } else {
             u64::MAX - life
         });
-        WorkerModel::new(Life { id, born }, CAPACITY).with_clock(self.now)
+        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock(self.now)
     }
 }
--- a/lib/testutils/src/dispatch/world/lives.rs
+++ b/lib/testutils/src/dispatch/world/lives.rs
@@ -123,7 +123,7 @@
         }
         let executor = &self.executors[n];
         let running = executor.frozen_until <= self.now;
-        let done = running && executor.executor.is_done(Mono(self.now + executor.skew));
+        let done = running && executor.executor.is_drained(Mono(self.now + executor.skew));
         if done || self.now >= until {
             let away = self.rng.random_range(50_000..2_000_000);
             return self.kill(node, false, away);
@@ -171,9 +171,9 @@
     }
 
     /// An executor has read what its earlier life has left in the store.
-    pub(super) fn recall(&mut self, n: usize, life: u64) {
-        if let Some(beat) = self.kept[n].clone() {
-            self.with_executor(n, life, |e, now| e.recall(now, beat));
+    pub(super) fn restore_worker(&mut self, n: usize, life: u64) {
+        if let Some(heartbeat) = self.kept[n].clone() {
+            self.with_executor(n, life, |e, now| e.restore_worker(now, heartbeat));
         }
     }
 }
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -15,11 +15,11 @@
 use serde_json::json;
 use stackcourse_lib::dispatch::executor::HoldCall;
 use stackcourse_lib::dispatch::executor::HoldReply;
-use stackcourse_lib::dispatch::executor::Life;
 use stackcourse_lib::dispatch::executor::OrderReply;
+use stackcourse_lib::dispatch::executor::RunEnd;
 use stackcourse_lib::dispatch::executor::RunName;
 use stackcourse_lib::dispatch::executor::StartCall;
-use stackcourse_lib::dispatch::executor::WorkerEnd;
+use stackcourse_lib::dispatch::executor::WorkerIncarnation;
 use stackcourse_lib::dispatch::model::JobNumber;
 use stackcourse_lib::dispatch::model::TaskName;
 
@@ -99,7 +99,7 @@
     fn life_under(&mut self, id: String) -> WorkerModel {
         self.lives += 1;
         let born = Some(BORN_MS + self.now() / 1000);
-        WorkerModel::new(Life { id, born }, CAPACITY).with_clock(self.now() - 1000)
+        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock(self.now() - 1000)
     }
 
     /// The time on the workers' clock, in microseconds.
@@ -160,11 +160,11 @@
             for (run, end) in model.advance(now) {
                 if let Some(job) = self.witness.jobs.get_mut(&run.task.job) {
                     match end {
-                        WorkerEnd::Done => {
+                        RunEnd::Done => {
                             job.done.insert(run.task.index);
                         }
-                        WorkerEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
-                        WorkerEnd::Stopped | WorkerEnd::Lapsed => {}
+                        RunEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
+                        RunEnd::Stopped | RunEnd::Lapsed => {}
                     }
                 }
             }
@@ -220,7 +220,7 @@
     let desk = Desk { workers, number };
     standin::run(listen, move |listener| {
         let beating = desk.clone();
-        actix_rt::spawn(beat(beating, beats, listen));
+        actix_rt::spawn(heartbeat(beating, beats, listen));
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(web::Data::new(desk.clone()))
@@ -233,7 +233,7 @@
 }
 
 /// Says of the worker what it has to say, for as long as the stand-in lives.
-async fn beat(desk: Desk, beats: SocketAddr, listen: SocketAddr) {
+async fn heartbeat(desk: Desk, beats: SocketAddr, listen: SocketAddr) {
     let client = awc::Client::default();
     let mut sequence = 0u64;
     loop {
