--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -194,7 +194,7 @@
         actix_rt::spawn(async move {
             let run = call.run;
             let reply = host.inner.worker.start(call).await;
-            host.with(|e, now| e.started(now, run, reply));
+            host.with(|e, now| e.handle_start_reply(now, run, reply));
         });
     }
 
@@ -202,7 +202,7 @@
         let host = self.clone();
         actix_rt::spawn(async move {
             let reply = host.inner.worker.stop(life, run, fence).await;
-            host.with(|e, now| e.stopped(now, run, reply));
+            host.with(|e, now| e.handle_stop_reply(now, run, reply));
         });
     }
 
@@ -265,7 +265,7 @@
 
     fn message(&self, link: LinkId, body: Body) {
         if let Body::Orders(orders) = body {
-            self.with(|e, now| e.orders(now, link, orders));
+            self.with(|e, now| e.handle_orders(now, link, orders));
         }
     }
 
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -215,7 +215,7 @@
     ];
     let help = "What the executor did.";
     page.counters("executor_total", help, "kind", runs.into_iter());
-    let (running, waiting) = executor.load();
+    let (running, waiting) = executor.task_counts();
     let evacuated = i64::from(executor.is_evacuated());
     let held = [
         ("tasks_running", running as i64),
--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -269,7 +269,7 @@
     }
 
     /// Tasks running, and tasks waiting here.
-    pub fn load(&self) -> (usize, usize) {
+    pub fn task_counts(&self) -> (usize, usize) {
         (self.runs.len(), self.queue.len())
     }
 
--- a/lib/src/dispatch/executor/incarnations.rs
+++ b/lib/src/dispatch/executor/incarnations.rs
@@ -131,7 +131,7 @@
 
 impl Executor {
     /// Takes note of what the worker says of itself.
-    pub fn heartbeat(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
+    pub fn handle_heartbeat(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         match &self.worker {
             None if self.incarnations.is_past(&heartbeat.life) => {
                 self.restore_worker(now, heartbeat)
--- a/lib/src/dispatch/executor/runs.rs
+++ b/lib/src/dispatch/executor/runs.rs
@@ -237,7 +237,7 @@
     }
 
     /// The reply to a start.
-    pub fn started(&mut self, now: Mono, name: RunName, reply: OrderReply) {
+    pub fn handle_start_reply(&mut self, now: Mono, name: RunName, reply: OrderReply) {
         let Some(run) = self.runs.get_mut(&name.task) else {
             return;
         };
@@ -338,7 +338,7 @@
     }
 
     /// The reply to a stop.
-    pub fn stopped(&mut self, now: Mono, name: RunName, reply: OrderReply) {
+    pub fn handle_stop_reply(&mut self, now: Mono, name: RunName, reply: OrderReply) {
         if reply == OrderReply::Refused(StartRefusal::Fence) {
             self.raise_fence();
         }
--- a/lib/src/dispatch/executor/sessions.rs
+++ b/lib/src/dispatch/executor/sessions.rs
@@ -115,7 +115,7 @@
     }
 
     /// Orders from a scheduler.
-    pub fn orders(&mut self, now: Mono, link: LinkId, orders: proto::Orders) {
+    pub fn handle_orders(&mut self, now: Mono, link: LinkId, orders: proto::Orders) {
         let linked = self.sessions.iter_mut();
         let Some((name, session)) = linked.into_iter().find(|(_, s)| s.link == Some(link)) else {
             return;
--- a/lib/tests/runner/test_executor.rs
+++ b/lib/tests/runner/test_executor.rs
@@ -100,7 +100,7 @@
             labels: Vec::new(),
             sequence,
         };
-        self.executor.heartbeat(self.now, heartbeat);
+        self.executor.handle_heartbeat(self.now, heartbeat);
         self.take();
     }
 
@@ -140,7 +140,7 @@
             echo_us: self.now.0,
             ..orders
         };
-        self.executor.orders(self.now, link, orders);
+        self.executor.handle_orders(self.now, link, orders);
         self.take();
     }
 
@@ -261,10 +261,10 @@
     assert_eq!(bench.started(), [run(1, 0, 1), run(1, 1, 1)]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench
         .executor
-        .started(bench.now, run(1, 1, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 1, 1), OrderReply::Done(1));
     bench.lists(
         &[run(1, 1, 1)],
         vec![finished(1, run(1, 0, 1), RunEnd::Done)],
@@ -315,10 +315,10 @@
     bench.start(ONE, 1, &[0, 1]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
     bench
         .executor
-        .started(bench.now, run(1, 1, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 1, 1), OrderReply::Done(1));
     bench.take();
     assert_eq!(bench.stopped(), [run(1, 0, 1)]);
     bench.lists(&[run(1, 1, 1)], Vec::new());
@@ -326,7 +326,7 @@
     assert_eq!(bench.started().len(), 2, "the stop is not confirmed");
     bench
         .executor
-        .stopped(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_stop_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench.lists(&[run(1, 1, 1)], Vec::new());
     bench.start(ONE, 3, &[0]);
     assert_eq!(
@@ -349,7 +349,7 @@
     bench.lists(&[run(1, 0, 1)], Vec::new());
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
     bench.take();
     assert_eq!(bench.stopped(), []);
 }
@@ -360,7 +360,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
     bench.pass(50);
     bench.pass(50);
     assert!(bench.stopped().len() >= 2, "{:?}", bench.stopped());
@@ -371,7 +371,9 @@
     let mut bench = Bench::ready();
     bench.start(ONE, 1, &[0]);
     let old = OrderReply::Refused(StartRefusal::Old);
-    bench.executor.started(bench.now, run(1, 0, 1), old);
+    bench
+        .executor
+        .handle_start_reply(bench.now, run(1, 0, 1), old);
     bench.take();
     assert_eq!(bench.started(), [run(1, 0, 1), run(1, 0, 2)]);
 }
@@ -381,7 +383,9 @@
     let mut bench = Bench::ready();
     bench.start(ONE, 1, &[0]);
     let fenced = OrderReply::Refused(StartRefusal::Fence);
-    bench.executor.started(bench.now, run(1, 0, 1), fenced);
+    bench
+        .executor
+        .handle_start_reply(bench.now, run(1, 0, 1), fenced);
     bench.take();
     let fences = bench.actions.iter().filter_map(|a| match a {
         Action::Start(call) => Some(call.fence),
@@ -412,7 +416,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     for _ in 0..6 {
         bench.pass(100);
         bench.lists(&[run(1, 0, 1)], Vec::new());
@@ -431,7 +435,7 @@
         sequence: 1,
         ..proto::Orders::default()
     };
-    bench.executor.orders(bench.now, ONE, orders);
+    bench.executor.handle_orders(bench.now, ONE, orders);
     bench.now = bench.now + Duration::from_millis(100);
     let late = proto::Orders {
         echo_us: 1,
@@ -448,7 +452,7 @@
         }],
         ..proto::Orders::default()
     };
-    bench.executor.orders(bench.now, ONE, late);
+    bench.executor.handle_orders(bench.now, ONE, late);
     bench.take();
     assert_eq!(
         bench.started(),
@@ -463,7 +467,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Done)]);
     bench.pass(800);
     bench.lists(&[], Vec::new());
@@ -471,7 +475,7 @@
     bench.start(TWO, 2, &[0]);
     bench
         .executor
-        .started(bench.now, run(2, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(2, 0, 1), OrderReply::Done(1));
     bench.lists(&[], vec![finished(2, run(2, 0, 1), RunEnd::Done)]);
     assert_eq!(bench.ends(ONE), [(1, EndKind::Done)]);
     assert_eq!(bench.ends(TWO), [(2, EndKind::Done)]);
--- a/lib/tests/runner/test_executor/accounts.rs
+++ b/lib/tests/runner/test_executor/accounts.rs
@@ -42,7 +42,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench.pass(100);
     assert!(last(&bench, ONE).accounted);
     let greeting = proto::Greeting {
--- a/lib/tests/runner/test_executor/claims.rs
+++ b/lib/tests/runner/test_executor/claims.rs
@@ -9,7 +9,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench.claim(TWO, 1);
     assert_eq!(bench.stopped(), [run(1, 0, 1)]);
     let claimed = |b: &Bench| b.updates(TWO).iter().any(|u| u.claimed == [1]);
--- a/lib/tests/runner/test_executor/crashes.rs
+++ b/lib/tests/runner/test_executor/crashes.rs
@@ -19,7 +19,8 @@
     /// The worker confirms the start of a job's first task.
     fn confirm(&mut self, job: u64) {
         let reply = OrderReply::Done(1);
-        self.executor.started(self.now, run(job, 0, 1), reply);
+        self.executor
+            .handle_start_reply(self.now, run(job, 0, 1), reply);
         self.take();
     }
 
@@ -153,7 +154,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
     crash(&mut bench);
     let unsure = proto::CrashRecord {
         count: 0,
--- a/lib/tests/runner/test_executor/lives.rs
+++ b/lib/tests/runner/test_executor/lives.rs
@@ -22,7 +22,7 @@
             sequence,
             ..WorkerHeartbeat::default()
         };
-        self.executor.heartbeat(self.now, heartbeat);
+        self.executor.handle_heartbeat(self.now, heartbeat);
         self.take();
     }
 
@@ -37,7 +37,8 @@
     fn begin(&mut self, job: u64) {
         self.start(ONE, job, &[0]);
         let reply = OrderReply::Done(1);
-        self.executor.started(self.now, run(job, 0, 1), reply);
+        self.executor
+            .handle_start_reply(self.now, run(job, 0, 1), reply);
         self.take();
     }
 
@@ -63,7 +64,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench.heartbeat("w1", false, 9);
     bench.lists(&[run(1, 0, 1)], Vec::new());
     assert_matches!(bench.actions.iter().rev().find_map(asked), Some(life) if life == "w1");
--- a/lib/tests/runner/test_executor/preempting.rs
+++ b/lib/tests/runner/test_executor/preempting.rs
@@ -74,12 +74,13 @@
     }
 
     fn confirm_start(&mut self, run: RunName) {
-        self.executor.started(self.now, run, OrderReply::Done(1));
+        self.executor
+            .handle_start_reply(self.now, run, OrderReply::Done(1));
         self.take();
     }
 
     fn stop_replied(&mut self, run: RunName, reply: OrderReply) {
-        self.executor.stopped(self.now, run, reply);
+        self.executor.handle_stop_reply(self.now, run, reply);
         self.take();
     }
 
@@ -274,7 +275,7 @@
     bench.lists(&[OLDER], vec![finished(1, YOUNGER, RunEnd::Stopped)]);
     bench
         .executor
-        .started(bench.now, ASKED, OrderReply::NoAnswer);
+        .handle_start_reply(bench.now, ASKED, OrderReply::NoAnswer);
     bench.take();
     assert_eq!(bench.stopped(), [YOUNGER, ASKED]);
     bench.start_like(THREE, &patient(), 8, 1);
--- a/lib/tests/runner/test_executor/restarts.rs
+++ b/lib/tests/runner/test_executor/restarts.rs
@@ -28,7 +28,7 @@
             sequence,
             ..WorkerHeartbeat::default()
         };
-        self.executor.heartbeat(self.now, heartbeat);
+        self.executor.handle_heartbeat(self.now, heartbeat);
         self.take();
     }
 
@@ -54,7 +54,9 @@
         bench.link(ONE, "one");
         bench.start(ONE, 1, &[0]);
         let reply = OrderReply::Done(1);
-        bench.executor.started(bench.now, run(1, 0, 1), reply);
+        bench
+            .executor
+            .handle_start_reply(bench.now, run(1, 0, 1), reply);
         let end = finished(9, run(1, 0, 1), RunEnd::Done);
         bench.lists_born(100, &[], vec![end]);
         bench
@@ -82,7 +84,9 @@
     let mut bench = Bench::restarted(200);
     bench.start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
-    bench.executor.started(bench.now, run(2, 0, 1), reply);
+    bench
+        .executor
+        .handle_start_reply(bench.now, run(2, 0, 1), reply);
     let end = finished(1, run(2, 0, 1), RunEnd::Done);
     bench.lists_born(200, &[], vec![end]);
     let ends = bench.ends(ONE);
@@ -99,7 +103,9 @@
     let mut bench = Bench::restarted(50);
     bench.start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
-    bench.executor.started(bench.now, run(2, 0, 1), reply);
+    bench
+        .executor
+        .handle_start_reply(bench.now, run(2, 0, 1), reply);
     let end = finished(1, run(2, 0, 1), RunEnd::Done);
     bench.lists_born(50, &[], vec![end]);
     assert_eq!(bench.ends(ONE)[1], (2, EndKind::Done));
@@ -111,7 +117,9 @@
     let mut bench = Bench::restarted(200);
     bench.start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
-    bench.executor.started(bench.now, run(2, 0, 1), reply);
+    bench
+        .executor
+        .handle_start_reply(bench.now, run(2, 0, 1), reply);
     bench.beat_born(100, true, 18);
     for _ in 0..2 {
         bench.lists_born(200, &[run(2, 0, 1)], Vec::new());
@@ -130,7 +138,9 @@
     bench.start(ONE, 3, &[0]);
     for job in [2, 3] {
         let reply = OrderReply::Done(1);
-        bench.executor.started(bench.now, run(job, 0, 1), reply);
+        bench
+            .executor
+            .handle_start_reply(bench.now, run(job, 0, 1), reply);
     }
     bench.beat_born(200, false, 1);
     for _ in 0..2 {
@@ -174,7 +184,9 @@
     let mut bench = Bench::restarted(200);
     bench.start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
-    bench.executor.started(bench.now, run(2, 0, 1), reply);
+    bench
+        .executor
+        .handle_start_reply(bench.now, run(2, 0, 1), reply);
     for leaves in [false, true] {
         bench.beat_born(200, leaves, 2);
         bench.executor.handle_worker_left(bench.now, "w1");
--- a/lib/tests/runner/test_executor/slow.rs
+++ b/lib/tests/runner/test_executor/slow.rs
@@ -17,7 +17,7 @@
     let running = [run(1, 0, 1), run(2, 0, 1)];
     for name in running {
         let done = stackcourse_lib::dispatch::executor::OrderReply::Done(0);
-        bench.executor.started(bench.now, name, done);
+        bench.executor.handle_start_reply(bench.now, name, done);
     }
     for percent in percents {
         step(&mut bench, *percent, &running);
--- a/lib/tests/runner/test_executor/speeds.rs
+++ b/lib/tests/runner/test_executor/speeds.rs
@@ -31,7 +31,8 @@
             self.heartbeat(life, false, job + 1);
             self.start(ONE, job, &[0]);
             let name = run(job, 0, 1);
-            self.executor.started(self.now, name, OrderReply::Done(1));
+            self.executor
+                .handle_start_reply(self.now, name, OrderReply::Done(1));
             self.now = self.now + Duration::from_millis(ms);
             self.orders(ONE, proto::Orders::default());
             let end = finished(job, name, RunEnd::Done);
--- a/lib/tests/runner/test_executor/standby.rs
+++ b/lib/tests/runner/test_executor/standby.rs
@@ -126,7 +126,9 @@
     stand_by(&mut bench, false);
     bench.start(TWO, 1, &[0]);
     let started = OrderReply::Done(1);
-    bench.executor.started(bench.now, run(1, 0, 1), started);
+    bench
+        .executor
+        .handle_start_reply(bench.now, run(1, 0, 1), started);
     stand_by(&mut bench, true);
     assert_eq!(bench.started(), [run(1, 0, 1)]);
     for _ in 0..6 {
@@ -147,9 +149,11 @@
     let name = run(1, 0, 1);
     bench
         .executor
-        .started(bench.now, name, OrderReply::NoAnswer);
+        .handle_start_reply(bench.now, name, OrderReply::NoAnswer);
     bench.take();
-    bench.executor.stopped(bench.now, name, OrderReply::Done(1));
+    bench
+        .executor
+        .handle_stop_reply(bench.now, name, OrderReply::Done(1));
     bench.take();
     for _ in 0..40 {
         bench.lists(&[], Vec::new());
@@ -167,7 +171,9 @@
     let mut bench = Bench::ready();
     bench.start(ONE, 1, &[0]);
     let name = run(1, 0, 1);
-    bench.executor.started(bench.now, name, OrderReply::Done(1));
+    bench
+        .executor
+        .handle_start_reply(bench.now, name, OrderReply::Done(1));
     bench.executor.link_down(ONE);
     for _ in 0..8 {
         bench.lists(&[name], Vec::new());
--- a/lib/tests/runner/test_executor/worker.rs
+++ b/lib/tests/runner/test_executor/worker.rs
@@ -132,7 +132,7 @@
             number += 1;
             bench
                 .executor
-                .started(bench.now, begun, OrderReply::Done(1));
+                .handle_start_reply(bench.now, begun, OrderReply::Done(1));
             bench.lists(&[], vec![finished(number, begun, RunEnd::Failed)]);
         } else {
             bench.lists(&[], Vec::new());
@@ -152,7 +152,7 @@
     bench.start(ONE, 1, &[0]);
     bench
         .executor
-        .started(bench.now, run(1, 0, 1), OrderReply::Done(1));
+        .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench.new_life("w2");
     assert_eq!(bench.ends(ONE), [(1, EndKind::Crashed)]);
     assert_matches!(bench.actions.last(), Some(_));
@@ -173,7 +173,7 @@
             labels: Vec::new(),
             sequence,
         };
-        self.executor.heartbeat(self.now, heartbeat);
+        self.executor.handle_heartbeat(self.now, heartbeat);
         self.take();
     }
 }
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -340,10 +340,10 @@
             }
             Due::Hold(n, life, call, until) => self.hold(n, life, call, until),
             Due::Started(n, life, run, reply) => {
-                self.with_executor(n, life, |e, now| e.started(now, run, reply));
+                self.with_executor(n, life, |e, now| e.handle_start_reply(now, run, reply));
             }
             Due::Stopped(n, life, run, reply) => {
-                self.with_executor(n, life, |e, now| e.stopped(now, run, reply));
+                self.with_executor(n, life, |e, now| e.handle_stop_reply(now, run, reply));
             }
             Due::Held(n, life, reply) => {
                 self.with_executor(n, life, |e, now| e.handle_hold_reply(now, reply))
--- a/lib/testutils/src/dispatch/world/at_workers.rs
+++ b/lib/testutils/src/dispatch/world/at_workers.rs
@@ -158,7 +158,7 @@
         }
         let life = node.life;
         let heartbeat = self.next_beat(number);
-        self.with_executor(number, life, |e, now| e.heartbeat(now, heartbeat));
+        self.with_executor(number, life, |e, now| e.handle_heartbeat(now, heartbeat));
     }
 
     /// What a worker says of itself now.
@@ -191,7 +191,7 @@
         let node = &self.executors[number];
         if node.up && node.frozen_until <= self.now {
             let life = node.life;
-            self.with_executor(number, life, |e, now| e.heartbeat(now, heartbeat));
+            self.with_executor(number, life, |e, now| e.handle_heartbeat(now, heartbeat));
         }
     }
 
--- a/lib/testutils/src/dispatch/world/links.rs
+++ b/lib/testutils/src/dispatch/world/links.rs
@@ -58,7 +58,7 @@
             Node::Executor(n) => {
                 if let Body::Orders(orders) = body {
                     let life = self.life(node);
-                    self.with_executor(n, life, |e, now| e.orders(now, link, orders));
+                    self.with_executor(n, life, |e, now| e.handle_orders(now, link, orders));
                 }
             }
         }
