--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -10,8 +10,8 @@
 mod crashes;
 mod evacuation;
 mod health;
+mod incarnations;
 mod lists;
-mod lives;
 mod preempting;
 mod reports;
 mod runs;
@@ -24,9 +24,9 @@
 use crate::dispatch::executor::claims::Claim;
 use crate::dispatch::executor::crashes::CrashMemory;
 use crate::dispatch::executor::health::Health;
-use crate::dispatch::executor::lives::Lives;
+use crate::dispatch::executor::incarnations::Incarnations;
+use crate::dispatch::executor::runs::QueuedTask;
 use crate::dispatch::executor::runs::Run;
-use crate::dispatch::executor::runs::Waiting;
 use crate::dispatch::executor::sessions::Session;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::JobNumber;
@@ -44,14 +44,14 @@
 pub use crate::dispatch::executor::calls::FinishedRow;
 pub use crate::dispatch::executor::calls::HoldCall;
 pub use crate::dispatch::executor::calls::HoldReply;
-pub use crate::dispatch::executor::calls::Life;
 pub use crate::dispatch::executor::calls::OrderReply;
+pub use crate::dispatch::executor::calls::RunEnd;
 pub use crate::dispatch::executor::calls::RunName;
 pub use crate::dispatch::executor::calls::RunningRow;
 pub use crate::dispatch::executor::calls::StartCall;
 pub use crate::dispatch::executor::calls::StartRefusal;
-pub use crate::dispatch::executor::calls::WorkerBeat;
-pub use crate::dispatch::executor::calls::WorkerEnd;
+pub use crate::dispatch::executor::calls::WorkerHeartbeat;
+pub use crate::dispatch::executor::calls::WorkerIncarnation;
 pub use crate::dispatch::executor::runs::RunState;
 
 /// The executor's settings that concern decisions.
@@ -95,7 +95,7 @@
     Dial(Vec<proto::Member>),
     /// Keep what the worker says of itself where the next life of this process finds it; nothing
     /// if there is no worker.
-    Keep(Option<WorkerBeat>),
+    SaveHeartbeat(Option<WorkerHeartbeat>),
     /// Write a log line.
     Log(Event),
 }
@@ -106,7 +106,7 @@
     /// Starts sent to the worker.
     pub starts: u64,
     /// Starts that got no answer.
-    pub unanswered: u64,
+    pub unanswered_starts: u64,
     /// Stops sent to the worker.
     pub stops: u64,
     /// Runs that ended whole.
@@ -122,17 +122,17 @@
     /// Tasks handed back without having run.
     pub returned: u64,
     /// Leases of schedulers that ran out.
-    pub lapsed: u64,
+    pub expired_leases: u64,
     /// Runs found at the worker that nobody here had started.
-    pub strangers: u64,
+    pub unknown_runs: u64,
     /// Ends of runs that are here still, passed over since ends with higher numbers had been taken note of.
-    pub ends_passed: u64,
+    pub skipped_ends: u64,
     /// Heartbeats that could not be read, or were not of the worker's life.
-    pub beats_rejected: u64,
+    pub rejected_heartbeats: u64,
     /// Runs that were stopped for more urgent tasks.
     pub preempted: u64,
     /// The work of theirs that was thrown away, in thousandths of a core-second.
-    pub wasted: u64,
+    pub wasted_core_ms: u64,
     /// How often the worker's speed has changed for good.
     pub speed_changes: u64,
 }
@@ -143,69 +143,69 @@
 /// The worker, in its present life.
 #[derive(Debug, Default)]
 struct Worker {
-    beat: WorkerBeat,
+    heartbeat: WorkerHeartbeat,
     /// When it last said what it is and has; none in a life that only its lists have told of yet.
-    heard: Option<Mono>,
+    last_heartbeat: Option<Mono>,
     /// Whether its lists have been read in this life, and nothing of an earlier executor runs.
-    clean: bool,
+    reconciled: bool,
     /// Whether it answered the last hold.
-    answers: bool,
+    responsive: bool,
     /// When it first failed to answer, since it last did.
     silent_since: Option<Mono>,
     clock: Option<(u64, Mono)>,
-    seen: u64,
+    last_end: u64,
     /// Whether something was started in this life, so that its service is one that is known.
-    used: bool,
+    has_started: bool,
     /// The last heartbeat with a lower number than the newest, and when it came.
-    lower: Option<(u64, Mono)>,
+    lower_sequence: Option<(u64, Mono)>,
 }
 
 /// The executor.
 pub struct Executor {
     setup: ExecutorSetup,
     worker: Option<Worker>,
-    lives: Lives,
+    incarnations: Incarnations,
     runs: BTreeMap<TaskName, Run>,
-    used: Demand,
-    queue: VecDeque<Waiting>,
+    allocated: Demand,
+    queue: VecDeque<QueuedTask>,
     sessions: BTreeMap<String, Session>,
     claims: BTreeMap<JobNumber, Claim>,
-    memory: CrashMemory,
+    crash_memory: CrashMemory,
     /// The number of the last end told to any scheduler. It rises over all sessions, since a
     /// scheduler may outlive its session here.
     last_end: u64,
     /// Tells apart what schedulers are told seldom.
-    profile_edition: u64,
+    profile_hash: u64,
     /// The schedulers that hold leases here, by name, as they are told.
     leased: Vec<String>,
     /// The incarnations of these, as they are told.
     owners: Vec<u64>,
     /// Since when that may be out of date.
-    leases_stale: Option<Mono>,
+    stale_since: Option<Mono>,
     health: Health,
     /// What stops for more urgent tasks may still throw away.
-    budget: LossBudget,
+    preemption_budget: LossBudget,
     /// Over all lives of the worker that this process has seen.
     speed: SpeedEstimate,
     fence: u64,
     /// How far it is raised next.
     fence_step: u64,
     /// Since when runs may be at the worker that are not known here.
-    unclean_since: Mono,
+    unreconciled_since: Mono,
     /// Until when runs may be alive by what was ordered, even if the worker is never asked again.
-    kept_until: Mono,
+    keepalive_until: Mono,
     /// Whether no run was found at the worker before it first said anything of itself.
-    vacant: bool,
+    verified_idle: bool,
     /// The life that is named by the hold that is under way, if it was sent before the worker
     /// said anything; empty if it names none.
     probing: Option<String>,
     /// What a worker said to an earlier life of this process. It is taken up if the worker is
     /// still in that life.
-    recalled: Option<WorkerBeat>,
-    holding: bool,
+    saved_heartbeat: Option<WorkerHeartbeat>,
+    hold_pending: bool,
     /// Counts holds that were sent.
-    holds: u64,
-    hold_at: Mono,
+    holds_sent: u64,
+    next_hold: Mono,
     leaving: bool,
     /// The newest record of its availability zone.
     zone_record: ZoneRecord,
@@ -221,29 +221,29 @@
             fence: setup.fence,
             fence_step: runs::FENCE_STEP,
             worker: None,
-            lives: Lives::default(),
+            incarnations: Incarnations::default(),
             runs: BTreeMap::new(),
-            used: Demand::default(),
+            allocated: Demand::default(),
             queue: VecDeque::new(),
             sessions: BTreeMap::new(),
             claims: BTreeMap::new(),
-            memory: CrashMemory::default(),
+            crash_memory: CrashMemory::default(),
             last_end: 0,
-            profile_edition: reports::edition_of(&proto::Profile::default()),
+            profile_hash: reports::hash_profile(&proto::Profile::default()),
             leased: Vec::new(),
             owners: Vec::new(),
-            leases_stale: None,
+            stale_since: None,
             health: Health::new(setup.policy.health),
-            budget: LossBudget::default(),
+            preemption_budget: LossBudget::default(),
             speed: SpeedEstimate::new(setup.policy.speeds),
-            unclean_since: setup.started,
-            kept_until: Mono::default(),
-            vacant: false,
+            unreconciled_since: setup.started,
+            keepalive_until: Mono::default(),
+            verified_idle: false,
             probing: None,
-            recalled: None,
-            holding: false,
-            holds: 0,
-            hold_at: Mono::default(),
+            saved_heartbeat: None,
+            hold_pending: false,
+            holds_sent: 0,
+            next_hold: Mono::default(),
             leaving: false,
             zone_record: ZoneRecord::default(),
             counts: ExecutorCounts::default(),
@@ -269,12 +269,12 @@
     }
 
     /// Tasks running, and tasks waiting here.
-    pub fn load(&self) -> (usize, usize) {
+    pub fn task_counts(&self) -> (usize, usize) {
         (self.runs.len(), self.queue.len())
     }
 
     /// How many schedulers have a link here.
-    pub fn linked(&self) -> usize {
+    pub fn linked_schedulers(&self) -> usize {
         self.sessions.values().filter(|s| s.link.is_some()).count()
     }
 
@@ -294,12 +294,13 @@
     pub fn tick(&mut self, now: Mono) {
         self.expire_leases(now);
         self.expire_claims(now);
-        self.memory.expire(now, self.setup.policy.claims.memory);
-        self.settle_claims(now);
-        self.expire_waiting(now);
+        self.crash_memory
+            .expire(now, self.setup.policy.claims.memory);
+        self.confirm_claims(now);
+        self.expire_queued(now);
         self.resend_stops(now);
         self.stop_stalled(now);
-        self.work(now);
+        self.advance(now);
     }
 
     /// Takes nothing new; what runs goes on.
@@ -307,12 +308,12 @@
         self.leaving = true;
         self.log(Kind::Leaving, self.setup.name.clone());
         self.return_queue(now);
-        self.work(now);
+        self.advance(now);
     }
 
     /// Whether an executor that leaves has nothing more to do, and has told so.
-    pub fn is_done(&self, now: Mono) -> bool {
-        let told = |s: &Session| s.ends.is_empty() && (s.link.is_none() || s.departure_told);
+    pub fn is_drained(&self, now: Mono) -> bool {
+        let told = |s: &Session| s.ends.is_empty() && (s.link.is_none() || s.departure_sent);
         self.has_departed(now) && self.sessions.values().all(told)
     }
 
@@ -324,22 +325,22 @@
 
     /// Whether tasks may start. Where the worker's word is old its room may have shrunk: an executor that woke
     /// after 3.5 s began a task under the room of before.
-    fn ready(&self, now: Mono) -> bool {
+    fn is_ready(&self, now: Mono) -> bool {
         let beats = self.setup.policy.orders.room_beats;
         let age = self.setup.heartbeat.mul_f64(beats);
-        let known = |w: &Worker| w.heard.is_some_and(|at| now.since(at) < age);
-        let ready = |w: &Worker| w.clean && w.answers && !w.beat.draining && known(w);
-        let open = !self.leaving && !self.zone_record.evacuated && !self.is_life_doubted();
+        let known = |w: &Worker| w.last_heartbeat.is_some_and(|at| now.since(at) < age);
+        let ready = |w: &Worker| w.reconciled && w.responsive && !w.heartbeat.draining && known(w);
+        let open = !self.leaving && !self.zone_record.evacuated && !self.is_incarnation_uncertain();
         open && self.worker.as_ref().is_some_and(ready)
     }
 
-    fn life(&self) -> String {
-        let life = self.worker.as_ref().map(|w| w.beat.life.id.clone());
+    fn worker_id(&self) -> String {
+        let life = self.worker.as_ref().map(|w| w.heartbeat.life.id.clone());
         life.unwrap_or_default()
     }
 
     fn capacity(&self) -> Demand {
-        let capacity = self.worker.as_ref().map(|w| w.beat.capacity);
+        let capacity = self.worker.as_ref().map(|w| w.heartbeat.capacity);
         capacity.unwrap_or_default()
     }
 
@@ -351,37 +352,40 @@
 
     /// The time on the worker's clock that is a span ahead; 0 if the clock is not known. An order
     /// that names it keeps all runs alive until then, whether it is answered or not.
-    fn deadline(&mut self, now: Mono, span: Duration) -> u64 {
+    fn extend_deadline(&mut self, now: Mono, span: Duration) -> u64 {
         match self.worker_clock(now) {
             0 => 0,
             clock => {
-                self.kept_until = self.kept_until.max(now + span.mul_f64(LAPSE_FACTOR));
+                self.keepalive_until = self.keepalive_until.max(now + span.mul_f64(LAPSE_FACTOR));
                 clock + crate::clock::millis(span)
             }
         }
     }
 
     /// What follows from the present state: starts, holds, reports.
-    fn work(&mut self, now: Mono) {
-        self.start_waiting(now);
-        self.hold(now);
-        self.report(now);
+    fn advance(&mut self, now: Mono) {
+        self.start_queued(now);
+        self.send_due_hold(now);
+        self.send_due_updates(now);
     }
 
-    fn hold(&mut self, now: Mono) {
-        let hurried = self.worker.is_some() && self.lives.is_unasked();
-        if self.holding || (now < self.hold_at && !hurried) {
+    fn send_due_hold(&mut self, now: Mono) {
+        let hurried = self.worker.is_some() && self.incarnations.has_new_candidate();
+        if self.hold_pending || (now < self.next_hold && !hurried) {
             return;
         }
         let Some(worker) = &self.worker else {
             return self.probe();
         };
-        if let Some(life) = self.lives.asked() {
-            return self.list_only(life);
+        if let Some(life) = self.incarnations.candidate_id() {
+            return self.request_lists(life);
         }
-        let (life, seen) = (worker.beat.life.id.clone(), worker.seen);
-        let (deadline_ms, wait) = if worker.clean && worker.answers {
-            (self.deadline(now, self.setup.worker_hold), self.hold_wait())
+        let (life, seen) = (worker.heartbeat.life.id.clone(), worker.last_end);
+        let (deadline_ms, wait) = if worker.reconciled && worker.responsive {
+            (
+                self.extend_deadline(now, self.setup.worker_hold),
+                self.hold_wait(),
+            )
         } else {
             (0, Duration::ZERO)
         };
@@ -397,7 +401,7 @@
     /// How long the worker may wait before it answers. Where a stop is confirmed, its lists tell
     /// that a run is gone, and the room for the next one must not wait for that.
     fn hold_wait(&self) -> Duration {
-        let awaited = |run: &Run| matches!(run.state, RunState::Stopping { confirmed: Some(holds), .. } if self.holds == holds);
+        let awaited = |run: &Run| matches!(run.state, RunState::Stopping { confirmed: Some(holds), .. } if self.holds_sent == holds);
         if self.runs.values().any(awaited) {
             return Duration::ZERO;
         }
@@ -408,16 +412,19 @@
     /// its first heartbeat. The fencing token keeps late orders of an earlier executor from
     /// starting anything after that.
     fn probe(&mut self) {
-        if self.vacant && self.recalled.is_none() {
+        if self.verified_idle && self.saved_heartbeat.is_none() {
             return;
         }
-        let life = self.recalled.as_ref().map(|beat| beat.life.id.clone());
+        let life = self
+            .saved_heartbeat
+            .as_ref()
+            .map(|heartbeat| heartbeat.life.id.clone());
         let life = life.unwrap_or_default();
-        self.list_only(life);
+        self.request_lists(life);
     }
 
     /// Reads the lists under a life that the worker may not be in.
-    fn list_only(&mut self, life: String) {
+    fn request_lists(&mut self, life: String) {
         self.probing = Some(life.clone());
         self.send_hold(HoldCall {
             life,
@@ -429,8 +436,8 @@
     }
 
     fn send_hold(&mut self, call: HoldCall) {
-        self.holding = true;
-        self.holds += 1;
+        self.hold_pending = true;
+        self.holds_sent += 1;
         self.actions.push(Action::Hold(call));
     }
 
