--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -1,4 +1,8 @@
-//! Jobs that wait here and are handed to a peer at which less waits. [`crate::dispatch::balance`] decides which.
+//! Hands waiting jobs off to peers with a smaller backlog, and follows them there.
+//!
+//! [`crate::dispatch::balance`] decides which job goes to which peer; input are the backlogs and the
+//! processor load that peers report. Only jobs of which no run can have started anywhere are handed off, and
+//! each of them only once.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,50 +20,52 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// An entry counts as short of processor time until it uses this share of what makes it so.
-const RELIEVED: f64 = 0.9;
+/// An overloaded entry counts as recovered once its processor load is at most this share of the limit.
+const RECOVERY_SHARE: f64 = 0.9;
 
-/// What a peer has last said of its load.
+/// The load that a peer has last reported.
 #[derive(Clone, Debug, Default)]
 struct PeerLoad {
-    /// What waits there by priority, in thousandths of a core; what was handed to it since counts.
+    /// The CPU that its waiting jobs need, by priority, in thousandths of a core. Includes the jobs that were
+    /// handed off to it since the report.
     waiting: BTreeMap<u32, u64>,
-    /// What it uses of its processor time, in percent; 0 if not known.
-    busy: u32,
+    /// The share of its processor time that it uses, in percent; 0 if not known.
+    busy_percent: u32,
 }
 
-/// What is known of the loads of this scheduler and its peers.
+/// The loads of this scheduler and its peers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Loads {
-    /// What this process uses of its processor time, in percent; 0 if not known.
-    busy: u32,
-    /// Whether that is more than it should be.
-    short: bool,
+    /// The share of its processor time that this process uses, in percent; 0 if not known.
+    busy_percent: u32,
+    /// Whether that share has exceeded the limit and has not recovered yet.
+    overloaded: bool,
     peers: BTreeMap<String, PeerLoad>,
 }
 
 impl PeerLoad {
-    /// What waits there of a priority and of more urgent ones.
+    /// Returns the CPU that the peer's waiting jobs of this and more urgent priorities need.
     fn waiting_up_to(&self, priority: u32) -> u64 {
         self.waiting.range(..=priority).map(|(_, cpu)| cpu).sum()
     }
 }
 
 impl Loads {
-    /// Forgets a peer whose link is down.
+    /// Drops the load of a peer whose link is lost.
     pub fn forget(&mut self, name: &str) {
         self.peers.remove(name);
     }
 }
 
 impl Job {
-    /// Whether nobody can have started anything of it, nor has had it before.
+    /// Returns whether no run of it can have started anywhere, it is not being claimed, and no peer follows
+    /// it.
     fn is_untouched(&self) -> bool {
         let fresh = !self.began && !self.renewed && !self.ran_elsewhere;
         fresh && self.phase == Phase::Active && self.followers.is_empty()
     }
 
-    /// Takes into account that it has waited elsewhere.
+    /// Moves its arrival and deadlines back by the time that it has waited elsewhere.
     pub(super) fn backdate_arrival(&mut self, waited: Duration) {
         self.arrived = self.arrived - waited;
         self.objective_at = self.objective_at - waited;
@@ -69,22 +75,23 @@
 }
 
 impl Scheduler {
-    /// What this process uses of the processor time that it may use, in percent, as measured outside.
+    /// Sets the measured share of its available processor time that this process uses, in percent. If
+    /// balancing is on, logs when the process becomes overloaded and when it has recovered.
     pub fn set_busy(&mut self, now: Mono, percent: u32) {
         self.enter(now);
         let most = self.setup.policy.balance.busy * 100.0;
-        let bound = if self.loads.short {
-            most * RELIEVED
+        let bound = if self.loads.overloaded {
+            most * RECOVERY_SHARE
         } else {
             most
         };
-        self.loads.busy = percent.max(1);
-        let short = f64::from(percent) > bound;
-        if !self.setup.policy.balance.on || short == self.loads.short {
+        self.loads.busy_percent = percent.max(1);
+        let overloaded = f64::from(percent) > bound;
+        if !self.setup.policy.balance.on || overloaded == self.loads.overloaded {
             return;
         }
-        self.loads.short = short;
-        let kind = if short {
+        self.loads.overloaded = overloaded;
+        let kind = if overloaded {
             Kind::EntryBusy
         } else {
             Kind::EntryRelieved
@@ -92,27 +99,29 @@
         self.log(kind, format!("{percent} % of its processor time"));
     }
 
-    /// What this process uses of its processor time, in percent, and what waits here, in thousandths of a core.
+    /// Returns the share of its processor time that this process uses, in percent, and the CPU that the jobs
+    /// waiting here need, in thousandths of a core.
     pub fn own_load(&self) -> (u32, u64) {
-        (self.loads.busy, self.waiting_up_to(u32::MAX))
+        (self.loads.busy_percent, self.waiting_up_to(u32::MAX))
     }
 
-    /// What waits here of a priority and of more urgent ones, in thousandths of a core.
+    /// Returns the CPU that the jobs waiting here of this and more urgent priorities need, in thousandths of
+    /// a core.
     fn waiting_up_to(&self, priority: u32) -> u64 {
         let jobs = self.waiting.iter().filter_map(|w| self.jobs.get(&w.2));
         let jobs = jobs.filter(|job| job.priority <= priority);
         jobs.map(Job::ready_cpu).sum()
     }
 
-    /// What peers are told of the processor time that is used here, in percent; 0 while jobs are not handed on.
+    /// Returns the processor load that is reported to peers, in percent; 0 if balancing is off.
     pub(super) fn busy_update(&self) -> u32 {
         match self.setup.policy.balance.on {
-            true => self.loads.busy,
+            true => self.loads.busy_percent,
             false => 0,
         }
     }
 
-    /// A peer says what waits there and how busy it is.
+    /// Records the backlog and the processor load that a peer has reported.
     pub(super) fn record_peer_load(&mut self, name: &str, update: &proto::PeerUpdate) {
         if !self.setup.policy.balance.on {
             return;
@@ -120,30 +129,31 @@
         let rows = update.backlog.iter();
         let load = PeerLoad {
             waiting: rows.map(|b| (b.priority, b.cpu_milli)).collect(),
-            busy: update.busy_percent,
+            busy_percent: update.busy_percent,
         };
         self.loads.peers.insert(name.to_owned(), load);
     }
 
-    /// Hands on jobs that wait here, if more waits than at peers. Each priority is evened out by itself, the most urgent
-    /// first: if only patient jobs went, urgent ones would wait where callers are many, while patient ones elsewhere take
-    /// the room.
+    /// Hands waiting jobs off to peers if the backlog here is larger than theirs. Each priority is balanced
+    /// by itself, the most urgent first. If only patient jobs were handed off, urgent ones would wait at the
+    /// schedulers with many callers while patient ones used the capacity at others.
     pub(super) fn balance_jobs(&mut self) {
         if !self.setup.policy.balance.on || self.waiting.is_empty() || self.leaving.is_some() {
             return;
         }
-        let names = self.takers();
+        let names = self.handoff_targets();
         let priorities = self.waiting.iter().filter_map(|w| self.jobs.get(&w.2));
         let priorities: BTreeSet<u32> = priorities.map(|job| job.priority).collect();
         let mut left = self.setup.policy.balance.round_jobs as usize;
         for priority in priorities {
-            left -= self.even_out_at(priority, &names, left);
+            left -= self.balance_priority(priority, &names, left);
         }
     }
 
-    /// Hands on up to `most` jobs of a priority: those that would be placed last, since they gain most. What counts
-    /// is what they wait behind, of their own priority and more urgent ones. Tells how many went.
-    fn even_out_at(&mut self, priority: u32, names: &[String], most: usize) -> usize {
+    /// Hands off up to `most` jobs of a priority, those that would be placed last first, because they gain
+    /// most. Compares the work that these jobs wait behind, which is that of their own and more urgent
+    /// priorities. Returns the number of jobs that were handed off.
+    fn balance_priority(&mut self, priority: u32, names: &[String], most: usize) -> usize {
         let loads = names.iter().enumerate().map(|(key, name)| Candidate {
             key,
             waiting: self.loads.peers[name].waiting_up_to(priority),
@@ -153,7 +163,7 @@
             return 0;
         }
         let last = self.waiting.iter().rev();
-        let going = last.filter(|(_, at, number)| self.may_go(*number, *at));
+        let going = last.filter(|(_, at, number)| self.can_hand_off(*number, *at));
         let going = going.map(|w| w.2);
         let going = going.filter(|number| self.jobs[number].priority == priority);
         let going: Vec<JobNumber> = going.take(most).collect();
@@ -161,31 +171,32 @@
         for number in going {
             let size = self.jobs[&number].ready_cpu();
             if let Some(key) = spread.assign(size, &mut self.rng) {
-                self.hand_waiting(number, &names[key]);
+                self.hand_off_waiting(number, &names[key]);
                 gone += 1;
             }
         }
         gone
     }
 
-    /// The peers that may be handed jobs: heard just now, since what is handed to one that was cut off waits until its
-    /// link is given up.
-    fn takers(&self) -> Vec<String> {
+    /// Returns the peers that jobs may be handed off to. Only peers that were heard within two heartbeats are
+    /// eligible: a job handed off to an unreachable peer waits until the link to it is closed.
+    fn handoff_targets(&self) -> Vec<String> {
         let recent = self.setup.policy.reports.heartbeat * 2;
         let most = self.setup.policy.balance.busy * 100.0;
-        let takes = |name: &String, p: &Peer| {
+        let eligible = |name: &String, p: &Peer| {
             let heard =
                 p.link.is_some() && p.has_reported && self.now.since(p.last_heard) <= recent;
             let load = self.loads.peers.get(name);
-            heard && p.accepts_jobs() && load.is_some_and(|l| f64::from(l.busy) <= most)
+            heard && p.accepts_jobs() && load.is_some_and(|l| f64::from(l.busy_percent) <= most)
         };
-        let takers = self.peers.iter().filter(|(name, p)| takes(name, p));
-        takers.map(|(name, _)| name.clone()).collect()
+        let peers = self.peers.iter().filter(|(name, p)| eligible(name, p));
+        peers.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether a job that must begin by `at` may be run elsewhere. One that a peer waits for was handed here, or is known
-    /// elsewhere: it goes no further.
-    fn may_go(&self, number: JobNumber, at: Mono) -> bool {
+    /// Returns whether a job that must begin by `at` may be handed off. It must have waited long enough,
+    /// leave enough time for the way, and be known to this scheduler only: a job that a peer follows was
+    /// handed off to this scheduler, or submitted at the peer too, and stays.
+    fn can_hand_off(&self, number: JobNumber, at: Mono) -> bool {
         let policy = self.setup.policy.balance;
         let Some(job) = self.jobs.get(&number) else {
             return false;
@@ -196,8 +207,8 @@
         waited && reaches && !confined && job.is_untouched() && !self.is_exposed(job)
     }
 
-    /// Hands a job that waits here to a peer, and follows it there.
-    fn hand_waiting(&mut self, number: JobNumber, name: &str) {
+    /// Hands a waiting job off to a peer, and follows it there.
+    fn hand_off_waiting(&mut self, number: JobNumber, name: &str) {
         let Some(job) = self.jobs.remove(&number) else {
             return;
         };
@@ -218,7 +229,7 @@
                 ..job.request.proto()
             });
         }
-        // Whoever asks for it here before the peer has announced it is sent there.
+        // Callers that submit the job again here, before the peer has announced it, follow it there.
         self.announced.note(number, name, self.now);
         let following = Following {
             peer: name.to_owned(),
@@ -229,7 +240,7 @@
         self.following.insert(number, following);
     }
 
-    /// Tells the peer that has a handed job that nobody waits for it here any more.
+    /// Tells the peer that a job was handed off to that no caller waits for it here any more.
     pub(super) fn unfollow(&mut self, name: &str, number: JobNumber) {
         if !self.setup.policy.balance.on {
             return;
@@ -239,7 +250,8 @@
         }
     }
 
-    /// A peer's callers have left a job that runs here. One that nobody waits for is cancelled.
+    /// Stops reporting a job to a peer whose callers have left. The job is cancelled if no callers and
+    /// followers are left.
     pub(super) fn handle_unfollow(&mut self, name: &str, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -35,8 +35,8 @@
         if !std::mem::take(&mut self.doubt_stale) {
             return;
         }
-        let last_heard = self.leases.names();
-        let away = last_heard.filter(|name| **name != self.setup.name && !self.is_linked(name));
+        let heard = self.leases.names();
+        let away = heard.filter(|name| **name != self.setup.name && !self.is_linked(name));
         self.doubtful = away.cloned().collect();
     }
 
@@ -120,10 +120,10 @@
             Some(_) => p.has_reported,
             None => self.silence(p.last_heard) >= lapse,
         };
-        let last_heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
+        let heard = |name: &String| self.silence(self.last_heard(name)) >= lapse;
         now.since(self.present_since) >= self.setup.policy.claims.meeting
             && self.peers.values().all(settled)
-            && self.doubtful.iter().all(last_heard)
+            && self.doubtful.iter().all(heard)
     }
 
     /// Whether this scheduler has only just started, or come back from a long pause: jobs of a life
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -1,5 +1,7 @@
-//! Jobs that compete for room, as the scheduler sees them. The decisions stand in
-//! [`crate::dispatch::contention`]; here is what they are asked with.
+//! Placement and admission while jobs compete for capacity.
+//!
+//! Collects the inputs of the decisions in [`crate::dispatch::contention`] from the scheduler's state, and
+//! applies their results. Capacity and demand are CPU in thousandths of a core.
 
 use std::time::Duration;
 
@@ -30,74 +32,77 @@
 use crate::prelude::Mono;
 use crate::protos::dispatch as proto;
 
-/// Why a job is refused as it comes: what is ahead of it leaves no room in time.
+/// The cause for refusing a job at arrival because the work ahead of it leaves no capacity in time.
 pub(super) const BACKLOG: &str = "backlog";
 
-/// The class of the most urgent jobs that have not begun; those of each priority below have the next one.
-const FIRST_CLASS: u8 = OWED + 1;
-/// Priorities beyond this are one class.
+/// The class of unstarted jobs of the most urgent priority. Each lower priority has the next class.
+const FIRST_PRIORITY_CLASS: u8 = OWED + 1;
+/// Priorities from this one on share one class.
 const LAST_PRIORITY: u32 = 200;
-/// What waits here is summed anew for peers this often at most: summing takes time that the entry needs to answer.
-const SUM_GAP: Duration = Duration::from_millis(10);
-/// The weight of the newest job in what is learned of the room that jobs need.
+/// The minimum interval between sums of the local backlog for peers. Summing takes time that the entry needs
+/// to answer requests.
+const SUM_INTERVAL: Duration = Duration::from_millis(10);
+/// The weight of the newest job in the moving mean of the capacity that jobs need.
 const NEED_WEIGHT: f64 = 0.05;
 
-/// What a scheduler knows of jobs that compete for room.
+/// The contention state of a scheduler: backlogs, the rate at which capacity is released, and served shares.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Contention {
     peers: PeerBacklogs,
+    /// The local backlog, as of `summed_at`.
     own: Backlog,
-    summed: Mono,
+    summed_at: Mono,
     drain: Drain,
     shares: Shares,
     returns: Returns,
-    /// The room that a job needs in the mean, in thousandths of a core.
-    need: f64,
-    /// Since when work has waited somewhere without a break.
-    since: Option<Mono>,
-    /// When work last waited somewhere.
-    last: Mono,
-    /// Whether operators have been told.
-    told: bool,
+    /// The moving mean of the CPU that a job needs to begin.
+    mean_need: f64,
+    /// Since when work has been waiting, here or at a peer. Cleared once the backlog counts as cleared.
+    waiting_since: Option<Mono>,
+    /// When work was last waiting, here or at a peer.
+    last_waiting: Mono,
+    /// Whether the present backlog was logged.
+    logged: bool,
 }
 
 impl Contention {
-    /// The class of a job that has not begun.
+    /// Returns the class of a job that has not begun.
     pub fn class(&self, job: &Job, policy: &policy::Contention) -> u8 {
-        let kind = self.shares.kind(job.priority, job.first_cpu());
+        let kind = self.shares.kind(job.priority, job.first_steps_cpu());
         if self.shares.is_owed(kind, policy) {
             return OWED;
         }
-        FIRST_CLASS + job.priority.min(LAST_PRIORITY) as u8
+        FIRST_PRIORITY_CLASS + job.priority.min(LAST_PRIORITY) as u8
     }
 
-    /// A run has ended by itself.
+    /// Records a run that has ended by itself.
     pub fn note_run(&mut self, cpu_milli: u32, ran: Duration) {
         self.drain.note(cpu_milli, ran);
     }
 
-    /// The link to a peer is lost.
+    /// Drops the backlog of a peer whose link is lost.
     pub fn forget(&mut self, peer: &str) {
         self.peers.forget(peer);
     }
 }
 
-/// Room of the executors of a service, in thousandths of a core.
+/// Free and used CPU of the executors, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default)]
-struct Room {
-    /// What is free where tasks may be placed.
+struct CpuUsage {
+    /// What is free at the executors of the cell where tasks may be placed now.
     free: u64,
-    /// What is in use at all executors that are linked.
+    /// What is in use at all linked executors that are ready and not evacuated.
     used: u64,
 }
 
 impl Scheduler {
-    /// Whether what waits elsewhere counts.
+    /// Returns whether jobs are placed and admitted by contention, which counts the backlogs of peers.
     pub(super) fn is_contention_on(&self) -> bool {
         self.setup.policy.contention.on
     }
 
-    /// Places what there is room for: by class, and going on behind jobs that do not fit.
+    /// Places waiting jobs in the order of their classes, for as long as the round lasts. A job that does not
+    /// fit does not end the round.
     pub(super) fn place_by_class(&mut self) {
         let policy = self.setup.policy;
         let most = policy.admission.round_jobs as usize;
@@ -105,10 +110,10 @@
         self.note_gap();
         self.refresh_cell();
         self.spared = None;
-        let free = self.free_room();
+        let free = self.free_cell_cpu();
         let mut round = Round::new(self.now, free, policy.contention.round_misses);
-        // Summed once a round: it takes time that the entry needs to answer.
-        let told = self.shared_backlog();
+        // Summed once a round, because summing takes time that the entry needs to answer requests.
+        let backlog = self.competing_backlog();
         for number in numbers {
             if round.is_over() {
                 break;
@@ -118,17 +123,17 @@
                 self.queue_job(number);
                 continue;
             }
-            self.take_turn(number, &mut round, &told);
+            self.place_or_yield(number, &mut round, &backlog);
         }
     }
 
-    /// Tries to place a job, unless it yields to others.
-    fn take_turn(&mut self, number: JobNumber, round: &mut Round, told: &Backlog) {
+    /// Tries to place a job, unless it yields to others. `backlog` is what waits at peers.
+    fn place_or_yield(&mut self, number: JobNumber, round: &mut Round, backlog: &Backlog) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
         let entrant = self.entrant(job);
-        let elsewhere = told.before(job.priority);
+        let elsewhere = backlog.before(job.priority);
         if let Some(entrant) = &entrant
             && round.turn(entrant, elsewhere) == Turn::Yield
         {
@@ -148,15 +153,15 @@
         {
             match after < before {
                 true => round.begin_part(),
-                // It waits by choice for a better worker, which the jobs behind it leave alone.
+                // The job waits for better workers by choice. The jobs behind it may use only the others.
                 false if self.leaves_room(number) => {}
                 false => round.miss(entrant),
             }
         }
     }
 
-    /// A job that has not begun, as a round sees it; none for others: what they have used is lost if they are not
-    /// finished, so they yield to nobody.
+    /// Returns the round's view of a job that has not begun; `None` for a job that has. The work of a begun
+    /// job is lost unless it is finished, so it yields to no other job.
     fn entrant(&self, job: &Job) -> Option<Entrant> {
         let (class, latest) = job.place?;
         if class == BEGUN || class == LATE {
@@ -167,39 +172,40 @@
         Some(Entrant {
             class,
             owed: class == OWED,
-            least: self.least_room(job),
+            least: self.min_start_cpu(job),
             whole: job.ready_cpu(),
             patient_until: job.arrived + patience.mul_f64(policy.contention.pass_share),
         })
     }
 
-    /// The room with which a job begins, in thousandths of a core.
-    fn least_room(&self, job: &Job) -> u64 {
+    /// Returns the CPU that must be free for a job to begin.
+    fn min_start_cpu(&self, job: &Job) -> u64 {
         if self.is_wide(job) {
-            return job.least_cpu();
+            return job.min_task_cpu();
         }
         (job.ready_cpu() as f64 * self.setup.policy.admission.begin_share) as u64
     }
 
-    /// What waits at peers for room that they share with this scheduler.
-    fn shared_backlog(&self) -> Backlog {
-        if self.contention.peers.is_empty() || !self.shares_room() {
+    /// Returns the backlog of peers that competes for the executors of this scheduler.
+    fn competing_backlog(&self) -> Backlog {
+        if self.contention.peers.is_empty() || !self.has_single_service() {
             return Backlog::default();
         }
-        self.told_backlog()
+        self.peer_backlog()
     }
 
-    /// What waits at peers, by what they have told lately.
-    fn told_backlog(&self) -> Backlog {
+    /// Returns the backlog of peers by their recent reports, less what is estimated to have been placed
+    /// since.
+    fn peer_backlog(&self) -> Backlog {
         let age = self.setup.policy.contention.told_age;
-        let rate = self.contention.drain.rate(self.room().used);
+        let rate = self.contention.drain.rate(self.cpu_usage().used);
         let peers = &self.contention.peers;
         peers.now(self.now, age, rate.unwrap_or_default())
     }
 
-    /// Whether all executors run one service. Where they don't, what peers tell may wait for other executors than a
-    /// job here, so it does not count.
-    fn shares_room(&self) -> bool {
+    /// Returns whether all linked executors run the same service. If not, the backlog of a peer may wait for
+    /// other executors than a job here, so it does not count.
+    fn has_single_service(&self) -> bool {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         let mut services = linked.map(|e| &e.profile.service).filter(|s| !s.is_empty());
         let Some(first) = services.next() else {
@@ -208,27 +214,29 @@
         services.all(|s| s == first)
     }
 
-    fn free_room(&self) -> u64 {
+    /// Returns the free CPU in the cell at executors where tasks may be placed now.
+    fn free_cell_cpu(&self) -> u64 {
         let near = self.cell.executors.iter().map(|key| &self.executors[*key]);
         let open = near.filter(|e| e.accepts_tasks(self.now, &e.profile.service));
         open.map(|e| e.free.cpu_milli.max(0) as u64).sum()
     }
 
-    fn room(&self) -> Room {
+    fn cpu_usage(&self) -> CpuUsage {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         let ready = linked.filter(|e| e.report.ready && !e.evacuated);
         let used = ready.map(|e| i64::from(e.capacity.cpu_milli) - e.free.cpu_milli.max(0));
-        Room {
-            free: self.free_room(),
+        CpuUsage {
+            free: self.free_cell_cpu(),
             used: used.map(|cpu| cpu.max(0) as u64).sum(),
         }
     }
 
-    /// Whether a job that comes would start too late by a margin. One that may have run elsewhere is never refused for
-    /// that: it could not be said that it has not run.
+    /// Returns whether an arriving job would start so late, by a margin, that it has to be refused. A job
+    /// that may have run before, here or at a peer, is never refused for that: a refusal would state that
+    /// nothing of it has run. Underserved kinds of jobs are not refused either.
     pub(super) fn would_start_late(&self, job: &Job) -> bool {
         let may_have_run = self.ended.get(&job.request.number).is_some_and(|e| e.began);
-        if !self.is_contention_on() || may_have_run || !self.shares_room() {
+        if !self.is_contention_on() || may_have_run || !self.has_single_service() {
             return false;
         }
         let policy = &self.setup.policy.contention;
@@ -240,37 +248,43 @@
         class != OWED && arrival::judge(&forecast, slack, policy) == Verdict::Refuse
     }
 
-    /// When a job of a class would start; none while too little is known.
+    /// Returns the forecast of when a job of a class would start; `None` while too little is known.
     fn forecast(&self, job: &Job, class: u8) -> Option<Forecast> {
-        let room = self.room();
+        let usage = self.cpu_usage();
         let latest = job.latest_start()?;
         let place = (class, latest, job.request.number);
         let ahead = self.waiting.range(..place).map(|w| w.2);
         let ahead = ahead.filter_map(|number| self.jobs.get(&number));
         Some(Forecast {
             own: ahead.map(Job::ready_cpu).sum(),
-            peers: self.told_backlog().up_to(job.priority),
-            need: self.least_room(job),
-            free: room.free,
-            rate: self.contention.drain.rate(room.used)?,
+            peers: self.peer_backlog().up_to(job.priority),
+            need: self.min_start_cpu(job),
+            free: usage.free,
+            rate: self.contention.drain.rate(usage.used)?,
         })
     }
 
-    /// A job has begun, or was turned away before it did.
+    /// Records that a job has begun (`served`), or was refused or given up before it did.
     pub(super) fn note_share(&mut self, job: &Job, served: bool) {
         if !self.is_contention_on() {
             return;
         }
-        let need = job.first_cpu();
+        let need = job.first_steps_cpu();
         let state = &mut self.contention;
-        let weight = if state.need == 0.0 { 1.0 } else { NEED_WEIGHT };
-        state.need += weight * (need as f64 - state.need);
+        let weight = if state.mean_need == 0.0 {
+            1.0
+        } else {
+            NEED_WEIGHT
+        };
+        state.mean_need += weight * (need as f64 - state.mean_need);
         let policy = &self.setup.policy.contention;
         let shares = &mut state.shares;
         shares.note(self.now, job.priority, need, served, policy);
     }
 
-    /// How long a caller that is refused stays away, in milliseconds.
+    /// Returns the retry delay of a caller that is refused, in milliseconds. Under contention it covers the
+    /// time that the present backlog takes, and spreads the callers by the rate at which capacity is
+    /// released.
     pub(super) fn come_back_ms(&mut self) -> u32 {
         let admission = self.setup.policy.admission;
         let base = admission.come_back_ms(&mut self.rng);
@@ -278,20 +292,20 @@
             return base;
         }
         let policy = self.setup.policy.contention;
-        let Some(rate) = self.contention.drain.rate(self.room().used) else {
+        let Some(rate) = self.contention.drain.rate(self.cpu_usage().used) else {
             return base;
         };
-        let waiting = self.told_backlog().cpu_milli() + self.contention.own.cpu_milli();
+        let waiting = self.peer_backlog().cpu_milli() + self.contention.own.cpu_milli();
         let wait = Duration::from_secs_f64((waiting as f64 / rate).min(60.0));
         let linked = self.peers.values().filter(|p| p.link.is_some()).count();
         let part = rate * policy.return_share / (1 + linked) as f64;
-        let gap = Duration::from_secs_f64((self.contention.need / part).min(60.0));
+        let gap = Duration::from_secs_f64((self.contention.mean_need / part).min(60.0));
         let base = Duration::from_millis(u64::from(base));
         let returns = &mut self.contention.returns;
         millis(returns.stay_away(self.now, wait, gap, base, &policy)) as u32
     }
 
-    /// Sums what waits here.
+    /// Sums up the local backlog, without jobs that are late.
     fn sum_backlog(&mut self) {
         let mut own = Backlog::default();
         let waiting = self.waiting.iter().filter(|w| w.0 != LATE);
@@ -304,21 +318,21 @@
             own.add(job.priority, waiting);
         }
         self.contention.own = own;
-        self.contention.summed = self.now;
+        self.contention.summed_at = self.now;
     }
 
-    /// What peers are told of what waits here.
+    /// Returns the local backlog as it is sent to peers; empty if neither contention nor balancing is on.
     pub(super) fn backlog_update(&mut self) -> Vec<proto::Backlog> {
         if !self.is_contention_on() && !self.setup.policy.balance.on {
             return Vec::new();
         }
-        if self.now.since(self.contention.summed) >= SUM_GAP {
+        if self.now.since(self.contention.summed_at) >= SUM_INTERVAL {
             self.sum_backlog();
         }
         self.contention.own.proto()
     }
 
-    /// A peer tells what waits at it.
+    /// Records the backlog that a peer has reported, if contention is on.
     pub(super) fn record_peer_backlog(&mut self, peer: &str, rows: &[proto::Backlog]) {
         if self.is_contention_on() {
             let backlog = Backlog::from_proto(rows);
@@ -326,15 +340,16 @@
         }
     }
 
-    /// What waits here and in the whole fleet, for metrics.
+    /// Returns the local backlog and that of all schedulers together, for metrics.
     pub fn backlogs(&self) -> [Backlog; 2] {
         let own = self.contention.own.clone();
-        let mut all = self.told_backlog();
+        let mut all = self.peer_backlog();
         all.add_all(&own);
         [own, all]
     }
 
-    /// Tells operators when work begins to wait for longer than a moment, and when none does any more.
+    /// Logs when work has been waiting for longer than a moment, and when the backlog has been cleared for
+    /// good.
     pub(super) fn watch_contention(&mut self) {
         if !self.is_contention_on() {
             return;
@@ -345,36 +360,40 @@
         let settle = self.setup.policy.contention.share_memory;
         let state = &mut self.contention;
         if !all.is_empty() {
-            state.last = now;
-            let since = *state.since.get_or_insert(now);
-            if !state.told && now.since(since) >= self.setup.policy.contention.told_age {
-                state.told = true;
-                let detail = format!("here {}; fleet {}", in_words(&own), in_words(&all));
+            state.last_waiting = now;
+            let since = *state.waiting_since.get_or_insert(now);
+            if !state.logged && now.since(since) >= self.setup.policy.contention.told_age {
+                state.logged = true;
+                let detail = format!(
+                    "here {}; fleet {}",
+                    format_backlog(&own),
+                    format_backlog(&all)
+                );
                 self.log(Kind::BacklogGrew, detail);
             }
-        } else if !state.told {
-            state.since = None;
-        } else if now.since(state.last) >= settle {
+        } else if !state.logged {
+            state.waiting_since = None;
+        } else if now.since(state.last_waiting) >= settle {
             let lasted = millis(
                 state
-                    .since
-                    .map_or(Duration::ZERO, |at| state.last.since(at)),
+                    .waiting_since
+                    .map_or(Duration::ZERO, |at| state.last_waiting.since(at)),
             );
-            state.since = None;
-            state.told = false;
+            state.waiting_since = None;
+            state.logged = false;
             self.log(Kind::BacklogGone, format!("it lasted {lasted} ms"));
         }
     }
 
-    /// A job was turned away: what was ahead of it is told to operators if it had not begun.
+    /// Records that a job was refused or given up. If it had not begun, logs what was ahead of it.
     pub(super) fn record_rejection(&mut self, job: &Job) {
         if self.is_contention_on() && !job.began {
-            self.log_ahead(job);
+            self.log_work_ahead(job);
             self.note_share(job, false);
         }
     }
 
-    fn log_ahead(&mut self, job: &Job) {
+    fn log_work_ahead(&mut self, job: &Job) {
         let policy = self.setup.policy.contention;
         let class = self.contention.class(job, &policy);
         let Some(forecast) = self.forecast(job, class) else {
@@ -403,8 +422,8 @@
     }
 }
 
-/// A backlog for a log line.
-fn in_words(backlog: &Backlog) -> String {
+/// Formats a backlog for a log line.
+fn format_backlog(backlog: &Backlog) -> String {
     let row = |(priority, w): (u32, Waiting)| {
         format!(
             "{} milli-cores of priority {priority}, oldest {} ms",
@@ -420,7 +439,8 @@
 }
 
 impl Job {
-    fn ready(&self) -> impl Iterator<Item = (Demand, Duration)> {
+    /// Returns the demand and the expected time of each task that is ready to be placed.
+    fn ready_tasks(&self) -> impl Iterator<Item = (Demand, Duration)> {
         let active = self.phase == Phase::Active;
         let ready = self.tasks.iter();
         let ready = ready.filter(move |t| active && t.state == TaskState::Ready);
@@ -430,27 +450,32 @@
         })
     }
 
-    /// The room that its tasks need which are to be placed, in thousandths of a core.
+    /// Returns the CPU that its ready tasks need, in thousandths of a core.
     pub(super) fn ready_cpu(&self) -> u64 {
-        self.ready().map(|(d, _)| u64::from(d.cpu_milli)).sum()
+        self.ready_tasks()
+            .map(|(d, _)| u64::from(d.cpu_milli))
+            .sum()
     }
 
-    /// The work of those tasks, in thousandths of a core-second.
+    /// Returns the work of its ready tasks, in thousandths of a core-second.
     fn ready_work(&self) -> u64 {
         let work = self
-            .ready()
+            .ready_tasks()
             .map(|(d, expected)| u64::from(d.cpu_milli) * millis(expected));
         work.sum::<u64>() / 1000
     }
 
-    /// The room that the smallest of those tasks needs.
-    fn least_cpu(&self) -> u64 {
-        let least = self.ready().map(|(d, _)| u64::from(d.cpu_milli)).min();
+    /// Returns the CPU that the smallest of its ready tasks needs.
+    fn min_task_cpu(&self) -> u64 {
+        let least = self
+            .ready_tasks()
+            .map(|(d, _)| u64::from(d.cpu_milli))
+            .min();
         least.unwrap_or_default()
     }
 
-    /// The room that it needs to begin, in thousandths of a core.
-    fn first_cpu(&self) -> u64 {
+    /// Returns the CPU that its first steps need, in thousandths of a core.
+    fn first_steps_cpu(&self) -> u64 {
         let first = self.request.steps.iter().filter(|s| s.after.is_empty());
         let cpu = first.map(|s| u64::from(s.count) * u64::from(s.demand.cpu_milli));
         cpu.sum()
--- a/lib/src/dispatch/scheduler/preempting.rs
+++ b/lib/src/dispatch/scheduler/preempting.rs
@@ -1,5 +1,7 @@
-//! Urgent jobs that take the room of others: where their tasks are placed while there is no free room. Which
-//! runs are stopped is decided by the executors.
+//! Plans the tasks of urgent jobs at executors where less urgent runs may be preempted for them.
+//!
+//! Input is the preemptible CPU that executors report. The executors select the runs to preempt. Nothing is
+//! preempted for a job of which not all ready tasks find capacity.
 
 use super::Scheduler;
 use super::fleet::ExecutorKey;
@@ -14,8 +16,8 @@
 use crate::prelude::*;
 
 impl Job {
-    /// How often a run of a task may still be stopped for more urgent ones. One whose next failure ends its job is
-    /// not stopped: each start of it may be the last one.
+    /// Returns how often runs of a task may still be preempted. A task whose next failure fails its job is
+    /// not preempted, because each of its starts may be the last one.
     pub fn stops_left(&self, task: &Task, policy: &Preemption) -> u32 {
         let last = task.failures + 1 >= self.max_attempts;
         if !policy.on || last {
@@ -26,10 +28,11 @@
 }
 
 impl Scheduler {
-    /// Adds the tasks of an urgent job that find no room to its plan, at executors where runs may be stopped for
-    /// them, most room first.
+    /// Adds the tasks of an urgent job that find no free capacity to its plan, at the executors with the most
+    /// free and preemptible CPU. Leaves the plan as it was unless all of them fit there and preemption is due
+    /// for each.
     pub(super) fn plan_preempting(&mut self, job: &Job, plan: &mut Vec<Placing>) {
-        if !self.may_preempt(job) {
+        if !self.can_preempt(job) {
             return;
         }
         let missing = |at: &usize| {
@@ -40,14 +43,14 @@
         if missing.is_empty() {
             return;
         }
-        let free = plan.len();
-        let mut rooms = self.preemptible_rooms(job, plan);
+        let planned = plan.len();
+        let mut rooms = self.preemptible_cpu(job, plan);
         for at in missing {
             let step = job.tasks[at].step;
-            let key = self.most_preemptible(job, at, &rooms, plan);
-            let Some(key) = key.filter(|_| self.is_last_call(job, step)) else {
-                // Nothing is stopped for a job of which not all tasks find room.
-                plan.truncate(free);
+            let key = self.best_preemptible(job, at, &rooms, plan);
+            let Some(key) = key.filter(|_| self.is_preemption_due(job, step)) else {
+                // Nothing is preempted unless all tasks of the job can be placed.
+                plan.truncate(planned);
                 return;
             };
             let demand = job.request.steps[step as usize].demand;
@@ -64,33 +67,35 @@
         }
     }
 
-    /// Whether a job may take the room of others now: it is urgent, and what it asked for last must have been
-    /// answered, so that one job does not ask with each report.
-    fn may_preempt(&self, job: &Job) -> bool {
+    /// Returns whether a job may preempt others now. It has to be urgent, and its last preemption has to be
+    /// long enough ago to be confirmed, so that a job does not preempt again with each report.
+    fn can_preempt(&self, job: &Job) -> bool {
         let policy = &self.setup.policy.preemption;
         let again = |at: Mono| self.now.since(at) >= policy.stop_time;
         policy.on && job.priority == 0 && job.preempted_at.is_none_or(again)
     }
 
-    /// Whether a task of a step still ends in time if it starts once a stop is confirmed, and would not if it waited
-    /// much longer. Stops cost work, and most urgent jobs find room in time without them.
-    fn is_last_call(&self, job: &Job, step: u32) -> bool {
+    /// Returns whether a task of a step can still end in time if it starts once a preemption is confirmed,
+    /// but not if it waits much longer. Preemption loses work, and most urgent jobs find capacity in time
+    /// without it.
+    fn is_preemption_due(&self, job: &Job, step: u32) -> bool {
         let policy = &self.setup.policy.preemption;
         let latest = job.objective_at - job.chain[step as usize];
         let confirmed = self.now + policy.stop_time;
         confirmed <= latest && latest <= confirmed + policy.margin
     }
 
-    /// What is free at each executor or may be cleared there, less what is planned, in thousandths of a core.
-    fn preemptible_rooms(&self, job: &Job, plan: &[Placing]) -> Vec<(ExecutorKey, i64)> {
+    /// Returns the free plus the preemptible CPU of each executor, less what is planned, in thousandths of a
+    /// core. Executors without preemptible CPU are left out.
+    fn preemptible_cpu(&self, job: &Job, plan: &[Placing]) -> Vec<(ExecutorKey, i64)> {
         let barred = self.excluded_executors(&job.request.queue);
         let mut rooms = Vec::new();
         for key in &self.cell.executors {
             let executor = &self.executors[*key];
-            let well = !executor.slow && !executor.report.suspect;
+            let healthy = !executor.slow && !executor.report.suspect;
             let preemptible = i64::from(executor.report.preemptible_cpu_milli);
             let takes = executor.accepts_tasks(self.now, &job.service) && !barred.contains(key);
-            if !well || !takes || preemptible == 0 {
+            if !healthy || !takes || preemptible == 0 {
                 continue;
             }
             let mut room = executor.free.cpu_milli + preemptible;
@@ -103,8 +108,8 @@
         rooms
     }
 
-    /// The executor with the most room of those that can take a task.
-    fn most_preemptible(
+    /// Returns the executor with the most free and preemptible CPU of those that can take a task.
+    fn best_preemptible(
         &self,
         job: &Job,
         at: usize,
@@ -124,7 +129,7 @@
         able.max_by_key(|(_, room)| *room).map(|(key, _)| *key)
     }
 
-    /// Takes note of the tasks of a plan for which runs may be stopped.
+    /// Logs the tasks of a plan for which runs may be preempted, and records the time in the job.
     pub(super) fn note_preempting(&mut self, job: &mut Job, plan: &[Placing]) {
         let mut names: Vec<&str> = Vec::new();
         let preempting = plan.iter().filter(|p| p.preempts);
--- a/lib/src/dispatch/scheduler/silent.rs
+++ b/lib/src/dispatch/scheduler/silent.rs
@@ -45,10 +45,10 @@
     /// The same, by what it has said here.
     fn is_accounted_here(&self, executor: &ExecutorView) -> bool {
         let policy = self.setup.policy.recovery;
-        let last_heard = executor.last_heard.max(executor.asked_at);
+        let heard = executor.last_heard.max(executor.asked_at);
         policy.on
             && executor.accounted
-            && self.silence(last_heard) >= policy.silent
+            && self.silence(heard) >= policy.silent
             && self.have_met(executor.owners())
     }
 
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -1,4 +1,7 @@
-//! What a scheduler makes of the workers' speeds: when a task would end where, and who is sick.
+//! Uses the workers' speeds: predicts when a task would end at which worker, and detects degraded workers.
+//!
+//! Input is the slowness that executors report, in percent, compared with the mean speed of the fleet.
+//! Unless `speeds.on` is set, the speeds of workers and their distances to data are ignored.
 
 use std::collections::BTreeSet;
 
@@ -15,38 +18,39 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// What the speeds say of a worker as the place of a task.
+/// How well a worker suits a task by its speed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fit {
-    /// The task ends in time there. The score favours slow workers, so that fast ones stay free.
+    /// The task would end in time there. The score prefers slow workers, so that fast ones stay free.
     InTime(f64),
-    /// It does not. The score favours those at which it ends first.
+    /// The task would end too late there. The score prefers the workers at which it ends first.
     Late(f64),
 }
 
 impl Scheduler {
-    fn by_speed(&self) -> bool {
+    /// Returns whether tasks are placed by the speed of the workers.
+    fn is_speed_aware(&self) -> bool {
         self.setup.policy.speeds.on
     }
 
-    /// The policy by which a job's latest start goes. Where speeds are known nothing is set aside for slow workers: a
-    /// job goes to those at which it still ends in time.
+    /// Returns the policy that determines the latest start of a job. If tasks are placed by speed, no time is
+    /// reserved for slow workers, because a job is placed at workers where it still ends in time.
     pub(super) fn admission(&self) -> Admission {
         let mut policy = self.setup.policy.admission;
-        if self.by_speed() {
+        if self.is_speed_aware() {
             policy.slow_allowance = 1.0;
         }
         policy
     }
 
-    /// How many times as long a step's task takes at a worker as at one of mean speed near its data.
-    fn factor(&self, executor: &ExecutorView, step: &Step) -> f64 {
+    /// Returns how many times as long a step's task takes at a worker as at one of mean speed near its data.
+    fn duration_factor(&self, executor: &ExecutorView, step: &Step) -> f64 {
         let own = executor.report.slowness_percent;
-        self.speeds.relative(own) * self.far_factor(executor, step)
+        self.speeds.relative(own) * self.distance_factor(executor, step)
     }
 
-    /// How many times as long a step's task takes at a worker for being far from its data.
-    fn far_factor(&self, executor: &ExecutorView, step: &Step) -> f64 {
+    /// Returns how many times as long a step's task takes at a worker because of its distance to the data.
+    fn distance_factor(&self, executor: &ExecutorView, step: &Step) -> f64 {
         let near = step.rack.is_empty() || executor.profile.labels.contains(&step.rack);
         if near {
             1.0
@@ -55,22 +59,23 @@
         }
     }
 
-    /// How a worker fits a task of a step, if tasks are placed by speed.
+    /// Returns how well a worker suits a task of a step; `None` if tasks are not placed by speed.
     pub(super) fn fit(&self, job: &Job, step: u32, executor: &ExecutorView) -> Option<Fit> {
-        if !self.by_speed() {
+        if !self.is_speed_aware() {
             return None;
         }
         let policy = &self.setup.policy.speeds;
-        let factor = self.factor(executor, &job.request.steps[step as usize]);
-        let outlook = self.outlook(job, step);
-        if outlook.is_in_time(factor, policy.error) {
+        let factor = self.duration_factor(executor, &job.request.steps[step as usize]);
+        let timing = self.task_timing(job, step);
+        if timing.is_in_time(factor, policy.error) {
             let own = self.speeds.relative(executor.report.slowness_percent);
             return Some(Fit::InTime((own - 1.0) * policy.keep_fast));
         }
-        Some(Fit::Late(-outlook.run_time(factor).as_secs_f64()))
+        Some(Fit::Late(-timing.run_time(factor).as_secs_f64()))
     }
 
-    fn outlook(&self, job: &Job, step: u32) -> Outlook {
+    /// Returns the expected time of a task of a step, and the time that is left for it.
+    fn task_timing(&self, job: &Job, step: u32) -> Outlook {
         let expected = job.expected[step as usize];
         let after = job.chain[step as usize].saturating_sub(expected);
         Outlook {
@@ -80,64 +85,66 @@
         }
     }
 
-    /// Whether a worker is to be tried though tasks would be late there: it does nothing, so that nobody would
-    /// notice if it were well again.
+    /// Returns whether a slow and idle worker should get a task on trial although the task would be late
+    /// there. Otherwise nobody would notice that it has recovered.
     pub(super) fn needs_probe(&self, executor: &ExecutorView) -> bool {
         let own = self.speeds.relative(executor.report.slowness_percent);
         let idle = executor.free.cpu_milli >= i64::from(executor.capacity.cpu_milli);
         idle && own >= self.setup.policy.speeds.sick_ratio
     }
 
-    /// How long a task of a step is expected to run at a worker of mean speed that is as far from its data, which is
-    /// what the worker's own speed is read against.
+    /// Returns how long a task of a step is expected to run at a worker of mean speed at the same distance to
+    /// the data. The executor measures its worker's speed against this time.
     pub(super) fn expected_at(&self, job: &Job, step: u32, key: ExecutorKey) -> Duration {
         let expected = job.expected[step as usize];
-        if !self.by_speed() {
+        if !self.is_speed_aware() {
             return expected;
         }
         let s = &job.request.steps[step as usize];
-        expected.mul_f64(self.far_factor(&self.executors[key], s))
+        expected.mul_f64(self.distance_factor(&self.executors[key], s))
     }
 
-    /// The latest start at which a task of a step is in time at a worker.
+    /// Returns the latest start at which a task of a step still ends in time at a worker.
     pub(super) fn latest_at(&self, job: &Job, step: u32, key: ExecutorKey) -> Mono {
         let ordinary = job.objective_at - job.chain[step as usize];
-        if !self.by_speed() {
+        if !self.is_speed_aware() {
             return ordinary;
         }
         let expected = job.expected[step as usize];
         let s = &job.request.steps[step as usize];
-        let here = expected.mul_f64(self.factor(&self.executors[key], s));
+        let here = expected.mul_f64(self.duration_factor(&self.executors[key], s));
         ordinary + expected - here
     }
 
-    /// What a run's time is to be divided by to say what it would have been at a worker of mean speed near its data.
+    /// Returns the divisor that converts a run's time to the time at a worker of mean speed near the data.
     pub(super) fn run_factor(&self, key: ExecutorKey, step: &Step) -> f64 {
         match self.executors.get(key) {
-            Some(executor) if self.by_speed() => self.factor(executor, step),
+            Some(executor) if self.is_speed_aware() => self.duration_factor(executor, step),
             _ => 1.0,
         }
     }
 
-    /// For the log: how slow a worker is and whether it is far from the data; empty if that does not count.
+    /// Formats a worker's speed and distance to the data for a log line; empty if tasks are not placed by
+    /// speed.
     pub(super) fn speed_words(&self, job: &Job, step: u32, key: ExecutorKey) -> String {
-        if !self.by_speed() {
+        if !self.is_speed_aware() {
             return String::new();
         }
         let executor = &self.executors[key];
         let s = &job.request.steps[step as usize];
         let own = self.speeds.relative(executor.report.slowness_percent);
-        let far = self.far_factor(executor, s);
+        let far = self.distance_factor(executor, s);
         let time = job.expected[step as usize].mul_f64(own * far);
         let time = crate::clock::millis(time);
         format!(", slowness {own:.2}, far {far:.1}, {time} ms expected")
     }
 
-    /// Judges whether an executor that has just reported is far slower than it is used to be; false if that is
-    /// not known of it.
+    /// Updates whether the worker of an executor that has just reported is degraded, which means far slower
+    /// than usual. Returns false, and changes nothing, if its speed is unknown or tasks are not placed by
+    /// speed.
     pub(super) fn judge_usual(&mut self, key: ExecutorKey) -> bool {
         let percent = self.executors[key].report.slowness_percent;
-        if !self.by_speed() || percent == 0 {
+        if !self.is_speed_aware() || percent == 0 {
             return false;
         }
         let now = self.now;
@@ -146,11 +153,11 @@
         let gap = now.since(executor.judged_at);
         executor.judged_at = now;
         executor.usual.note(percent, gap, &policy);
-        let sick = executor.usual.is_sick(percent, executor.slow, &policy);
-        if sick != executor.slow {
-            executor.slow = sick;
+        let degraded = executor.usual.is_sick(percent, executor.slow, &policy);
+        if degraded != executor.slow {
+            executor.slow = degraded;
             let detail = format!("{}: slowness {percent} %", executor.name);
-            let kind = if sick {
+            let kind = if degraded {
                 Kind::WorkerSlower
             } else {
                 Kind::WorkerSteady
@@ -160,8 +167,10 @@
         true
     }
 
-    /// Whether a job that has not found all its room leaves some to those behind it: it waits by choice, and they may
-    /// have what it would be late at. The rest stays its own, or a stream of patient jobs would keep it waiting.
+    /// Restricts the jobs behind one that waits by choice to the executors at which it would be late, and
+    /// returns whether there are any. It keeps the other executors to itself, because a steady stream of
+    /// patient jobs would keep it waiting otherwise. Returns false, and changes nothing, for a job that does
+    /// not wait by choice.
     pub(super) fn leaves_room(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(&number).filter(|j| j.held_back) else {
             return false;
@@ -174,19 +183,20 @@
             let fit = self.fit(job, task.step, &self.executors[*key]);
             matches!(fit, Some(Fit::Late(_))) && self.is_spared(*key)
         };
-        let spared: BTreeSet<ExecutorKey> =
+        let allowed: BTreeSet<ExecutorKey> =
             self.cell.executors.iter().copied().filter(late).collect();
-        let some = !spared.is_empty();
-        self.spared = Some(spared);
-        some
+        let found = !allowed.is_empty();
+        self.spared = Some(allowed);
+        found
     }
 
-    /// Whether jobs that are more urgent leave the room at an executor to others.
+    /// Returns whether the jobs before it in this round allow a job to use an executor.
     pub(super) fn is_spared(&self, key: ExecutorKey) -> bool {
         self.spared.as_ref().is_none_or(|keys| keys.contains(&key))
     }
 
-    /// Notes that tasks of a job wait although there is room, since they would be late there.
+    /// Counts and logs that tasks of a job wait although there is free capacity, because they would be late
+    /// there.
     pub(super) fn hold_back(&mut self, number: JobNumber) {
         self.counts.held_back += 1;
         self.log(Kind::JobHeldBack, number.to_string());
