--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -151,7 +151,7 @@
     }
 
     /// Hands off up to `most` jobs of a priority, those that would be placed last first, because they gain
-    /// most. Compares the work that these jobs wait behind, which is that of their own and more urgent
+    /// most. Compares the demand that these jobs wait behind, which is that of their own and more urgent
     /// priorities. Returns the number of jobs that were handed off.
     fn balance_priority(&mut self, priority: u32, names: &[String], most: usize) -> usize {
         let loads = names.iter().enumerate().map(|(key, name)| Candidate {
@@ -163,19 +163,19 @@
             return 0;
         }
         let last = self.waiting.iter().rev();
-        let going = last.filter(|(_, at, number)| self.can_hand_off(*number, *at));
-        let going = going.map(|w| w.2);
-        let going = going.filter(|number| self.jobs[number].priority == priority);
-        let going: Vec<JobNumber> = going.take(most).collect();
-        let mut gone = 0;
-        for number in going {
+        let candidates = last.filter(|(_, at, number)| self.can_hand_off(*number, *at));
+        let candidates = candidates.map(|w| w.2);
+        let candidates = candidates.filter(|number| self.jobs[number].priority == priority);
+        let candidates: Vec<JobNumber> = candidates.take(most).collect();
+        let mut count = 0;
+        for number in candidates {
             let size = self.jobs[&number].ready_cpu();
             if let Some(key) = spread.assign(size, &mut self.rng) {
                 self.hand_off_waiting(number, &names[key]);
-                gone += 1;
+                count += 1;
             }
         }
-        gone
+        count
     }
 
     /// Returns the peers that jobs may be handed off to. Only peers that were heard within two heartbeats are
@@ -194,8 +194,9 @@
     }
 
     /// Returns whether a job that must begin by `at` may be handed off. It must have waited long enough,
-    /// leave enough time for the way, and be known to this scheduler only: a job that a peer follows was
-    /// handed off to this scheduler, or submitted at the peer too, and stays.
+    /// leave enough time for the transfer, and be known to this scheduler only: a job that a peer follows was
+    /// handed off to this scheduler, or submitted at the peer too, and stays. Jobs of confined queues and
+    /// those that have to be claimed again stay as well.
     fn can_hand_off(&self, number: JobNumber, at: Mono) -> bool {
         let policy = self.setup.policy.balance;
         let Some(job) = self.jobs.get(&number) else {
@@ -240,7 +241,7 @@
         self.following.insert(number, following);
     }
 
-    /// Tells the peer that a job was handed off to that no caller waits for it here any more.
+    /// Informs the peer to which a job was handed off that no caller waits for it here any more.
     pub(super) fn unfollow(&mut self, name: &str, number: JobNumber) {
         if !self.setup.policy.balance.on {
             return;
@@ -258,8 +259,8 @@
         };
         let before = job.followers.len();
         job.followers.retain(|f| f != name);
-        let left = job.followers.len() < before;
-        if left && job.followers.is_empty() && job.callers.is_empty() {
+        let unfollowed = job.followers.len() < before;
+        if unfollowed && job.followers.is_empty() && job.callers.is_empty() {
             self.count_cause("caller-left");
             self.end_job(number, JobOutcome::Unknown, "caller-left");
             self.place();
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -5,7 +5,7 @@
 //! then: three such jobs a second keep nearly all of eleven workers down, and the jobs of all other queues
 //! fail with them.
 //!
-//! Executors attribute each crash proportionally to the runs that began just before it. When most of the
+//! Executors divide the blame for each crash among the runs that began just before it. When most of the
 //! recent blame falls on one queue, and more than its share of all starts explains, its tasks are placed only
 //! at a fixed part of the workers, and those of all other queues only at the rest, until there have been no
 //! such crashes for a while. A crash then affects only tasks of the same queue. The workers are chosen by a
@@ -160,7 +160,8 @@
         self.add_blame(&blame.queue, blame.blame);
     }
 
-    /// Confines a queue that a peer had confined before the link to it came up, for the remaining time.
+    /// Confines a queue that a peer had confined before the link to it came up, for the remaining time,
+    /// at most the configured one.
     pub(super) fn handle_confined_queue(&mut self, confined: &proto::ConfinedQueue) {
         let longest = self.setup.policy.bulkheads.open_after;
         let remaining = Duration::from_millis(u64::from(confined.remaining_ms));
--- a/lib/src/dispatch/scheduler/cell.rs
+++ b/lib/src/dispatch/scheduler/cell.rs
@@ -19,8 +19,8 @@
 use crate::prelude::*;
 
 /// The delay after which tasks are placed at an executor that was added to the cell, in a fleet larger than
-/// one cell. By then the executor has told all other schedulers that this one may place tasks there: it does
-/// so 20 ms later, with the next message on each link, which is due every 100 ms.
+/// one cell. By then the executor has reported to all other schedulers that this one may place tasks there:
+/// it does so 20 ms later, with the next message on each link, which is due every 100 ms.
 pub(super) const CELL_JOIN_DELAY: Duration = Duration::from_millis(200);
 
 /// The executors in the cell, and what they were selected by.
@@ -55,9 +55,9 @@
         if ranks.len() > size {
             ranks.select_nth_unstable(size - 1);
         }
-        let (home, others) = ranks.split_at(ranks.len().min(size));
+        let (core, others) = ranks.split_at(ranks.len().min(size));
         self.cell.executors.clear();
-        for (_, key) in home {
+        for (_, key) in core {
             self.executors[*key].core_member = true;
             self.add_to_cell(*key);
         }
@@ -95,7 +95,7 @@
     /// Adds an executor to the cell, and ends its standby.
     fn add_to_cell(&mut self, key: ExecutorKey) {
         self.cell.executors.push(key);
-        let settle = if self.is_single_cell() {
+        let delay = if self.is_single_cell() {
             Duration::ZERO
         } else {
             CELL_JOIN_DELAY
@@ -103,14 +103,14 @@
         let executor = &mut self.executors[key];
         if std::mem::replace(&mut executor.standby, false) {
             executor.asked_at = self.now;
-            executor.usable_at = self.now + settle;
+            executor.usable_at = self.now + delay;
             self.pending.push(key);
         }
     }
 
     /// Borrows some executors outside the cell for a while, because jobs wait for which the cell has no
     /// capacity. Draws twice as many ready executors at random, and takes those with the most free CPU by
-    /// their last reports.
+    /// their last reports. Does nothing if the previous loan has not expired yet.
     pub(super) fn borrow_executors(&mut self) {
         let now = self.now;
         let policy = self.setup.policy.cells;
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -216,11 +216,12 @@
 
     /// Returns the free CPU in the cell at executors where tasks may be placed now.
     fn free_cell_cpu(&self) -> u64 {
-        let near = self.cell.executors.iter().map(|key| &self.executors[*key]);
-        let open = near.filter(|e| e.accepts_tasks(self.now, &e.profile.service));
+        let cell = self.cell.executors.iter().map(|key| &self.executors[*key]);
+        let open = cell.filter(|e| e.accepts_tasks(self.now, &e.profile.service));
         open.map(|e| e.free.cpu_milli.max(0) as u64).sum()
     }
 
+    /// Returns the free CPU in the cell, and the CPU in use at all linked executors that are ready.
     fn cpu_usage(&self) -> CpuUsage {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         let ready = linked.filter(|e| e.report.ready && !e.evacuated);
@@ -393,6 +394,7 @@
         }
     }
 
+    /// Logs the work ahead of a job, and when the job would have started.
     fn log_work_ahead(&mut self, job: &Job) {
         let policy = self.setup.policy.contention;
         let class = self.contention.class(job, &policy);
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -27,7 +27,7 @@
     pub incarnation: u64,
     pub link: Option<LinkId>,
     pub linked_at: Mono,
-    /// When the last message from it arrived.
+    /// When it was last heard, by a message or a greeting. `detach_link` may move it to a later time.
     pub last_heard: Mono,
     /// The executor's newest clock reading, which is echoed to it.
     pub clock_us: u64,
@@ -73,7 +73,7 @@
     pub usual: Usual,
     /// When `usual` was last updated.
     pub judged_at: Mono,
-    /// Whether it has reported, in this incarnation, that nothing runs there and nothing will be started any
+    /// Whether its last update on this link said that nothing runs there and nothing will be started any
     /// more.
     pub departed: bool,
     /// Whether its availability zone is evacuated.
--- a/lib/src/dispatch/scheduler/fleet.rs
+++ b/lib/src/dispatch/scheduler/fleet.rs
@@ -1,8 +1,8 @@
 //! The executors that a scheduler knows: links, updates, and executors that are given up.
 //!
 //! Input are greetings, updates and link losses of executors, and names of executors from peers and the
-//! store. Tasks of an executor that has been silent for the lapse are treated as lost, since nothing runs
-//! there by then for this scheduler.
+//! store. Tasks of an executor that has been silent for `SchedulerSetup::lapse` are treated as lost, since
+//! nothing runs there by then for this scheduler.
 
 use slotmap::new_key_type;
 
@@ -85,13 +85,13 @@
     /// Returns whether an executor is linked, has departed, or is silent but accounted for: all schedulers
     /// for which tasks may still run there are linked here and have listed their jobs.
     pub(super) fn is_linked_or_accounted(&self, name: &str) -> bool {
-        let met = |e: &ExecutorView| e.link.is_some() || e.departed || self.is_accounted(e);
+        let accounted = |e: &ExecutorView| e.link.is_some() || e.departed || self.is_accounted(e);
         let key = self.named.get(name);
-        key.is_some_and(|key| met(&self.executors[*key]))
+        key.is_some_and(|key| accounted(&self.executors[*key]))
     }
 
-    /// Adds executors that a peer or the store has named, so that claims count those that can't be reached
-    /// from here. They count as silent for the lapse already.
+    /// Adds executors that a peer or the store has named, so that claims take those into account that
+    /// can't be reached from here. They count as silent for `SchedulerSetup::lapse` already.
     pub(super) fn record_executors(&mut self, names: &[String]) {
         for name in names {
             if self.named.contains_key(name) {
@@ -120,7 +120,7 @@
         executor.last_heard = now;
         executor.clock_us = executor.clock_us.max(update.clock_us);
         executor.departed = update.departed;
-        // Executors on standby report seldom, so their last word may be outdated.
+        // Executors on standby report seldom, so their last update may be outdated.
         executor.accounted = update.accounted && !executor.standby;
         executor.newcomers = update.newcomers;
         if let Some(profile) = update.profile {
@@ -211,8 +211,9 @@
         self.refresh_doubt();
     }
 
-    /// Closes silent links, treats the tasks of executors as lost that have been silent for the lapse, and
-    /// forgets executors that have been silent for long and are not in the roster.
+    /// Closes silent links, treats the tasks of executors as lost that have been silent for
+    /// `SchedulerSetup::lapse`, and forgets executors that have been silent for long and are not in the
+    /// roster.
     pub(super) fn watch_executors(&mut self) {
         let keys: Vec<ExecutorKey> = self.executors.keys().collect();
         for key in keys {
@@ -234,6 +235,7 @@
         }
     }
 
+    /// Removes an executor.
     fn forget_executor(&mut self, key: ExecutorKey) {
         self.unlink_executor(key);
         if let Some(executor) = self.executors.remove(key) {
@@ -241,6 +243,7 @@
         }
     }
 
+    /// Returns whether the store's list of executors contains an executor; false while the list is not known.
     fn is_in_roster(&self, key: ExecutorKey) -> bool {
         let name = &self.executors[key].name;
         self.roster.as_ref().is_some_and(|r| r.contains(name))
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -22,12 +22,12 @@
     /// Further open links, such as the second one if both sides connect at the same time.
     pub spare_links: Vec<LinkId>,
     pub incarnation: u64,
-    /// When it first linked with another incarnation than the one known before.
+    /// When it first linked with its current incarnation, if an earlier one was known.
     pub restarted_at: Option<Mono>,
     pub address: String,
-    /// When the last message from it arrived.
+    /// When it was last heard, by a message or a greeting.
     pub last_heard: Mono,
-    /// Whether its first update on the current link has arrived. That update lists the jobs that it holds.
+    /// Whether its first update on the newest link has arrived. That update lists the jobs that it holds.
     pub has_reported: bool,
     /// When its last link broke unexpectedly: it had been heard just before and had not announced that it
     /// leaves.
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Handles the loss of a link. Links that were closed from this side are no longer registered and
-    /// ignored.
+    /// Handles the loss of a link. Ignores links that were closed from this side, as they are no longer
+    /// registered.
     pub fn link_down(&mut self, now: Mono, link: LinkId) {
         self.enter(now);
         match self.ends.remove(&link) {
@@ -316,7 +316,7 @@
 
     /// Sends the updates and heartbeats that are due. Urgent updates and changed zones go out immediately,
     /// announced jobs after a minimum interval that grows with the number of linked peers, and the rest with
-    /// the next heartbeat.
+    /// the next update that is due.
     pub(super) fn flush_peers(&mut self) {
         let now = self.now;
         let reports = self.setup.policy.reports;
