--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -218,7 +218,7 @@
     /// Load pattern: one of 55 schedulers is lost, and for half a second each new job at each of the others is
     /// claimed. At all of 240 executors that is 300,000 claims; at those that list the lost one it is a fifth. A
     /// scheduler places tasks at an executor once that has had the time to list it for all others
-    /// ([`CELL_JOIN_DELAY`](super::cell::CELL_SETTLE)).
+    /// ([`CELL_JOIN_DELAY`](super::cell::CELL_JOIN_DELAY)).
     fn reach_of_lost(&self) -> Vec<ExecutorKey> {
         let bound = self.setup.policy.claims.link_lost;
         let recent = |at: Mono| self.now.since(at) < bound;
