--- a/lib/src/dispatch/crashes.rs
+++ b/lib/src/dispatch/crashes.rs
@@ -1,32 +1,33 @@
-//! Which task is to blame when a worker crashes, and when such a task is given up.
+//! Determines which task causes worker crashes, and when such a task is given up.
 //!
-//! Load pattern: one task among thousands takes down each worker that starts it, for seconds, with all that runs
-//! there. At the first crash any of the runs there may be the cause; nothing can be told from one.
+//! Load pattern: one task among thousands crashes every worker that starts it, for seconds, along with all
+//! other runs there. After a single crash any of the runs may be the cause.
 //!
-//! Decision: the runs that began just before a crash are its suspects. Each is tried again, and at no worker together with
-//! another suspect; if that worker crashes as well, the suspect there is the cause and is given up. No room is set aside,
-//! and a task that was beside the cause is cleared by its next run. A task that crashes workers late in its run is
-//! given up after [`most`](crate::dispatch::policy::Crashes::most) crashes, whatever began beside it.
+//! Decision: the runs that started shortly before a crash are suspects. Each is tried again, never at the
+//! same time as another suspect at one worker; if that worker crashes too, its suspect is the cause and is
+//! given up. No capacity is reserved for this, and a task that ran beside the cause is cleared by its next
+//! run. A task that crashes workers late in its run is given up after
+//! [`most`](crate::dispatch::policy::Crashes::most) crashes, whatever started beside it.
 
 use crate::dispatch::policy::Crashes;
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// What is known of a task from workers that crashed while it ran there.
+/// The crash history of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// How many workers have crashed while it ran there.
+    /// The number of worker crashes during its runs.
     pub count: u32,
-    /// Whether it may have been the cause of one.
+    /// Whether it may have caused one of them.
     pub suspect: bool,
-    /// Whether it was the cause.
+    /// Whether it is known to be the cause.
     pub proven: bool,
-    /// How many have crashed while a start of it had no answer yet: it may never have arrived.
+    /// The number of worker crashes while its start was unanswered, so that it may not have run there.
     pub unsure: u32,
 }
 
 impl CrashRecord {
-    /// Reads it from a message; an absent one says that nothing is known.
+    /// Converts from a message; an absent one means an empty history.
     pub fn from_proto(record: Option<proto::CrashRecord>) -> CrashRecord {
         let r = record.unwrap_or_default();
         CrashRecord {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// As it travels; nothing where nothing is known.
+    /// Converts to a message; `None` for an empty history.
     pub fn proto(self) -> Option<proto::CrashRecord> {
         (self != CrashRecord::default()).then_some(proto::CrashRecord {
             count: self.count,
@@ -47,8 +48,8 @@
         })
     }
 
-    /// What two processes know of the same task. Each count includes what was known when the task
-    /// was sent on, so the larger one includes the smaller.
+    /// Merges the records that two processes have of the same task. Each record includes what was known when
+    /// the task was forwarded, so the larger count includes the smaller.
     pub fn merge(self, other: CrashRecord) -> CrashRecord {
         CrashRecord {
             count: self.count.max(other.count),
@@ -58,14 +59,15 @@
         }
     }
 
-    /// Whether the task is not started any more.
+    /// Returns whether the task is given up: it must not be started any more.
     pub fn is_given_up(self, policy: &Crashes) -> bool {
         let all = self.count.saturating_add(self.unsure);
         self.proven || self.count >= policy.most || all >= policy.most_unsure
     }
 
-    /// The record after one more crash.
-    fn after(self, blamed: bool, alone: bool, policy: &Crashes) -> CrashRecord {
+    /// Returns the record after one more crash. `alone` tells whether the task is the only suspect of that
+    /// crash.
+    fn after_crash(self, blamed: bool, alone: bool, policy: &Crashes) -> CrashRecord {
         let count = self.count.saturating_add(1);
         CrashRecord {
             count,
@@ -75,8 +77,8 @@
         }
     }
 
-    /// The record after a crash by which the run may not have arrived.
-    fn after_unsure(self) -> CrashRecord {
+    /// Returns the record after a crash before which the run may not have arrived.
+    fn after_unsure_crash(self) -> CrashRecord {
         CrashRecord {
             suspect: true,
             unsure: self.unsure.saturating_add(1),
@@ -85,26 +87,30 @@
     }
 }
 
-/// A run that was at a worker when it crashed.
+/// A run that was lost in a worker crash.
 #[derive(Clone, Copy, Debug)]
 pub struct LostRun {
     /// How long it had run.
     pub age: Duration,
-    /// Whether it is known to have been there. The start of a task that takes its worker down at once gets no answer,
-    /// and so does one that never arrived.
+    /// Whether it is known to have run there. A start that crashes its worker at once gets no answer, and
+    /// neither does one that never arrived.
     pub certain: bool,
-    /// What was known of its task before.
+    /// The record of its task before the crash.
     pub record: CrashRecord,
 }
 
 impl LostRun {
+    /// Returns whether the run started shortly before the crash.
     fn is_young(&self, policy: &Crashes) -> bool {
         self.age < policy.window
     }
 }
 
-/// What is known of each run's task after the crash of the worker at which they were.
-pub fn judge(runs: &[LostRun], policy: &Crashes) -> Vec<CrashRecord> {
+/// Returns the record of each run's task after a crash of their worker.
+///
+/// If young runs include earlier suspects, only these are blamed; otherwise all young runs are, or without
+/// any, all runs that are known to have run there.
+pub fn update_records(runs: &[LostRun], policy: &Crashes) -> Vec<CrashRecord> {
     let young = |r: &LostRun| r.certain && r.is_young(policy);
     let on_trial = |r: &LostRun| r.record.suspect && young(r);
     let blamed: Vec<bool> = if runs.iter().any(on_trial) {
@@ -115,14 +121,14 @@
         runs.iter().map(|r| r.certain).collect()
     };
     let alone = blamed.iter().filter(|b| **b).count() == 1;
-    let after = |(run, blamed): (&LostRun, bool)| {
+    let after_crash = |(run, blamed): (&LostRun, bool)| {
         if run.certain {
-            run.record.after(blamed, alone, policy)
+            run.record.after_crash(blamed, alone, policy)
         } else {
-            run.record.after_unsure()
+            run.record.after_unsure_crash()
         }
     };
-    runs.iter().zip(blamed).map(after).collect()
+    runs.iter().zip(blamed).map(after_crash).collect()
 }
 
 #[cfg(test)]
--- a/lib/src/dispatch/crashes/tests.rs
+++ b/lib/src/dispatch/crashes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of who is blamed for a crash.
+//! Tests of which task is blamed for a crash.
 
 use super::*;
 
@@ -24,77 +24,80 @@
 };
 
 #[test]
-fn test_judge_suspects_the_young_runs_of_a_first_crash() {
+fn test_update_records_first_crash() {
     let policy = Crashes::default();
-    let judged = judge(&[run(10, FRESH), run(150, FRESH), run(800, FRESH)], &policy);
-    assert_eq!(judged[..2], [SUSPECT, SUSPECT]);
-    let passenger = CrashRecord { count: 1, ..FRESH };
-    assert_eq!(judged[2], passenger, "it ran for long before the crash");
-    assert!(judged.iter().all(|r| !r.is_given_up(&policy)));
+    let updated = update_records(&[run(10, FRESH), run(150, FRESH), run(800, FRESH)], &policy);
+    assert_eq!(updated[..2], [SUSPECT, SUSPECT]);
+    let bystander = CrashRecord { count: 1, ..FRESH };
+    assert_eq!(updated[2], bystander, "it started long before the crash");
+    assert!(updated.iter().all(|r| !r.is_given_up(&policy)));
 }
 
 #[test]
-fn test_judge_blames_the_suspect_of_a_second_crash_alone() {
+fn test_update_records_second_crash() {
     let policy = Crashes::default();
-    let judged = judge(&[run(10, SUSPECT), run(5, FRESH), run(800, FRESH)], &policy);
-    assert!(judged[0].is_given_up(&policy));
-    assert!(!judged[1].suspect && !judged[2].suspect);
+    let updated = update_records(&[run(10, SUSPECT), run(5, FRESH), run(800, FRESH)], &policy);
+    assert!(updated[0].is_given_up(&policy));
+    assert!(!updated[1].suspect && !updated[2].suspect);
 }
 
 #[test]
-fn test_judge_does_not_decide_between_two_suspects() {
+fn test_update_records_two_suspects() {
     let policy = Crashes::default();
-    let judged = judge(&[run(10, SUSPECT), run(5, SUSPECT)], &policy);
+    let updated = update_records(&[run(10, SUSPECT), run(5, SUSPECT)], &policy);
     assert!(
-        judged
+        updated
             .iter()
             .all(|r| r.count == 2 && !r.is_given_up(&policy))
     );
 }
 
 #[test]
-fn test_judge_clears_a_suspect_that_has_run_for_long() {
+fn test_update_records_old_suspect() {
     let policy = Crashes::default();
-    let judged = judge(&[run(600, SUSPECT), run(5, FRESH)], &policy);
-    assert!(!judged[0].is_given_up(&policy));
-    assert!(judged[1].suspect);
+    let updated = update_records(&[run(600, SUSPECT), run(5, FRESH)], &policy);
+    assert!(!updated[0].is_given_up(&policy));
+    assert!(updated[1].suspect);
 }
 
 #[test]
-fn test_judge_suspects_all_where_nothing_began_lately() {
+fn test_update_records_no_young_runs() {
     let policy = Crashes::default();
-    let judged = judge(&[run(600, FRESH), run(700, FRESH)], &policy);
-    assert!(judged.iter().all(|r| r.suspect));
+    let updated = update_records(&[run(600, FRESH), run(700, FRESH)], &policy);
+    assert!(updated.iter().all(|r| r.suspect));
 }
 
 #[test]
-fn test_judge_gives_up_what_was_at_too_many_crashes() {
+fn test_update_records_too_many_crashes() {
     let policy = Crashes::default();
     let mut late = FRESH;
     for crash in 1..=policy.most {
         assert!(!late.is_given_up(&policy), "before crash {crash}");
-        late = judge(&[run(900, late), run(5, FRESH)], &policy)[0];
+        late = update_records(&[run(900, late), run(5, FRESH)], &policy)[0];
     }
     assert!(late.is_given_up(&policy));
 }
 
-/// A start without an answer met the crash of a worker that another task took down: it never ran there, and was held to be
-/// the cause since it had been a suspect before.
+/// Guards against giving up a suspect whose unanswered start coincided with a crash that another task caused:
+/// it never ran there.
 #[test]
-fn test_judge_does_not_prove_a_run_that_may_never_have_arrived() {
+fn test_update_records_unanswered_start() {
     let policy = Crashes::default();
     let unsure = LostRun {
         certain: false,
         ..run(10, SUSPECT)
     };
-    let judged = judge(&[unsure, run(11, FRESH)], &policy);
-    assert!(!judged[0].is_given_up(&policy));
-    assert_eq!((judged[0].count, judged[0].unsure), (1, 1));
-    assert_eq!(judged[1], SUSPECT, "what surely was there is suspected");
+    let updated = update_records(&[unsure, run(11, FRESH)], &policy);
+    assert!(!updated[0].is_given_up(&policy));
+    assert_eq!((updated[0].count, updated[0].unsure), (1, 1));
+    assert_eq!(
+        updated[1], SUSPECT,
+        "a run that is known to have run there is suspected"
+    );
 }
 
 #[test]
-fn test_judge_gives_up_a_task_whose_starts_never_get_an_answer() {
+fn test_update_records_too_many_unanswered() {
     let policy = Crashes::default();
     let mut record = FRESH;
     let mut crashes = 0;
@@ -103,14 +106,14 @@
             certain: false,
             ..run(1, record)
         };
-        record = judge(&[unsure, run(300, FRESH)], &policy)[0];
+        record = update_records(&[unsure, run(300, FRESH)], &policy)[0];
         crashes += 1;
     }
     assert_eq!(crashes, policy.most_unsure);
 }
 
 #[test]
-fn test_crash_record_merges_what_two_processes_know() {
+fn test_crash_record_merge() {
     let proven = CrashRecord {
         count: 2,
         proven: true,
--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -1,9 +1,10 @@
-//! The executor's state machine: alone in giving orders to one worker.
+//! The executor's state machine: the only process that sends orders to one worker.
 //!
-//! It knows the worker's room exactly: room is taken when a start is sent and given back only
-//! when the worker has listed the end of the run, or when a confirmed stop makes sure that there
-//! is none. Schedulers hold leases here, measured on the executor's own clock from readings that
-//! they echo; what runs for a scheduler whose lease is over is stopped.
+//! Its input is messages from schedulers, heartbeats and replies from the worker, and the passing of time;
+//! its output is a list of [`Action`]s. The worker's allocated capacity is exact: it is taken when a start is
+//! sent, and released only when the worker lists the end of the run or when a confirmed stop rules out that
+//! it runs. Schedulers hold leases, which the executor measures on its own clock from the readings that they
+//! echo; runs of a scheduler whose lease has expired are stopped.
 
 mod calls;
 mod claims;
@@ -54,113 +55,118 @@
 pub use crate::dispatch::executor::calls::WorkerIncarnation;
 pub use crate::dispatch::executor::runs::RunState;
 
-/// The executor's settings that concern decisions.
+/// The settings that the executor's decisions depend on.
 #[derive(Clone, Debug)]
 pub struct ExecutorSetup {
-    /// Its name, unique among executors.
+    /// The executor's name, unique among executors.
     pub name: String,
-    /// Its availability zone.
+    /// The executor's availability zone.
     pub zone: String,
-    /// Drawn when the process starts.
+    /// A random number drawn when the process starts.
     pub incarnation: u64,
     /// When the process started.
     pub started: Mono,
-    /// A fencing token above those of earlier lives.
+    /// A fencing token above those of earlier incarnations.
     pub fence: u64,
-    /// How long a scheduler's lease lasts from the reading it echoes.
+    /// How long a scheduler's lease lasts from the clock reading that it echoes.
     pub lease: Duration,
-    /// How long the worker is asked to keep runs alive after a renewal. With the lease it must not
-    /// last longer than schedulers wait before they hold what was placed here to be over.
+    /// How long the worker keeps runs alive after a renewal. Together with `lease` it must not exceed the
+    /// time after which schedulers consider the runs of a silent executor ended.
     pub worker_hold: Duration,
-    /// How often the worker says what it is and has.
+    /// The interval of the worker's heartbeats.
     pub heartbeat: Duration,
-    /// The figures that decide.
+    /// The policy settings.
     pub policy: Policy,
 }
 
-/// What the executor wants done.
+/// A side effect that the caller carries out for the executor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message on a link.
     Send(LinkId, Box<proto::frame::Body>),
     /// Close a link.
     Close(LinkId),
-    /// Send a start to the worker and hand in the reply.
+    /// Send a start to the worker and pass the reply to [`Executor::handle_start_reply`].
     Start(StartCall),
-    /// Send a stop to the worker and hand in the reply.
+    /// Send a stop to the worker and pass the reply to [`Executor::handle_stop_reply`]: the id of the
+    /// worker's incarnation, the run and the fencing token.
     Stop(String, RunName, u64),
-    /// Send a hold to the worker and hand in the reply.
+    /// Send a hold to the worker and pass the reply to [`Executor::handle_hold_reply`].
     Hold(HoldCall),
-    /// Connect to schedulers that are not linked yet.
+    /// Connect to those of these schedulers that are not linked yet.
     Dial(Vec<proto::Member>),
-    /// Keep what the worker says of itself where the next life of this process finds it; nothing
-    /// if there is no worker.
+    /// Persist the worker's heartbeat for the next incarnation of this process; `None` if there is no worker.
     SaveHeartbeat(Option<WorkerHeartbeat>),
     /// Write a log line.
     Log(Event),
 }
 
-/// Counters, for metrics.
+/// Counters for the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExecutorCounts {
     /// Starts sent to the worker.
     pub starts: u64,
-    /// Starts that got no answer.
+    /// Starts that were not answered.
     pub unanswered_starts: u64,
     /// Stops sent to the worker.
     pub stops: u64,
-    /// Runs that ended whole.
+    /// Runs that completed.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
-    /// Runs that lapsed or were lost.
+    /// Runs that expired or were lost.
     pub lost: u64,
-    /// Runs that were at a worker when it crashed.
+    /// Runs that were lost because the worker crashed.
     pub crashed: u64,
-    /// Runs that stood still.
+    /// Runs that made no progress.
     pub stalled: u64,
-    /// Tasks handed back without having run.
+    /// Tasks returned without having run, and runs that ended by a stop order, a claim or a refused start.
     pub returned: u64,
-    /// Leases of schedulers that ran out.
+    /// Leases of schedulers that expired.
     pub expired_leases: u64,
-    /// Runs found at the worker that nobody here had started.
+    /// Runs that the worker listed and this executor had not started.
     pub unknown_runs: u64,
-    /// Ends of runs that are here still, passed over since ends with higher numbers had been taken note of.
+    /// Ends of runs that are still active here, skipped because ends with higher numbers had been processed
+    /// before.
     pub skipped_ends: u64,
-    /// Heartbeats that could not be read, or were not of the worker's life.
+    /// Heartbeats that could not be parsed or were not accepted.
     pub rejected_heartbeats: u64,
-    /// Runs that were stopped for more urgent tasks.
+    /// Runs that were preempted for more urgent tasks.
     pub preempted: u64,
-    /// The work of theirs that was thrown away, in thousandths of a core-second.
+    /// The work of preempted runs that was lost, in thousandths of a core-second.
     pub wasted_core_ms: u64,
-    /// How often the worker's speed has changed for good.
+    /// Lasting changes of the worker's speed.
     pub speed_changes: u64,
 }
 
-/// The worker's clock may be this much slow.
-const LAPSE_FACTOR: f64 = 1.1;
+/// Allowance for a slow worker clock: a span on the worker's clock lasts at most this many times as long on
+/// the executor's clock.
+const CLOCK_ALLOWANCE: f64 = 1.1;
 
-/// The worker, in its present life.
+/// The worker in its current incarnation.
 #[derive(Debug, Default)]
 struct Worker {
     heartbeat: WorkerHeartbeat,
-    /// When it last said what it is and has; none in a life that only its lists have told of yet.
+    /// When its last heartbeat arrived; `None` for an incarnation that is known only from the worker's lists.
     last_heartbeat: Option<Mono>,
-    /// Whether its lists have been read in this life, and nothing of an earlier executor runs.
+    /// Whether its lists have been read in this incarnation and no run of an earlier executor is left.
     reconciled: bool,
-    /// Whether it answered the last hold.
+    /// Whether it answers holds.
     responsive: bool,
-    /// When it first failed to answer, since it last did.
+    /// When it first failed to answer a hold, since its last answer.
     silent_since: Option<Mono>,
+    /// The reading of its clock in its last answer, in milliseconds, and when the answer arrived.
     clock: Option<(u64, Mono)>,
+    /// The highest number of an end that was processed.
     last_end: u64,
-    /// Whether something was started in this life, so that its service is one that is known.
+    /// Whether a run was started in this incarnation. From then on a heartbeat that names another service is
+    /// rejected.
     has_started: bool,
-    /// The last heartbeat with a lower number than the newest, and when it came.
+    /// A heartbeat with a lower sequence number than the newest, and when it arrived.
     lower_sequence: Option<(u64, Mono)>,
 }
 
-/// The executor.
+/// The executor's state.
 pub struct Executor {
     setup: ExecutorSetup,
     worker: Option<Worker>,
@@ -171,40 +177,42 @@
     sessions: BTreeMap<String, Session>,
     claims: BTreeMap<JobNumber, Claim>,
     crash_memory: CrashMemory,
-    /// The number of the last end told to any scheduler. It rises over all sessions, since a
-    /// scheduler may outlive its session here.
+    /// The number of the last end reported to any scheduler. It is counted across all sessions, since a
+    /// scheduler can outlive its session.
     last_end: u64,
-    /// Tells apart what schedulers are told seldom.
+    /// The hash of the current profile, to send a profile only when it has changed.
     profile_hash: u64,
-    /// The schedulers that hold leases here, by name, as they are told.
+    /// The names of the schedulers that hold leases, as published in the profile.
     leased: Vec<String>,
-    /// The incarnations of these, as they are told.
+    /// The incarnations of these schedulers, as published in the profile.
     owners: Vec<u64>,
-    /// Since when that may be out of date.
+    /// Since when the published leases may be outdated.
     stale_since: Option<Mono>,
     health: Health,
-    /// What stops for more urgent tasks may still throw away.
+    /// How much work preemption may still discard.
     preemption_budget: Budget,
-    /// Over all lives of the worker that this process has seen.
+    /// The worker's speed, over all of its incarnations that this process has seen.
     speed: SpeedEstimate,
     fence: u64,
-    /// How far it is raised next.
+    /// By how much the fencing token is raised next.
     fence_step: u64,
-    /// Since when runs may be at the worker that are not known here.
+    /// Since when the worker may have runs that are not known here.
     unreconciled_since: Mono,
-    /// Until when runs may be alive by what was ordered, even if the worker is never asked again.
+    /// Until when runs may be alive due to orders already sent, without any further renewal.
     keepalive_until: Mono,
-    /// Whether no run was found at the worker before it first said anything of itself.
+    /// Whether the worker was found to have no runs before its first heartbeat arrived.
     verified_idle: bool,
-    /// The life that is named by the hold that is under way, if it was sent before the worker
-    /// said anything; empty if it names none.
+    /// The incarnation id in the pending hold, if that hold only requests lists; an empty id names no
+    /// incarnation.
     probing: Option<String>,
-    /// What a worker said to an earlier life of this process. It is taken up if the worker is
-    /// still in that life.
+    /// The last heartbeat that an earlier incarnation of this process received. It is used if the worker
+    /// confirms that it is still in the incarnation that the heartbeat names.
     saved_heartbeat: Option<WorkerHeartbeat>,
+    /// Whether a hold was sent and not answered yet.
     hold_pending: bool,
-    /// Counts holds that were sent.
+    /// The number of holds sent.
     holds_sent: u64,
+    /// When the next hold is due.
     next_hold: Mono,
     leaving: bool,
     /// The newest record of its availability zone.
@@ -215,7 +223,7 @@
 }
 
 impl Executor {
-    /// An executor that knows nothing of its worker yet.
+    /// Creates an executor that knows nothing of its worker yet.
     pub fn new(setup: ExecutorSetup) -> Executor {
         Executor {
             fence: setup.fence,
@@ -253,32 +261,32 @@
         }
     }
 
-    /// Takes what is to be done.
+    /// Returns the actions to carry out, and clears them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub fn counts(&self) -> ExecutorCounts {
         self.counts
     }
 
-    /// How long runs take.
+    /// Returns the histograms of how long runs take.
     pub fn timings(&self) -> &RunTimings {
         &self.timings
     }
 
-    /// Tasks running, and tasks waiting here.
+    /// Returns the number of tasks that run and the number that are queued.
     pub fn task_counts(&self) -> (usize, usize) {
         (self.runs.len(), self.queue.len())
     }
 
-    /// How many schedulers have a link here.
+    /// Returns the number of schedulers with a link to this executor.
     pub fn linked_schedulers(&self) -> usize {
         self.sessions.values().filter(|s| s.link.is_some()).count()
     }
 
-    /// The greeting to schedulers.
+    /// Returns the greeting that is sent to schedulers when a link opens.
     pub fn greeting(&self) -> proto::Greeting {
         proto::Greeting {
             executor: true,
@@ -290,7 +298,7 @@
         }
     }
 
-    /// Passing time.
+    /// Handles everything that is due at this time.
     pub fn tick(&mut self, now: Mono) {
         self.expire_leases(now);
         self.expire_claims(now);
@@ -303,7 +311,7 @@
         self.advance(now);
     }
 
-    /// Takes nothing new; what runs goes on.
+    /// Stops accepting tasks and returns the queued ones; runs continue.
     pub fn leave(&mut self, now: Mono) {
         self.leaving = true;
         self.log(Kind::Leaving, self.setup.name.clone());
@@ -311,29 +319,33 @@
         self.advance(now);
     }
 
-    /// Whether an executor that leaves has nothing more to do, and has told so.
+    /// Returns whether the executor leaves, has nothing left to do, and has reported that to the linked
+    /// schedulers.
     pub fn is_drained(&self, now: Mono) -> bool {
-        let told = |s: &Session| s.ends.is_empty() && (s.link.is_none() || s.departure_sent);
-        self.has_departed(now) && self.sessions.values().all(told)
+        let notified = |s: &Session| s.ends.is_empty() && (s.link.is_none() || s.departure_sent);
+        self.has_departed(now) && self.sessions.values().all(notified)
     }
 
-    /// Whether it leaves and nothing runs at its worker, known here or not. Nothing will be started any more.
+    /// Returns whether the executor leaves and nothing runs at its worker, known here or not. From then on
+    /// nothing is started.
     fn has_departed(&self, now: Mono) -> bool {
         let idle = self.runs.is_empty() && self.queue.is_empty();
         self.leaving && idle && self.knows_all_runs(now)
     }
 
-    /// Whether tasks may start. Where the worker's word is old its room may have shrunk: an executor that woke
-    /// after 3.5 s began a task under the room of before.
+    /// Returns whether tasks may start. The last heartbeat must be recent, since the worker's capacity may
+    /// have shrunk after an old one: an executor that resumes after a pause of 3.5 s, for example, would
+    /// start a task that no longer fits.
     fn is_ready(&self, now: Mono) -> bool {
         let beats = self.setup.policy.orders.room_beats;
         let age = self.setup.heartbeat.mul_f64(beats);
-        let known = |w: &Worker| w.last_heartbeat.is_some_and(|at| now.since(at) < age);
-        let ready = |w: &Worker| w.reconciled && w.responsive && !w.heartbeat.draining && known(w);
+        let recent = |w: &Worker| w.last_heartbeat.is_some_and(|at| now.since(at) < age);
+        let ready = |w: &Worker| w.reconciled && w.responsive && !w.heartbeat.draining && recent(w);
         let open = !self.leaving && !self.zone_record.evacuated && !self.is_incarnation_uncertain();
         open && self.worker.as_ref().is_some_and(ready)
     }
 
+    /// Returns the id of the worker's current incarnation; empty if there is none.
     fn worker_id(&self) -> String {
         let life = self.worker.as_ref().map(|w| w.heartbeat.life.id.clone());
         life.unwrap_or_default()
@@ -344,41 +356,46 @@
         capacity.unwrap_or_default()
     }
 
-    /// The worker's clock now, by its last answer; 0 if not known.
+    /// Returns the current reading of the worker's clock, extrapolated from its last answer; 0 if unknown.
     fn worker_clock(&self, now: Mono) -> u64 {
         let clock = self.worker.as_ref().and_then(|w| w.clock);
         clock.map_or(0, |(ms, at)| ms + crate::clock::millis(now.since(at)))
     }
 
-    /// The time on the worker's clock that is a span ahead; 0 if the clock is not known. An order
-    /// that names it keeps all runs alive until then, whether it is answered or not.
+    /// Returns the time on the worker's clock after `span`; 0 if the clock is unknown. An order with this
+    /// deadline keeps all runs alive until then, whether it is answered or not, so `keepalive_until` is
+    /// extended.
     fn extend_deadline(&mut self, now: Mono, span: Duration) -> u64 {
         match self.worker_clock(now) {
             0 => 0,
             clock => {
-                self.keepalive_until = self.keepalive_until.max(now + span.mul_f64(LAPSE_FACTOR));
+                self.keepalive_until = self
+                    .keepalive_until
+                    .max(now + span.mul_f64(CLOCK_ALLOWANCE));
                 clock + crate::clock::millis(span)
             }
         }
     }
 
-    /// What follows from the present state: starts, holds, reports.
+    /// Sends the starts, holds and reports that are due in the current state.
     fn advance(&mut self, now: Mono) {
         self.start_queued(now);
         self.send_due_hold(now);
         self.send_due_updates(now);
     }
 
+    /// Sends a hold if one is due: to probe an unknown worker, to verify another incarnation, or to renew the
+    /// runs.
     fn send_due_hold(&mut self, now: Mono) {
-        let hurried = self.worker.is_some() && self.incarnations.has_new_candidate();
-        if self.hold_pending || (now < self.next_hold && !hurried) {
+        let unverified = self.worker.is_some() && self.incarnations.has_new_candidate();
+        if self.hold_pending || (now < self.next_hold && !unverified) {
             return;
         }
         let Some(worker) = &self.worker else {
             return self.probe();
         };
-        if let Some(life) = self.incarnations.candidate_id() {
-            return self.request_lists(life);
+        if let Some(id) = self.incarnations.candidate_id() {
+            return self.request_lists(id);
         }
         let (life, seen) = (worker.heartbeat.life.id.clone(), worker.last_end);
         let (deadline_ms, wait) = if worker.reconciled && worker.responsive {
@@ -398,8 +415,8 @@
         });
     }
 
-    /// How long the worker may wait before it answers. Where a stop is confirmed, its lists tell
-    /// that a run is gone, and the room for the next one must not wait for that.
+    /// Returns how long the worker may delay its answer. After a confirmed stop it answers at once: the next
+    /// lists show that the run is gone and release its capacity.
     fn hold_wait(&self) -> Duration {
         let awaited = |run: &Run| matches!(run.state, RunState::Stopping { confirmed: Some(holds), .. } if self.holds_sent == holds);
         if self.runs.values().any(awaited) {
@@ -408,22 +425,22 @@
         self.setup.policy.orders.hold_wait
     }
 
-    /// Reads the lists of a worker that has not said anything yet, so that claims need not wait for
-    /// its first heartbeat. The fencing token keeps late orders of an earlier executor from
-    /// starting anything after that.
+    /// Requests the lists of a worker that has not sent a heartbeat yet, so that claims need not wait for the
+    /// first one. The fencing token prevents delayed orders of an earlier executor from starting anything
+    /// afterwards.
     fn probe(&mut self) {
         if self.verified_idle && self.saved_heartbeat.is_none() {
             return;
         }
-        let life = self
+        let id = self
             .saved_heartbeat
             .as_ref()
             .map(|heartbeat| heartbeat.life.id.clone());
-        let life = life.unwrap_or_default();
-        self.request_lists(life);
+        let id = id.unwrap_or_default();
+        self.request_lists(id);
     }
 
-    /// Reads the lists under a life that the worker may not be in.
+    /// Requests the lists under an incarnation id that the worker may not have.
     fn request_lists(&mut self, life: String) {
         self.probing = Some(life.clone());
         self.send_hold(HoldCall {
--- a/lib/src/dispatch/executor/calls.rs
+++ b/lib/src/dispatch/executor/calls.rs
@@ -1,4 +1,7 @@
-//! What passes between an executor and its worker, in terms that know nothing of how it travels.
+//! The calls and replies between an executor and its worker, independent of the transport.
+//!
+//! The adapter to a worker translates them; the executor's state machine creates the calls and handles the
+//! replies.
 
 use std::fmt;
 use std::rc::Rc;
@@ -10,19 +13,20 @@
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::TaskName;
 
-/// One life of a worker, from its start to its end.
+/// An incarnation of a worker: one process of it, from its start to its end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerIncarnation {
-    /// The name under which the worker takes calls.
+    /// The id under which the worker accepts calls.
     #[serde(rename = "life")]
     pub id: String,
-    /// When it started, in milliseconds since 1970 by the worker's clock; none if it does not say.
+    /// When it started, in milliseconds since the Unix epoch on the worker's clock; `None` if it is not
+    /// reported.
     #[serde(default)]
     pub born: Option<u64>,
 }
 
 impl WorkerIncarnation {
-    /// Whether both are the same life. One that does not say when it started is told from others by its id alone.
+    /// Returns whether both are the same incarnation. Without both start times, only the ids are compared.
     pub fn is_same_as(&self, other: &WorkerIncarnation) -> bool {
         let born = self.born.zip(other.born);
         self.id == other.id && born.is_none_or(|(one, two)| one == two)
@@ -38,70 +42,70 @@
     }
 }
 
-/// What a worker says of itself.
+/// A heartbeat of a worker: its incarnation, service and capacity.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// Its present life.
+    /// The worker's current incarnation.
     #[serde(flatten)]
     pub life: WorkerIncarnation,
-    /// The service it works for.
+    /// The service that the worker belongs to.
     pub service: String,
-    /// Whether it is leaving.
+    /// Whether the worker is leaving and takes no new tasks.
     pub draining: bool,
-    /// What it has.
+    /// The worker's total capacity.
     pub capacity: Demand,
-    /// Its kind, its rack.
+    /// The worker's labels, such as its type and rack.
     pub labels: Vec<String>,
-    /// Rises with each beat, so that a late one is known.
+    /// Rises with each heartbeat, so that a delayed one is recognized.
     pub sequence: u64,
 }
 
 impl WorkerHeartbeat {
-    /// Whether both say the same of what the worker is and has.
-    pub(super) fn is_like(&self, other: &WorkerHeartbeat) -> bool {
+    /// Returns whether both report the same service, capacity and labels.
+    pub(super) fn has_same_profile(&self, other: &WorkerHeartbeat) -> bool {
         self.service == other.service
             && self.capacity == other.capacity
             && self.labels == other.labels
     }
 }
 
-/// One run of a task at the worker.
+/// The name of one run of a task at the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RunName {
     /// The task.
     pub task: TaskName,
-    /// The run, from 1.
+    /// The number of the run, from 1.
     pub run: u32,
 }
 
-/// A start to be sent to the worker.
+/// A start order for the worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartCall {
-    /// The life of the worker it is meant for.
+    /// The id of the worker's incarnation that it is addressed to.
     pub life: String,
-    /// The run.
+    /// The run to start.
     pub run: RunName,
-    /// What to run.
+    /// The specification of the task, opaque here.
     pub spec: Rc<str>,
-    /// The time on the worker's clock after which it must not begin, in milliseconds; 0 if the
-    /// clock is not known.
+    /// The time on the worker's clock after which the run must not begin, in milliseconds; 0 if the clock is
+    /// unknown.
     pub deadline_ms: u64,
     /// The fencing token.
     pub fence: u64,
-    /// Where an earlier run left off.
+    /// The checkpoint of an earlier run; empty if there is none.
     pub checkpoint: String,
 }
 
-/// A request to keep the runs alive and to list them.
+/// A hold: a request to keep the runs alive and to list them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldCall {
-    /// The life of the worker it is meant for; empty if not known.
+    /// The id of the worker's incarnation that it is addressed to; empty if unknown.
     pub life: String,
-    /// Runs are kept alive until this time on the worker's clock, in milliseconds; 0 to list only.
+    /// The time on the worker's clock until which runs are kept alive, in milliseconds; 0 to list only.
     pub deadline_ms: u64,
     /// The fencing token.
     pub fence: u64,
-    /// Ends up to this number have been taken note of.
+    /// The number up to which ends have been processed.
     pub seen: u64,
     /// How long the worker may wait for an end before it answers.
     pub wait: Duration,
@@ -112,30 +116,30 @@
 pub enum StartRefusal {
     /// Its fencing token is too low.
     Fence,
-    /// Its run number is not above one that ended or was stopped.
+    /// Its run number is not above that of a run that has ended or was stopped.
     Old,
     /// Its deadline has passed.
     Late,
-    /// It does not fit.
+    /// The worker has too little free capacity.
     Room,
-    /// The worker can't run it at all.
+    /// The worker can't run this task at all.
     Invalid,
-    /// The worker is unwell and did nothing.
+    /// The worker is unhealthy and did nothing.
     Unwell,
 }
 
-/// The answer to an order.
+/// The reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It was done; the worker's clock, in milliseconds.
+    /// It was carried out; holds the worker's clock, in milliseconds.
     Done(u64),
-    /// It was refused and will never be done.
+    /// It was refused and will never be carried out.
     Refused(StartRefusal),
-    /// Another life of the worker answered.
+    /// Another incarnation of the worker answered.
     WrongLife,
-    /// There was no answer: it may have been done, or may be done later.
+    /// There was no answer: it may have been carried out, or may be later.
     NoAnswer,
-    /// There is no worker to take it.
+    /// The worker can't be reached.
     Unreachable,
 }
 
@@ -144,56 +148,57 @@
 pub struct RunningRow {
     /// The run.
     pub run: RunName,
-    /// How far it is.
+    /// Its progress in percent.
     pub percent: u32,
 }
 
-/// An end that the worker lists.
+/// The end of a run that the worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishedRow {
-    /// Its number, rising within a life.
+    /// The number of the end, rising within an incarnation.
     pub number: u64,
     /// The run.
     pub run: RunName,
     /// How it ended.
     pub end: RunEnd,
-    /// Its checkpoint, if it left one.
+    /// The checkpoint that the run left; empty if there is none.
     pub checkpoint: String,
 }
 
-/// How a run ended, as the worker says.
+/// How a run ended, as reported by the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// Whole.
+    /// It completed.
     Done,
-    /// By a fault of its own or the worker's.
+    /// It failed, by an error of its own or of the worker.
     Failed,
-    /// By a stop.
+    /// It was stopped by an order.
     Stopped,
-    /// Because its lease ran out, or otherwise not by itself.
+    /// Its keepalive expired, or it was ended in some other way from outside.
     Lapsed,
 }
 
-/// The answer to a hold.
+/// The reply to a hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HoldReply {
     /// The worker's lists.
     Lists {
-        /// When the life that answers started, in milliseconds since 1970; none if it does not say.
+        /// When the incarnation that answers started, in milliseconds since the Unix epoch; `None` if not
+        /// reported.
         born: Option<u64>,
-        /// Its clock, in milliseconds.
+        /// The worker's clock, in milliseconds.
         clock_ms: u64,
-        /// What runs.
+        /// The runs that are active.
         running: Vec<RunningRow>,
-        /// What ended and was not yet taken note of.
+        /// The ends above the number that the call confirmed.
         finished: Vec<FinishedRow>,
     },
     /// The fencing token is too low.
     Fenced,
-    /// Another life of the worker answered.
+    /// Another incarnation of the worker answered.
     WrongLife,
     /// There was no answer.
     NoAnswer,
-    /// There is no worker.
+    /// The worker can't be reached.
     Unreachable,
 }
--- a/lib/src/dispatch/executor/claims.rs
+++ b/lib/src/dispatch/executor/claims.rs
@@ -1,25 +1,30 @@
-//! Claims of jobs: what others have of a job ends, and the claimant is told once nothing is left.
+//! Claims of jobs by schedulers.
+//!
+//! A claim ends the runs and queued tasks that other schedulers have of the job. It is confirmed to the
+//! claimant once none is left.
 
+use super::CLOCK_ALLOWANCE;
 use super::Executor;
-use super::LAPSE_FACTOR;
 use crate::dispatch::model::EndKind;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::TaskName;
 use crate::prelude::*;
 
-/// A job that a scheduler has claimed.
+/// A scheduler's claim of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Claim {
+    /// The key of the claimant's session.
     pub scheduler: String,
     pub at: Mono,
-    /// Whether the claimant's own runs are to end as well.
+    /// Whether the claimant's own runs end as well.
     pub includes_own: bool,
     pub confirmed: bool,
 }
 
 impl Executor {
-    /// Remembers that a scheduler claims a job; ends what others have of it.
-    /// With `own`, what the claimant has had of it ends, too. Of two schedulers that claim a job at about the same time, the first by name has it.
+    /// Registers a scheduler's claim of a job and ends the tasks that others have of it; with `includes_own`,
+    /// also those of the claimant. An earlier claim is replaced unless its claimant is linked, has claimed
+    /// the job recently and comes first by name.
     pub(super) fn register_claim(
         &mut self,
         now: Mono,
@@ -30,11 +35,11 @@
         let rival = self.claims.get(&job).filter(|c| c.scheduler != scheduler);
         if let Some((rival, at)) = rival.map(|c| (c.scheduler.clone(), c.at)) {
             let linked = self.sessions.get(&rival).is_some_and(|s| s.link.is_some());
-            let at_odds = linked && now.since(at) < self.setup.policy.claims.contest;
-            if at_odds && rival.as_str() < scheduler {
+            let contested = linked && now.since(at) < self.setup.policy.claims.contest;
+            if contested && rival.as_str() < scheduler {
                 return self.deny_claim(scheduler, job);
             }
-            // It may still wait for other executors, and count this one's word.
+            // The rival may still be waiting for other executors, relying on the confirmation from this one.
             self.deny_claim(&rival, job);
         }
         let claim = Claim {
@@ -58,6 +63,7 @@
         self.confirm_claim(now, job);
     }
 
+    /// Queues a denial of a claim for the scheduler's next update.
     fn deny_claim(&mut self, scheduler: &str, job: JobNumber) {
         if let Some(session) = self.sessions.get_mut(scheduler) {
             session.denied.push(job);
@@ -65,13 +71,13 @@
         }
     }
 
-    /// Whether a job is claimed by another scheduler.
+    /// Returns whether a job is claimed by another scheduler.
     pub(super) fn is_claimed_by_other(&self, scheduler: &str, job: JobNumber) -> bool {
         let claim = self.claims.get(&job);
         claim.is_some_and(|c| c.scheduler != scheduler)
     }
 
-    /// Tells the claimant once nothing of the job is left that others have started.
+    /// Confirms a claim to the claimant once no conflicting run of the job is left.
     pub(super) fn confirm_claim(&mut self, now: Mono, job: JobNumber) {
         if !self.knows_all_runs(now) {
             return;
@@ -92,18 +98,18 @@
         }
     }
 
-    /// Whether nothing runs at the worker that is not known here: its lists have been read, or
-    /// nothing that was started before can have lasted until now.
+    /// Returns whether all runs at the worker are known: its lists have been read, or the keepalive of any
+    /// earlier run has expired.
     pub(super) fn knows_all_runs(&self, now: Mono) -> bool {
         let reconciled = self
             .worker
             .as_ref()
             .map_or(self.verified_idle, |w| w.reconciled);
-        let lapse = self.setup.worker_hold.mul_f64(LAPSE_FACTOR);
-        reconciled || now.since(self.unreconciled_since) >= lapse
+        let hold_time = self.setup.worker_hold.mul_f64(CLOCK_ALLOWANCE);
+        reconciled || now.since(self.unreconciled_since) >= hold_time
     }
 
-    /// Tells of the claims that had to wait until the worker's runs were known.
+    /// Confirms the claims that had to wait until the worker's runs were known.
     pub(super) fn confirm_claims(&mut self, now: Mono) {
         let open = self.claims.iter().filter(|(_, c)| !c.confirmed);
         let open: Vec<JobNumber> = open.map(|(job, _)| *job).collect();
@@ -112,6 +118,7 @@
         }
     }
 
+    /// Drops claims after `policy.claims.memory`.
     pub(super) fn expire_claims(&mut self, now: Mono) {
         let memory = self.setup.policy.claims.memory;
         self.claims.retain(|_, c| now.since(c.at) < memory);
--- a/lib/src/dispatch/executor/crashes.rs
+++ b/lib/src/dispatch/executor/crashes.rs
@@ -1,4 +1,7 @@
-//! Lives of a worker that are over while something ran there, and what that says of the tasks.
+//! Crashes of the worker: which tasks are suspected, and which runs are logged as lost.
+//!
+//! A crash record is kept for each affected task and sent to schedulers that do not know it. The rules are in
+//! [`crate::dispatch::crashes`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,7 +12,7 @@
 use super::runs::Run;
 use crate::dispatch::crashes::CrashRecord;
 use crate::dispatch::crashes::LostRun;
-use crate::dispatch::crashes::judge;
+use crate::dispatch::crashes::update_records;
 use crate::dispatch::model::EndKind;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::TaskName;
@@ -17,18 +20,19 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// At most so many runs are listed in one log line.
+/// The most runs listed in one log line.
 const MAX_LISTED: usize = 12;
-/// At most so many tasks are remembered: 50 lives of workers with 20 runs each.
+/// The most tasks remembered: 50 incarnations of a worker with 20 runs each.
 const MAX_REMEMBERED: usize = 1000;
 
-/// What this executor has learned of tasks, for schedulers that do not know it.
+/// The crash records of tasks that ran here, for schedulers that do not know them.
 #[derive(Debug, Default)]
 pub(super) struct CrashMemory {
     records: BTreeMap<TaskName, (Mono, CrashRecord)>,
 }
 
 impl CrashMemory {
+    /// Stores a record; the oldest one gives way when the memory is full.
     fn insert(&mut self, now: Mono, task: TaskName, record: CrashRecord) {
         if self.records.len() >= MAX_REMEMBERED
             && let Some(oldest) = self.records.iter().min_by_key(|(_, (at, _))| *at)
@@ -44,7 +48,7 @@
         known.map(|(_, record)| *record).unwrap_or_default()
     }
 
-    /// What is known of the tasks of a job, as it travels.
+    /// Returns the messages with the crash records of a job's tasks.
     pub fn job_records(&self, job: JobNumber) -> impl Iterator<Item = proto::CrashedTask> {
         let known = self.records.iter().filter(move |(task, _)| task.job == job);
         known.map(|(task, (_, record))| proto::CrashedTask {
@@ -53,18 +57,19 @@
         })
     }
 
+    /// Drops the records that are older than `age`.
     pub fn expire(&mut self, now: Mono, age: Duration) {
         self.records.retain(|_, (at, _)| now.since(*at) < age);
     }
 }
 
 impl Run {
-    /// Whether the worker has confirmed its start, or listed it.
+    /// Returns whether the worker has confirmed the start or listed the run.
     fn is_confirmed(&self) -> bool {
         self.listed_by != u64::MAX
     }
 
-    /// Whether it may be at the worker: it was sent there, and no stop of it is confirmed.
+    /// Returns whether the run may be at the worker: its start was sent, and no stop is confirmed.
     fn can_be_at_worker(&self) -> bool {
         !matches!(
             self.state,
@@ -77,35 +82,34 @@
 }
 
 impl Executor {
-    /// When the worker was last known to live: before it first failed to answer, if it does not
-    /// answer now.
+    /// Returns when the worker was last alive: when it first failed to answer, or `now` if it answers.
     fn last_alive(&self, now: Mono) -> Mono {
         let silent = self.worker.as_ref().and_then(|w| w.silent_since);
         silent.unwrap_or(now)
     }
 
-    /// The worker has crashed: judges the tasks that ran there, but for those that are `kept`. A worker that was leaving
-    /// has not crashed.
+    /// Updates the crash records and the blame of the runs at the worker after it has crashed, except for
+    /// `kept`. A draining worker has not crashed.
     pub(super) fn record_crash(&mut self, now: Mono, kept: &[TaskName]) {
         if self.worker.as_ref().is_none_or(|w| w.heartbeat.draining) {
             return;
         }
         let ended = self.last_alive(now);
-        let there = |run: &Run| run.started_at <= ended && run.can_be_at_worker();
-        let there = self
+        let affected = |run: &Run| run.started_at <= ended && run.can_be_at_worker();
+        let affected = self
             .runs
             .iter()
-            .filter(|(task, run)| there(run) && !kept.contains(task));
-        let names: Vec<TaskName> = there.map(|(task, _)| *task).collect();
+            .filter(|(task, run)| affected(run) && !kept.contains(task));
+        let names: Vec<TaskName> = affected.map(|(task, _)| *task).collect();
         let lost = |task: &TaskName| LostRun {
             age: ended.since(self.runs[task].started_at),
             certain: self.runs[task].is_confirmed(),
             record: self.runs[task].crashes,
         };
         let lost: Vec<LostRun> = names.iter().map(lost).collect();
-        let judged = judge(&lost, &self.setup.policy.crashes);
+        let updated = update_records(&lost, &self.setup.policy.crashes);
         self.assign_blame(ended, &names);
-        for (task, record) in names.into_iter().zip(judged) {
+        for (task, record) in names.into_iter().zip(updated) {
             self.crash_memory.insert(now, task, record);
             if let Some(run) = self.runs.get_mut(&task) {
                 run.crashes = record;
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Divides a crash among the jobs of which runs began just before it.
+    /// Divides the blame for a crash equally among the jobs with runs that started shortly before it.
     fn assign_blame(&mut self, ended: Mono, names: &[TaskName]) {
         let evidence = self.setup.policy.bulkheads.evidence;
         let young = |task: &&TaskName| ended.since(self.runs[task].started_at) < evidence;
@@ -132,27 +136,27 @@
         }
     }
 
-    /// Adds what is known here to what a scheduler has sent of a task.
+    /// Merges the record that is known here into the one that a scheduler sent with a task.
     pub(super) fn merge_crash_record(&self, queued: &mut QueuedTask) {
         let known = self.crash_memory.record(queued.task);
         queued.crashes = queued.crashes.merge(known);
     }
 
-    /// Whether a task that waits must not start yet: two suspects that began together could not be
-    /// told apart if the worker crashed, and both would be tried once more.
+    /// Returns whether a suspect task must wait for another suspect that started recently. If the worker
+    /// crashed under both, the cause could not be determined, and both would be tried again.
     pub(super) fn is_blocked_by_trial(&self, now: Mono, queued: &QueuedTask) -> bool {
         let window = self.setup.policy.crashes.window;
         let tried = |run: &Run| run.crashes.suspect && now.since(run.started_at) < window;
         queued.crashes.suspect && self.runs.values().any(tried)
     }
 
-    /// How the scheduler of a run is told that it was lost with its worker.
+    /// Returns the end to report for a run that was lost.
     pub(super) fn lost_end_kind(&self, task: TaskName) -> EndKind {
         let Some(run) = self.runs.get(&task) else {
             return EndKind::Lost;
         };
         match run.state {
-            // Its start got no answer since the worker crashed meanwhile.
+            // The start was not answered because the worker crashed in the meantime.
             RunState::Stopping {
                 why: EndKind::Stalled,
                 ..
@@ -163,9 +167,8 @@
         }
     }
 
-    /// Writes down what was at the worker when its life, or what was kept alive in it, ended, and for how
-    /// long each run had been there: a run that began just before, again and again, is the likely cause.
-    /// Those that are `kept` go on.
+    /// Logs the runs that are lost, except for `kept`, with their age when the worker was last alive. A task
+    /// that repeatedly started just before is the likely cause.
     pub(super) fn log_lost_runs(&mut self, now: Mono, cause: &str, kept: &[TaskName]) {
         let ended = self.last_alive(now);
         let lost = self.runs.iter().filter(|(task, _)| !kept.contains(task));
@@ -188,6 +191,7 @@
     }
 }
 
+/// Returns the part of the log line about one lost run.
 fn describe_run(task: TaskName, run: &Run, ended: Mono) -> String {
     let age = crate::clock::millis(ended.since(run.started_at));
     let verdict = match run.crashes {
--- a/lib/src/dispatch/executor/evacuation.rs
+++ b/lib/src/dispatch/executor/evacuation.rs
@@ -1,7 +1,9 @@
-//! An evacuated availability zone, at an executor in it: nothing more is started, and what runs ends where it is.
+//! Evacuation of the executor's availability zone: nothing more is started, and active runs end where they
+//! are.
 //!
-//! The executor refuses by what it knows itself, so an entry that has not heard of the evacuation starts nothing
-//! here either. Any scheduler can tell it; it tells those that are behind.
+//! The executor refuses tasks by its own record of the zone, so an entry that does not know of the evacuation
+//! starts nothing here either. Any scheduler can send the record; the executor forwards it to schedulers with
+//! an older one.
 
 use super::Executor;
 use crate::dispatch::zones::ZoneRecord;
@@ -10,7 +12,7 @@
 use crate::protos::dispatch as proto;
 
 impl Executor {
-    /// A scheduler tells of a zone.
+    /// Applies a zone's state from a scheduler. An older record, or one of another zone, is ignored.
     pub(super) fn apply_zone_state(&mut self, now: Mono, owner: &str, state: &proto::ZoneState) {
         if state.zone != self.setup.zone {
             return;
@@ -35,7 +37,7 @@
         self.sessions.values_mut().for_each(|s| s.urgent = true);
     }
 
-    /// Whether this executor's zone is evacuated.
+    /// Returns whether this executor's zone is evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.zone_record.evacuated
     }
--- a/lib/src/dispatch/executor/health.rs
+++ b/lib/src/dispatch/executor/health.rs
@@ -1,4 +1,7 @@
-//! How well the worker does: told from ends and progress, not from what it says of itself.
+//! The worker's health, derived from the ends and progress of its runs and not from its own reports.
+//!
+//! Each end and each sample of progress updates the failure count and the pace. A suspect worker gets tasks
+//! on trial only.
 
 use std::collections::VecDeque;
 
@@ -11,10 +14,10 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// Readings above this say no more than that the worker is very slow.
+/// Readings are clamped to this ratio. Higher ones carry no more information: the worker is very slow.
 const MAX_RATIO: f64 = 20.0;
 
-/// How long a run took, or takes by its progress, against its estimate.
+/// The time of a run, measured at its end or projected from its progress, relative to its estimate.
 #[derive(Clone, Copy, Debug)]
 struct PaceReading {
     job: JobNumber,
@@ -22,8 +25,8 @@
     at: Mono,
 }
 
-/// The middle of some numbers; 0 if there are none. Of an even count it is the lower one, so that
-/// half of the readings alone do not make a worker slow.
+/// Returns the median; 0 if there are no numbers. For an even count it is the lower of the two middle ones,
+/// so that half of the readings alone do not make a worker slow.
 fn lower_median(numbers: impl Iterator<Item = f64>) -> f64 {
     let mut numbers: Vec<f64> = numbers.collect();
     numbers.sort_by(f64::total_cmp);
@@ -31,25 +34,26 @@
     numbers.get(at).copied().unwrap_or(0.0)
 }
 
-/// The worker's recent history.
+/// The recent outcomes of the worker's runs.
 #[derive(Debug)]
 pub(super) struct Health {
     policy: HealthPolicy,
-    /// How long tasks took against their estimates, the newest reading of each job, the oldest
-    /// first.
+    /// The newest reading of each job, the oldest first.
     readings: VecDeque<PaceReading>,
-    /// The middle of the readings; 0 if not known.
+    /// The median of the readings; 0 if unknown.
     pace: f64,
+    /// Consecutive failures; repeated ones of the same job count once.
     failures: u32,
     last_failed: Option<JobNumber>,
-    /// When the last trial task was let through, while suspect.
+    /// When the last trial task was admitted.
     last_trial: Option<Mono>,
+    /// The minimum time between trials.
     trial_gap: Duration,
     suspect: bool,
 }
 
 impl Health {
-    /// Nothing is known of the worker yet.
+    /// Creates the state of a worker of which nothing is known.
     pub fn new(policy: HealthPolicy) -> Health {
         Health {
             policy,
@@ -63,7 +67,7 @@
         }
     }
 
-    /// A run ended whole.
+    /// Records a completed run, which clears suspicion.
     pub fn record_success(&mut self, now: Mono, job: JobNumber, ratio: Option<f64>) {
         self.failures = 0;
         self.last_failed = None;
@@ -74,7 +78,7 @@
         }
     }
 
-    /// A run failed, or the worker turned a start away.
+    /// Records a failed run, or a start that the worker refused because it is unhealthy.
     pub fn record_failure(&mut self, now: Mono, job: JobNumber) {
         if self.last_failed != Some(job) {
             self.failures += 1;
@@ -85,6 +89,7 @@
         }
     }
 
+    /// Marks the worker as suspect; each time while it is suspect the gap between trials doubles.
     fn mark_suspect(&mut self, now: Mono) {
         let next = if self.suspect {
             self.trial_gap * 2
@@ -96,23 +101,23 @@
         self.last_trial = Some(now);
     }
 
-    /// A run stood still.
+    /// Records a run without progress. Several that stall at the same time count once.
     pub fn record_stall(&mut self, now: Mono) {
-        let at_once = self.suspect
+        let repeated = self.suspect
             && self
                 .last_trial
                 .is_some_and(|at| now.since(at) < self.policy.trial_first / 4);
-        if !at_once {
+        if !repeated {
             self.mark_suspect(now);
         }
     }
 
-    /// A run of a job takes this many times its estimate.
+    /// Records that a run of a job takes `ratio` times its estimate.
     pub fn record_pace(&mut self, now: Mono, job: JobNumber, ratio: f64) {
-        let (most, age) = (self.policy.pace_jobs as usize, self.policy.pace_age);
+        let (max_jobs, age) = (self.policy.pace_jobs as usize, self.policy.pace_age);
         self.readings
             .retain(|r| r.job != job && now.since(r.at) < age);
-        if self.readings.len() >= most {
+        if self.readings.len() >= max_jobs {
             self.readings.pop_front();
         }
         let ratio = ratio.min(MAX_RATIO);
@@ -124,17 +129,17 @@
         self.pace = lower_median(self.readings.iter().map(|r| r.ratio));
     }
 
-    /// The pace, in percent of the estimates; 0 if not known.
+    /// Returns the pace in percent of the estimates; 0 if unknown.
     pub fn pace_percent(&self) -> u32 {
         (self.pace * 100.0) as u32
     }
 
-    /// Whether the worker should get tasks on trial only.
+    /// Returns whether the worker gets tasks on trial only.
     pub fn is_suspect(&self) -> bool {
         self.suspect
     }
 
-    /// Whether a suspect worker may be tried now. Counts as the trial if so.
+    /// Returns whether a suspect worker may get a trial task now, and records the trial if so.
     pub fn try_start_trial(&mut self, now: Mono) -> bool {
         let due = self
             .last_trial
@@ -147,20 +152,20 @@
 }
 
 impl Executor {
-    /// Stops runs that stand still, so that they can run elsewhere.
+    /// Stops runs without progress, so that they can run elsewhere.
     pub(super) fn stop_stalled(&mut self, now: Mono) {
         let responsive = self.worker.as_ref().is_some_and(|w| w.responsive);
         if !responsive {
             return;
         }
         let stall = self.setup.policy.health.stall;
-        let still = |run: &super::runs::Run| {
+        let is_stalled = |run: &super::runs::Run| {
             let bound = stall + run.estimate / 10;
             run.state == RunState::Running
                 && now.since(run.progressed_at) >= bound
                 && run.percent < 100
         };
-        let names = self.runs.iter().filter(|(_, r)| still(r));
+        let names = self.runs.iter().filter(|(_, r)| is_stalled(r));
         let names: Vec<TaskName> = names.map(|(t, _)| *t).collect();
         for name in names {
             self.health.record_stall(now);
--- a/lib/src/dispatch/executor/incarnations.rs
+++ b/lib/src/dispatch/executor/incarnations.rs
@@ -1,11 +1,12 @@
-//! Lives of the worker: which one it is in, told from its heartbeats and from its own word.
+//! Tracks the worker's current incarnation, from its heartbeats and its replies to holds.
 //!
-//! A heartbeat names the life it is of, and can arrive after that life is over, or come from somebody else. Another
-//! life than the present one is therefore believed once the worker has answered under it: taking the heartbeat's
-//! word ended what ran in the living one, and blamed a task there for a crash that had not been.
+//! A heartbeat can arrive after the incarnation that it names has ended, or come from another worker. Another
+//! incarnation is therefore accepted only once the worker has answered in it. Trusting the heartbeat alone
+//! would end the runs of the live incarnation and blame their tasks for a crash that did not happen.
 //!
-//! A worker may start again under the id that it had, so a life is its id and its start together. All that a worker counts,
-//! its heartbeats, its ends and its clock, is counted within a life and compared with nothing of another one.
+//! A worker may restart under the same id, so an incarnation is identified by its id and its start time. The
+//! sequence numbers of heartbeats, the numbers of ends and the clock belong to one incarnation and are never
+//! compared across two.
 
 use std::collections::VecDeque;
 
@@ -24,45 +25,48 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// So many lives that are over are remembered; a worker that crashes under each of a batch of tasks has tens.
+/// The number of past incarnations remembered. A worker that crashes repeatedly under the tasks of one batch
+/// has tens.
 const MAX_PAST: usize = 64;
-/// The worker is asked so often whether it is in another life. Single answers can be lost.
+/// How often the worker is asked to confirm another incarnation. Single replies can be lost.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// What is known of the worker's lives besides the present one.
+/// The worker's incarnations other than the current one.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
-    /// Lives that are over, the oldest first.
+    /// Past incarnations, the oldest first.
     past: VecDeque<WorkerIncarnation>,
-    /// What was said by another life, which the worker has not confirmed, and how often it was asked.
+    /// The heartbeat of an incarnation that the worker has not confirmed, and how often it was asked to.
     candidate: Option<(WorkerHeartbeat, u32)>,
 }
 
 impl Incarnations {
-    fn end(&mut self, life: WorkerIncarnation) {
+    /// Remembers an incarnation as past.
+    fn end(&mut self, incarnation: WorkerIncarnation) {
         if self.past.len() >= MAX_PAST {
             self.past.pop_front();
         }
-        self.past.push_back(life);
+        self.past.push_back(incarnation);
     }
 
-    fn is_past(&self, life: &WorkerIncarnation) -> bool {
-        self.past.iter().any(|l| l.is_same_as(life))
+    fn is_past(&self, incarnation: &WorkerIncarnation) -> bool {
+        self.past.iter().any(|past| past.is_same_as(incarnation))
     }
 
-    /// Whether an earlier life had this id.
+    /// Returns whether a past incarnation had this id.
     fn has_past_id(&self, id: &str) -> bool {
-        self.past.iter().any(|life| life.id == id)
+        self.past.iter().any(|past| past.id == id)
     }
 
-    /// The id of the life to ask the worker about, if there is one.
+    /// Returns the id of the incarnation that the worker must confirm, if there is one.
     pub fn candidate_id(&self) -> Option<String> {
         self.candidate
             .as_ref()
             .map(|(heartbeat, _)| heartbeat.life.id.clone())
     }
 
-    /// Whether the worker has not been asked about another life yet, which does not wait for its next hold.
+    /// Returns whether there is a candidate that the worker was not asked about yet. Its hold is sent at
+    /// once.
     pub fn has_new_candidate(&self) -> bool {
         self.candidate
             .as_ref()
@@ -74,7 +78,7 @@
         self.candidate.as_ref().is_some_and(same)
     }
 
-    /// Takes what was said by another life. A later word of the same one stands.
+    /// Sets the candidate, unless a later heartbeat of the same incarnation is known.
     fn set_candidate(&mut self, heartbeat: WorkerHeartbeat) {
         let later = |(known, _): &(WorkerHeartbeat, u32)| {
             known.life.is_same_as(&heartbeat.life) && known.sequence > heartbeat.sequence
@@ -86,7 +90,7 @@
 }
 
 impl Worker {
-    /// Takes note of what it says in its present life; whether that counts.
+    /// Applies a heartbeat of the current incarnation. Returns whether it was accepted.
     fn accept_heartbeat(
         &mut self,
         now: Mono,
@@ -96,7 +100,8 @@
         if self.has_started && heartbeat.service != self.heartbeat.service {
             return false;
         }
-        // A worker that leaves does not come back in the same life, so that this is true also of one that came late.
+        // A draining worker does not become ready again in the same incarnation, so this holds for a delayed
+        // heartbeat too.
         let draining = heartbeat.draining || self.heartbeat.draining;
         self.heartbeat.draining = draining;
         if heartbeat.sequence < self.heartbeat.sequence
@@ -113,9 +118,9 @@
         true
     }
 
-    /// Whether the number of the newest heartbeat was not the worker's, now that there is one below it: for a
-    /// heartbeat nothing came that is above it, and two below it that rise and came apart, as what was held up
-    /// on the way does not.
+    /// Returns whether to accept a sequence number below the newest, because the newest did not come from the
+    /// worker. That takes one interval without an accepted heartbeat, and two rising lower numbers at least
+    /// half an interval apart: delayed heartbeats arrive together.
     fn confirm_lower_sequence(&mut self, now: Mono, sequence: u64, interval: Duration) -> bool {
         let Some((lower, at)) = self.lower_sequence.filter(|(lower, _)| *lower < sequence) else {
             self.lower_sequence = Some((sequence, now));
@@ -130,7 +135,7 @@
 }
 
 impl Executor {
-    /// Takes note of what the worker says of itself.
+    /// Handles a heartbeat.
     pub fn handle_heartbeat(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         match &self.worker {
             None if self.incarnations.is_past(&heartbeat.life) => {
@@ -145,19 +150,20 @@
         self.advance(now);
     }
 
+    /// Applies a heartbeat of the current incarnation, and publishes and saves what has changed.
     fn update_heartbeat(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         let interval = self.setup.heartbeat;
         let Some(worker) = &mut self.worker else {
             return;
         };
         let (before, first) = (worker.heartbeat.clone(), worker.last_heartbeat.is_none());
-        let (life, sequence) = (heartbeat.life.clone(), heartbeat.sequence);
-        let counts = worker.accept_heartbeat(now, heartbeat, interval);
+        let (incarnation, sequence) = (heartbeat.life.clone(), heartbeat.sequence);
+        let accepted = worker.accept_heartbeat(now, heartbeat, interval);
         let drains = worker.heartbeat.draining && !before.draining;
-        let same = worker.heartbeat.is_like(&before);
-        if !counts {
+        let same = worker.heartbeat.has_same_profile(&before);
+        if !accepted {
             let detail = format!(
-                "{life} number {sequence}; {} number {}",
+                "{incarnation} number {sequence}; {} number {}",
                 before.life, before.sequence
             );
             self.reject_heartbeat(detail);
@@ -174,29 +180,29 @@
         }
     }
 
-    /// A heartbeat changes nothing.
+    /// Counts and logs a heartbeat that was rejected.
     fn reject_heartbeat(&mut self, detail: String) {
         self.counts.rejected_heartbeats += 1;
         self.log(Kind::BadBeat, detail);
     }
 
-    /// A heartbeat could not be read.
+    /// Counts a heartbeat that could not be parsed.
     pub fn count_unreadable_heartbeat(&mut self) {
         self.counts.rejected_heartbeats += 1;
     }
 
-    /// Whether a hold was meant for a life that the worker has not confirmed.
+    /// Returns whether this is the id of an incarnation that the worker has not confirmed.
     pub(super) fn is_candidate(&self, id: &str) -> bool {
         self.worker.is_some() && self.incarnations.is_candidate(id)
     }
 
-    /// Whether calls to the worker may reach another life than the present one, since both have the same id. What it
-    /// has room for is not known then.
+    /// Returns whether calls may reach another incarnation than the current one, since both have the same id.
+    /// The worker's capacity is unknown then.
     pub(super) fn is_incarnation_uncertain(&self) -> bool {
         self.is_candidate(&self.worker_id())
     }
 
-    /// Whether lists are of another life than the present one, by the start that they name.
+    /// Returns whether lists come from another incarnation than the current one, by the start time in them.
     pub(super) fn is_from_other_incarnation(&self, born: Option<u64>) -> bool {
         let answering = WorkerIncarnation {
             id: self.worker_id(),
@@ -206,8 +212,8 @@
         self.worker.as_ref().is_some_and(other)
     }
 
-    /// The worker's answer to a question for another life. Returns the reply if it is of the life that is the
-    /// present one from now on.
+    /// Handles the reply to a hold that asked for a candidate. Returns the reply if it contains lists; they
+    /// belong to what is the current incarnation from now on.
     pub(super) fn handle_candidate_reply(
         &mut self,
         now: Mono,
@@ -221,8 +227,11 @@
                     born: *born,
                 };
                 let present = self.worker.as_ref().map(|w| &w.heartbeat.life);
-                if present.is_some_and(|life| life.is_same_as(&answering)) {
-                    self.reject_heartbeat(format!("{} is not its life", heartbeat.life));
+                if present.is_some_and(|present| present.is_same_as(&answering)) {
+                    self.reject_heartbeat(format!(
+                        "{} is not the current incarnation",
+                        heartbeat.life
+                    ));
                 } else if heartbeat.life.is_same_as(&answering) {
                     self.switch_incarnation(now, heartbeat, Some(now), &reply);
                 } else {
@@ -231,7 +240,7 @@
                 return Some(reply);
             }
             HoldReply::WrongLife => {
-                self.reject_heartbeat(format!("{} is not its life", heartbeat.life))
+                self.reject_heartbeat(format!("{} is not the current incarnation", heartbeat.life))
             }
             HoldReply::Fenced if asked + 1 < MAX_ATTEMPTS => {
                 self.raise_fence();
@@ -243,7 +252,7 @@
             }
             HoldReply::Fenced | HoldReply::NoAnswer | HoldReply::Unreachable => {
                 self.reject_heartbeat(format!(
-                    "{}: the worker does not answer under it",
+                    "{}: the worker does not answer in this incarnation",
                     heartbeat.life
                 ));
             }
@@ -251,19 +260,19 @@
         None
     }
 
-    /// The lists are of a life that has not said anything yet: nothing is started there until it has said what
-    /// room it has, as it may be of another kind than the one before.
+    /// Switches to an incarnation that has sent lists and no heartbeat yet. Nothing is started there before
+    /// its first heartbeat, since its capacity may differ from that of the previous one.
     pub(super) fn adopt_unannounced(
         &mut self,
         now: Mono,
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         reply: &HoldReply,
     ) {
         let Some(worker) = &self.worker else {
             return;
         };
         let heartbeat = WorkerHeartbeat {
-            life,
+            life: incarnation,
             draining: false,
             sequence: 0,
             ..worker.heartbeat.clone()
@@ -271,8 +280,9 @@
         self.switch_incarnation(now, heartbeat, None, reply);
     }
 
-    /// The worker has answered in another life. What its lists show is there, begun after it had started and before that
-    /// was known: ended as lost it would run a second time elsewhere.
+    /// Switches to another incarnation, in which the worker has answered. Under the same id, runs in its
+    /// lists are kept: they were started after the restart and before it was known here. Ended as lost, they
+    /// would run a second time elsewhere.
     fn switch_incarnation(
         &mut self,
         now: Mono,
@@ -291,8 +301,8 @@
         self.adopt_worker(now, heartbeat, last_heartbeat);
     }
 
-    /// The runs that lists show, and those of which it is not known yet whether they began: a worker that has
-    /// started again under its id may have taken them.
+    /// Returns the runs that the lists contain, and those whose start is not confirmed: a worker that has
+    /// restarted under the same id may have accepted them.
     fn surviving_runs(&self, reply: &HoldReply) -> Vec<TaskName> {
         let HoldReply::Lists {
             running, finished, ..
@@ -310,9 +320,9 @@
         found.map(|(task, _)| *task).collect()
     }
 
-    /// Takes note that a worker with this id says that it has left. That names no start: it may be of an earlier life under
-    /// the same id and have come late. While something runs, it is believed only of a worker that had said it leaves,
-    /// under an id that no earlier life had; else the next hold tells.
+    /// Handles the message that a worker with this id has left. It has no start time, so it may be a delayed
+    /// message of an earlier incarnation with the same id. While there are runs, it is trusted only if the
+    /// worker was draining and no past incarnation had the id; otherwise the next hold decides.
     pub fn handle_worker_left(&mut self, now: Mono, id: &str) {
         if self.worker_id() != id {
             if self.incarnations.is_candidate(id) {
@@ -326,23 +336,24 @@
             self.incarnations.candidate = None;
             self.end_incarnation(now, "it has left", &[]);
         } else {
-            self.reject_heartbeat(format!("{id} says that it has left, and has runs"));
+            self.reject_heartbeat(format!("{id} reports that it has left, but has runs"));
         }
         self.advance(now);
     }
 
-    /// Meets the worker in a life that it has told of itself.
+    /// Begins an incarnation that has sent a heartbeat.
     pub(super) fn begin_incarnation(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         self.adopt_worker(now, heartbeat, Some(now));
     }
 
-    /// Meets the worker in a life that an earlier life of this process knew. It is not known for how long that is over, and
-    /// the worker's room may have shrunk since: nothing is started before it has said what it has. An executor that
-    /// goes by what it has kept may take more than there is.
+    /// Begins an incarnation from a saved heartbeat of unknown age. Nothing is started before the next
+    /// heartbeat: the worker's capacity may have shrunk since, and the executor would allocate more than
+    /// there is.
     pub(super) fn restore_incarnation(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         self.adopt_worker(now, heartbeat, None);
     }
 
+    /// Makes an incarnation the current one, with its health unknown and its runs to be reconciled.
     fn adopt_worker(
         &mut self,
         now: Mono,
@@ -367,9 +378,9 @@
         self.save_heartbeat();
     }
 
-    /// Takes note of what the worker said to an earlier life of this process, or in a life that was held to be
-    /// over. It is asked at once whether it is in that life, so that it need not be waited for until it says so
-    /// again.
+    /// Restores the worker from a heartbeat that an earlier incarnation of this process received, or that
+    /// names a past incarnation of the worker. The worker is asked at once to confirm it, without waiting for
+    /// its next heartbeat.
     pub fn restore_worker(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         if self.worker.is_none() {
             self.saved_heartbeat = Some(heartbeat);
@@ -377,21 +388,22 @@
         }
     }
 
+    /// Requests that the last heartbeat be saved for the next incarnation of this process.
     fn save_heartbeat(&mut self) {
         let announced = self.worker.as_ref().filter(|w| w.last_heartbeat.is_some());
         let heartbeat = announced.map(|w| w.heartbeat.clone());
         self.actions.push(Action::SaveHeartbeat(heartbeat));
     }
 
-    /// Everything that ran in this life of the worker is over, except for what is known to be in the next one.
+    /// Ends the worker's current incarnation and its runs, except for `kept`, which the next incarnation has.
     fn end_incarnation(&mut self, now: Mono, cause: &str, kept: &[TaskName]) {
         let Some(worker) = &self.worker else {
             return;
         };
-        let life = worker.heartbeat.life.clone();
-        self.log(Kind::WorkerDown, life.to_string());
+        let incarnation = worker.heartbeat.life.clone();
+        self.log(Kind::WorkerDown, incarnation.to_string());
         self.log_lost_runs(now, cause, kept);
-        self.incarnations.end(life);
+        self.incarnations.end(incarnation);
         self.worker = None;
         self.update_profile();
         self.save_heartbeat();
--- a/lib/src/dispatch/executor/lists.rs
+++ b/lib/src/dispatch/executor/lists.rs
@@ -1,4 +1,7 @@
-//! Reading the worker's lists: which runs there are, which have ended, and when it is silent.
+//! Replies to holds: the worker's lists of active and ended runs, and missing or negative replies.
+//!
+//! The lists confirm runs and ends. A worker that does not answer becomes silent; its runs are lost once it
+//! refuses connections for long enough or their keepalive has expired.
 
 use super::Executor;
 use super::FinishedRow;
@@ -15,24 +18,25 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// Why runs are lost, in the log: the worker was refused for so long that it is gone.
+/// The cause of lost runs in the log: the worker was unreachable, or answered in another incarnation, for so
+/// long that it is considered gone.
 const CAUSE_GONE: &str = "it is gone";
-/// The same: it has not answered, and nothing has kept them alive.
-const CAUSE_LAPSED: &str = "runs were not kept alive";
+/// The cause of lost runs in the log: the worker did not answer, and their keepalive has expired.
+const CAUSE_EXPIRED: &str = "runs were not kept alive";
 
 impl Executor {
-    /// The reply to a hold.
+    /// Handles the reply to a hold.
     pub fn handle_hold_reply(&mut self, now: Mono, mut reply: HoldReply) {
         self.hold_pending = false;
         self.next_hold = now;
         let probing = self.probing.take();
-        if probing.as_ref().is_some_and(|life| self.is_candidate(life)) {
+        if probing.as_ref().is_some_and(|id| self.is_candidate(id)) {
             match self.handle_candidate_reply(now, reply) {
-                Some(own) => reply = own,
+                Some(lists) => reply = lists,
                 None => return self.advance(now),
             }
-        } else if let Some(life) = probing {
-            if !self.is_saved_incarnation(&life) {
+        } else if let Some(id) = probing {
+            if !self.is_saved_incarnation(&id) {
                 self.handle_probe_reply(now, reply);
                 return self.advance(now);
             }
@@ -63,14 +67,13 @@
         self.advance(now);
     }
 
-    /// Whether a hold was meant for the life of the worker that an earlier life of this process
-    /// knew.
-    fn is_saved_incarnation(&self, life: &str) -> bool {
-        let same = |heartbeat: &WorkerHeartbeat| heartbeat.life.id == life;
+    /// Returns whether a hold was addressed to the worker incarnation of the saved heartbeat.
+    fn is_saved_incarnation(&self, id: &str) -> bool {
+        let same = |heartbeat: &WorkerHeartbeat| heartbeat.life.id == id;
         self.worker.is_none() && self.saved_heartbeat.as_ref().is_some_and(same)
     }
 
-    /// Whether the worker has answered in the life that was recalled.
+    /// Returns whether the worker has answered in the incarnation of the saved heartbeat.
     fn is_from_saved_incarnation(&self, reply: &HoldReply) -> bool {
         let (HoldReply::Lists { born, .. }, Some(heartbeat)) = (reply, &self.saved_heartbeat)
         else {
@@ -81,7 +84,8 @@
         heartbeat.life.is_same_as(&WorkerIncarnation { id, born })
     }
 
-    /// The worker is not in the life that was recalled, or has not answered yet.
+    /// Handles a reply that does not confirm the incarnation of the saved heartbeat: discards the heartbeat
+    /// unless the hold was not answered or only the fencing token was too low.
     fn handle_failed_restore(&mut self, now: Mono, reply: &HoldReply) {
         self.next_hold = now + self.setup.policy.orders.ask_again;
         match reply {
@@ -93,10 +97,11 @@
         }
     }
 
-    /// The worker has answered under the life that was recalled.
+    /// Resumes the incarnation of the saved heartbeat, which the worker has confirmed.
     fn resume_saved_incarnation(&mut self, now: Mono) {
         if let Some(heartbeat) = self.saved_heartbeat.take() {
-            // Its next beat may have a lower number than the last one told to the earlier life.
+            // The next heartbeat may have a lower sequence number than one that an earlier incarnation of
+            // this process received.
             let heartbeat = WorkerHeartbeat {
                 sequence: 0,
                 ..heartbeat
@@ -105,10 +110,11 @@
         }
     }
 
-    /// The reply to a hold that was sent before the worker had said anything of itself.
+    /// Handles the reply to a hold that was sent before the first heartbeat. All runs that it lists are
+    /// unknown and are stopped.
     fn handle_probe_reply(&mut self, now: Mono, reply: HoldReply) {
         if self.worker.is_some() {
-            // It has begun a life meanwhile, which the reply may not be of.
+            // A heartbeat has arrived in the meantime, and the reply may be from another incarnation.
             return;
         }
         self.next_hold = now + self.setup.policy.orders.ask_again;
@@ -129,21 +135,25 @@
         }
     }
 
+    /// Notes that the worker has no runs, which can confirm claims.
     fn mark_verified_idle(&mut self, now: Mono) {
         self.verified_idle = true;
         self.confirm_claims(now);
     }
 
+    /// Handles a hold that the current incarnation did not answer. The worker becomes silent after a while,
+    /// or at once if it was unreachable or another incarnation answered; the runs are discarded when it is
+    /// gone or their keepalive has expired.
     fn handle_silent_worker(&mut self, now: Mono, reply: &HoldReply) {
         let orders = self.setup.policy.orders;
-        let over = now >= self.keepalive_until;
+        let expired = now >= self.keepalive_until;
         let Some(worker) = &mut self.worker else {
             return;
         };
         let since = *worker.silent_since.get_or_insert(now);
         let long = now.since(since) >= orders.silent_after;
         let refused = *reply != HoldReply::NoAnswer;
-        let wait = match (long || refused, over) {
+        let wait = match (long || refused, expired) {
             (_, true) => orders.ask_seldom,
             (true, false) => orders.ask_again,
             (false, false) => orders.ask_soon,
@@ -155,20 +165,21 @@
             self.log(Kind::WorkerSilent, detail);
         }
         let gone = *reply != HoldReply::NoAnswer && now.since(since) >= orders.gone_after;
-        if gone || over {
+        if gone || expired {
             if gone {
                 self.record_crash(now, &[]);
             }
-            let cause = if gone { CAUSE_GONE } else { CAUSE_LAPSED };
+            let cause = if gone { CAUSE_GONE } else { CAUSE_EXPIRED };
             self.log_lost_runs(now, cause, &[]);
             self.discard_runs(now);
             self.return_queue(now);
         }
     }
 
-    /// Nothing runs any more: the worker is gone, or has not been asked to keep anything alive.
+    /// Ends all runs as lost: the worker is gone, or their keepalive has expired.
     fn discard_runs(&mut self, now: Mono) {
-        // Once: nothing is started while it is not clean, so a worker that goes on refusing does not put this off.
+        // Set only the first time, so that a worker that keeps refusing does not postpone it. Nothing is
+        // started while the worker is not reconciled.
         if let Some(worker) = &mut self.worker
             && std::mem::replace(&mut worker.reconciled, false)
         {
@@ -180,6 +191,7 @@
         }
     }
 
+    /// Applies the worker's lists: ends first, then active runs, then runs that are missing.
     fn apply_lists(
         &mut self,
         now: Mono,
@@ -192,9 +204,9 @@
         };
         worker.clock = Some((clock_ms, now));
         worker.silent_since = None;
-        let back = !worker.responsive;
+        let recovered = !worker.responsive;
         worker.responsive = true;
-        if back {
+        if recovered {
             self.log(Kind::WorkerAnswers, self.worker_id());
         }
         for row in finished {
@@ -208,6 +220,7 @@
         self.confirm_claims(now);
     }
 
+    /// Applies an end that the worker lists, unless its number was processed before.
     fn apply_end(&mut self, now: Mono, row: FinishedRow) {
         let seen = self.worker.as_ref().map_or(0, |w| w.last_end);
         if row.number <= seen {
@@ -232,7 +245,8 @@
         self.finish_run(now, row.run.task, kind, row.checkpoint);
     }
 
-    /// Passes over an end that was taken note of before, by its number. The run of one can't be here still.
+    /// Skips an end whose number was processed before. It is logged if its run is still active here, which
+    /// must not happen.
     fn skip_end(&mut self, row: &FinishedRow, seen: u64) {
         let known = self.runs.get(&row.run.task);
         if known.is_some_and(|run| run.run == row.run.run) {
@@ -245,6 +259,7 @@
         }
     }
 
+    /// Updates the worker's health and speed from the end of a run.
     fn update_health(&mut self, now: Mono, row: &FinishedRow, kind: EndKind) {
         let run = &self.runs[&row.run.task];
         let (job, ratio) = (row.run.task.job, run.time_ratio(now));
@@ -258,6 +273,7 @@
         }
     }
 
+    /// Applies a run that the worker lists as active: confirms its start and samples its progress.
     fn apply_running(&mut self, now: Mono, row: &RunningRow) {
         let known = self.runs.get_mut(&row.run.task);
         let Some(run) = known.filter(|r| r.run == row.run.run) else {
@@ -281,8 +297,7 @@
         }
     }
 
-    /// Stops a run that nobody here has started: an earlier executor's, or an order that was
-    /// carried out late.
+    /// Stops a run that is not known here: it was started by an earlier executor or by a delayed order.
     fn stop_unknown_run(&mut self, name: RunName) {
         self.counts.unknown_runs += 1;
         let detail = format!("{} run {}", name.task, name.run);
@@ -290,10 +305,10 @@
         self.send_stop(name);
     }
 
-    /// Ends runs that the worker does not list although it should.
+    /// Ends the runs as lost that a later hold should have listed and did not.
     fn end_unlisted_runs(&mut self, now: Mono, running: &[RunningRow]) {
         let holds = self.holds_sent;
-        let gone = |task: &TaskName, run: &Run| {
+        let missing = |task: &TaskName, run: &Run| {
             let after = match run.state {
                 RunState::Starting => return false,
                 RunState::Running => run.listed_by,
@@ -302,14 +317,15 @@
             let listed = |r: &RunningRow| r.run.task == *task && r.run.run == run.run;
             holds > after && !running.iter().any(listed)
         };
-        let names = self.runs.iter().filter(|(t, r)| gone(t, r));
+        let names = self.runs.iter().filter(|(t, r)| missing(t, r));
         let names: Vec<TaskName> = names.map(|(t, _)| *t).collect();
         for name in names {
             self.end_lost_run(now, name);
         }
     }
 
-    /// An executor that has just met its worker waits until nothing of an earlier one runs.
+    /// Marks the worker as reconciled once it lists no runs: until then runs of an earlier executor may be
+    /// left.
     fn mark_reconciled(&mut self, running: &[RunningRow]) {
         let Some(worker) = &mut self.worker else {
             return;
--- a/lib/src/dispatch/executor/preempting.rs
+++ b/lib/src/dispatch/executor/preempting.rs
@@ -1,5 +1,7 @@
-//! Runs that are stopped for more urgent tasks. The executor decides about them, since it alone knows the worker's
-//! room: several schedulers may ask at once.
+//! Preemption: runs that are stopped for more urgent tasks.
+//!
+//! The executor selects the victims, since it alone knows the worker's free capacity: several schedulers may
+//! ask at the same time. A budget limits the work that is discarded.
 
 use super::Executor;
 use super::runs::QueuedTask;
@@ -16,24 +18,24 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// The most urgent priority. Room is reported as such tasks would find it.
+/// The most urgent priority. Preemptible capacity is reported for tasks of this priority.
 const MOST_URGENT: u32 = 0;
 
-/// What decides whether a run may be stopped for another task.
+/// The properties of a run that decide whether it can be preempted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunRank {
-    /// 0 goes first.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// How often it may still be stopped.
+    /// How many more times it may be preempted.
     pub stops: u32,
-    /// Whether it leaves a checkpoint.
+    /// Whether it leaves a checkpoint when it is stopped.
     pub saves: bool,
-    /// Until when it can be run anew and end in time.
+    /// The latest time at which it can be restarted and still end in time.
     pub latest: Mono,
 }
 
 impl Run {
-    /// Whether it is being stopped to make room.
+    /// Returns whether the run is being stopped for a more urgent task.
     fn is_being_preempted(&self) -> bool {
         let why = match self.state {
             RunState::Stopping { why, .. } => Some(why),
@@ -42,7 +44,7 @@
         why == Some(EndKind::Preempted)
     }
 
-    fn as_stoppable(&self, now: Mono, key: TaskName) -> Stoppable<TaskName> {
+    fn as_preemptible(&self, now: Mono, key: TaskName) -> Stoppable<TaskName> {
         Stoppable {
             key,
             priority: self.rank.priority,
@@ -58,8 +60,8 @@
 }
 
 impl Executor {
-    /// Stops runs for an urgent task that has just come; says whether there will be room for it. It starts once the
-    /// worker's lists confirm that the room is free.
+    /// Preempts runs for an urgent task that has just arrived. Returns whether the task will fit; it starts
+    /// once the worker's lists confirm that the capacity is free.
     pub(super) fn preempt_for(&mut self, now: Mono, queued: &QueuedTask) -> bool {
         if !queued.preempts || self.health.is_suspect() || !self.is_within_spread(queued) {
             return false;
@@ -70,68 +72,70 @@
             missing: self.missing_capacity(now, queued.demand),
             latest: queued.latest_start,
         };
-        let bounds = self.preemption_bounds(now);
-        let runs = self.stoppable_runs(now);
-        let Some(chosen) = preemption::choose(now, &wanted, &runs, bounds, &policy) else {
+        let limits = self.preemption_limits(now);
+        let runs = self.preemptible_runs(now);
+        let Some(victims) = preemption::choose(now, &wanted, &runs, limits, &policy) else {
             let missing = wanted.missing.cpu_milli;
             let detail = format!(
-                "{}: {missing} milli-cores missing, {:.0} core-ms and {} milli-cores may be lost",
-                queued.task, bounds.loss, bounds.cpu_milli
+                "{}: {missing} milli-cores missing, {:.0} core-ms and {} milli-cores may be preempted",
+                queued.task, limits.loss, limits.cpu_milli
             );
             self.log(Kind::RoomKept, detail);
             return false;
         };
-        if !chosen.is_empty() {
-            self.preempt_runs(now, queued, &chosen);
+        if !victims.is_empty() {
+            self.preempt_runs(now, queued, &victims);
         }
         true
     }
 
-    /// Stops the chosen runs.
-    fn preempt_runs(&mut self, now: Mono, queued: &QueuedTask, chosen: &[TaskName]) {
+    /// Stops the victims, and charges the lost work to the budget.
+    fn preempt_runs(&mut self, now: Mono, queued: &QueuedTask, victims: &[TaskName]) {
         let policy = self.setup.policy.preemption;
-        let lost = |task: &TaskName| self.runs[task].as_stoppable(now, *task).loss(&policy);
-        let loss: f64 = chosen.iter().map(lost).sum();
+        let loss_of = |task: &TaskName| self.runs[task].as_preemptible(now, *task).loss(&policy);
+        let loss: f64 = victims.iter().map(loss_of).sum();
         let capacity = self.capacity().cpu_milli;
         self.preemption_budget.spend(now, capacity, loss, &policy);
-        let names: Vec<String> = chosen.iter().map(TaskName::to_string).collect();
+        let names: Vec<String> = victims.iter().map(TaskName::to_string).collect();
         let detail = format!("{}: {}, {loss:.0} core-ms", queued.task, names.join(" "));
         self.log(Kind::RunsPreempted, detail);
-        for task in chosen {
+        for task in victims {
             self.stop_run(now, *task, EndKind::Preempted);
         }
     }
 
-    /// What of a demand finds no room beside what waits, once the runs that end soon or are being stopped are gone.
+    /// Returns the part of a demand that does not fit beside the queued tasks, once the runs that end soon or
+    /// are being stopped are gone.
     fn missing_capacity(&self, now: Mono, demand: Demand) -> Demand {
         let queued = self.queue.iter().map(|w| w.demand);
         let wanted = queued.fold(demand, Demand::plus);
         let soon = self.setup.policy.placement.room_wait;
-        let going = |run: &&Run| {
+        let ending = |run: &&Run| {
             let stopping = matches!(run.state, RunState::Stopping { .. });
             stopping || run.ends_within(now, soon)
         };
-        let freed = self.runs.values().filter(going).map(|r| r.demand);
+        let freed = self.runs.values().filter(ending).map(|r| r.demand);
         let used = freed.fold(self.allocated, subtract);
         subtract(used.plus(wanted), self.capacity())
     }
 
-    /// The runs that may be stopped, as far as it is known that they run.
-    fn stoppable_runs(&self, now: Mono) -> Vec<Stoppable<TaskName>> {
+    /// Returns the candidates for preemption: the runs that are confirmed to run.
+    fn preemptible_runs(&self, now: Mono) -> Vec<Stoppable<TaskName>> {
         let running = |run: &Run| run.state == RunState::Running;
         let running = self.runs.iter().filter(|(_, run)| running(run));
         running
-            .map(|(task, run)| run.as_stoppable(now, *task))
+            .map(|(task, run)| run.as_preemptible(now, *task))
             .collect()
     }
 
+    /// Returns the cores of the runs that are being preempted, in thousandths.
     fn preempted_cpu(&self) -> u32 {
-        let clearing = self.runs.values().filter(|run| run.is_being_preempted());
-        clearing.map(|run| run.demand.cpu_milli).sum()
+        let stopping = self.runs.values().filter(|run| run.is_being_preempted());
+        stopping.map(|run| run.demand.cpu_milli).sum()
     }
 
-    /// What may be stopped now.
-    fn preemption_bounds(&self, now: Mono) -> Bounds {
+    /// Returns how much work and how many cores may be preempted now.
+    fn preemption_limits(&self, now: Mono) -> Bounds {
         let policy = self.setup.policy.preemption;
         let capacity = self.capacity().cpu_milli;
         let share = (f64::from(capacity) * policy.room_share) as u32;
@@ -141,20 +145,20 @@
         }
     }
 
-    /// What an urgent task could take beside what is free: the room of runs that may be stopped, and of those that
-    /// are being stopped, in thousandths of a core.
-    pub(super) fn preemptible(&self, now: Mono) -> u32 {
+    /// Returns the cores that an urgent task could get besides the free ones, in thousandths: those of runs
+    /// that can be preempted and of runs that are being preempted.
+    pub(super) fn preemptible_cpu(&self, now: Mono) -> u32 {
         let policy = self.setup.policy.preemption;
         if !policy.on || self.health.is_suspect() {
             return 0;
         }
-        let runs = self.stoppable_runs(now);
-        let bounds = self.preemption_bounds(now);
-        let more = preemption::preemptible(now, MOST_URGENT, &runs, bounds, &policy);
+        let runs = self.preemptible_runs(now);
+        let limits = self.preemption_limits(now);
+        let more = preemption::preemptible(now, MOST_URGENT, &runs, limits, &policy);
         self.preempted_cpu() + more
     }
 
-    /// Counts a run that has ended for a more urgent task.
+    /// Counts a run that was preempted, and its lost work unless it saved that.
     pub(super) fn count_preempted(&mut self, now: Mono, run: &Run, kind: EndKind) {
         if kind != EndKind::Preempted {
             return;
--- a/lib/src/dispatch/executor/reports.rs
+++ b/lib/src/dispatch/executor/reports.rs
@@ -1,4 +1,6 @@
-//! What schedulers are told: reports of the worker, ends, confirmed claims, and what changes seldom.
+//! Updates to schedulers: the worker's state, ends, confirmed claims, and the rarely changing profile.
+//!
+//! An update is sent to a session when it is due; parts that the link already carried are left out.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +17,11 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// What has changed of leases is told after this long: a scheduler that has just linked says within a round trip
-/// whether it places tasks here, and in a large fleet most do not.
-const LEASE_DEBOUNCE: Duration = Duration::from_millis(20);
+/// Changes of leases are published after this delay. A scheduler that has just linked reports within a round
+/// trip whether it places tasks here, and in a large fleet most do not.
+const LEASE_DELAY: Duration = Duration::from_millis(20);
 
-/// A run that goes slowly, as it is told; none if it is not there any more.
+/// Returns the message about a slow run; `None` if the run has ended.
 fn slow_run(runs: &BTreeMap<TaskName, Run>, task: TaskName) -> Option<proto::SlowRun> {
     let run = runs.get(&task)?;
     Some(proto::SlowRun {
@@ -29,22 +31,22 @@
 }
 
 impl Executor {
-    /// Sends updates to the schedulers that are due one.
+    /// Sends updates to the schedulers for which one is due.
     pub(super) fn send_due_updates(&mut self, now: Mono) {
         self.publish_leases(now);
         let reports = self.setup.policy.reports;
         let idle_heartbeat = self.setup.policy.cells.heartbeat;
-        let near = self.sessions.values().filter(|s| !s.standby).count() as u32;
-        let least = reports.gap.max(reports.gap_each * near);
+        let active = self.sessions.values().filter(|s| !s.standby).count() as u32;
+        let min_gap = reports.gap.max(reports.gap_each * active);
         let profile_hash = self.profile_hash;
         let departed = self.has_departed(now);
         let due = |s: &Session| {
             let gap = now.since(s.last_update);
-            let untold = s.profile_sent != profile_hash;
+            let outdated = s.profile_sent != profile_hash;
             match s.standby {
                 _ if s.urgent || s.departure_sent != departed => true,
-                true => gap >= idle_heartbeat || (untold && gap >= reports.heartbeat),
-                false => gap >= reports.heartbeat || (s.changed && gap >= least),
+                true => gap >= idle_heartbeat || (outdated && gap >= reports.heartbeat),
+                false => gap >= reports.heartbeat || (s.changed && gap >= min_gap),
             }
         };
         let linked = self.sessions.iter().filter(|(_, s)| s.link.is_some());
@@ -55,13 +57,14 @@
         }
     }
 
+    /// Sends an update on the session's link, if it has one.
     fn send_update(&mut self, now: Mono, name: &str) {
         let worker = Some(self.worker_report(now));
         let departed = self.has_departed(now);
         let accounted = self.is_accounted(now);
-        let told = self.sessions[name].profile_sent;
-        let untold = told != self.profile_hash;
-        let profile = untold.then(|| self.profile_for(name));
+        let sent = self.sessions[name].profile_sent;
+        let outdated = sent != self.profile_hash;
+        let profile = outdated.then(|| self.profile_for(name));
         let held = self.sessions[name].list_held.then(|| self.held_tasks(name));
         let Some(session) = self.sessions.get_mut(name) else {
             return;
@@ -69,8 +72,8 @@
         let Some(link) = session.link else {
             return;
         };
-        let fresh = session.ends.range(session.last_end_sent + 1..);
-        let ends: Vec<proto::TaskEnd> = fresh.map(|(_, e)| e.clone()).collect();
+        let unsent = session.ends.range(session.last_end_sent + 1..);
+        let ends: Vec<proto::TaskEnd> = unsent.map(|(_, e)| e.clone()).collect();
         session.last_end_sent = self.last_end;
         session.urgent = false;
         session.changed = false;
@@ -117,8 +120,7 @@
         self.actions.push(Action::Send(link, Box::new(body)));
     }
 
-    /// Notes that a run goes slowly at a worker that is slow, so that its scheduler can have it run
-    /// elsewhere.
+    /// Queues a report of a slow run at a slow worker, so that its scheduler can move it to another worker.
     pub(super) fn report_if_slow(&mut self, task: TaskName) {
         let slow =
             f64::from(self.health.pace_percent()) > self.setup.policy.health.slow_ratio * 100.0;
@@ -135,16 +137,18 @@
         }
     }
 
+    /// Returns the runs and queued tasks of a scheduler.
     fn held_tasks(&self, name: &str) -> proto::HeldTasks {
         let runs = self.runs.iter().filter(|(_, r)| r.scheduler == name);
         let runs = runs.map(|(t, r)| t.proto(r.attempt));
-        let waits = self.queue.iter().filter(|w| w.scheduler == name);
-        let waits = waits.map(|w| w.task.proto(w.attempt));
+        let queued = self.queue.iter().filter(|w| w.scheduler == name);
+        let queued = queued.map(|w| w.task.proto(w.attempt));
         proto::HeldTasks {
-            tasks: runs.chain(waits).collect(),
+            tasks: runs.chain(queued).collect(),
         }
     }
 
+    /// Returns the worker's state. Queued tasks count against the free capacity, which can become negative.
     fn worker_report(&self, now: Mono) -> proto::WorkerReport {
         let Some(worker) = &self.worker else {
             return proto::WorkerReport::default();
@@ -163,11 +167,11 @@
             pace_percent: self.health.pace_percent(),
             suspect: self.health.is_suspect(),
             slowness_percent: self.slowness_percent(),
-            preemptible_cpu_milli: self.preemptible(now),
+            preemptible_cpu_milli: self.preemptible_cpu(now),
         }
     }
 
-    /// Takes note that what schedulers are told seldom has changed.
+    /// Updates the hash of the profile after a change, so that the new profile is sent.
     pub(super) fn update_profile(&mut self) {
         self.profile_hash = hash_profile(&self.profile(self.leased.clone()));
         for session in self.sessions.values_mut() {
@@ -175,16 +179,17 @@
         }
     }
 
-    /// Takes note that schedulers have come or gone, or have begun or ceased to place tasks here.
+    /// Marks the published leases as outdated: a scheduler has linked or gone, or its standby state has
+    /// changed.
     pub(super) fn mark_leases_stale(&mut self, now: Mono) {
         self.stale_since.get_or_insert(now);
     }
 
-    /// Tells who holds leases here, once it has been the same for a moment.
+    /// Publishes who holds leases here, with a delay that batches changes.
     fn publish_leases(&mut self, now: Mono) {
         if self
             .stale_since
-            .is_none_or(|at| now.since(at) < LEASE_DEBOUNCE)
+            .is_none_or(|at| now.since(at) < LEASE_DELAY)
         {
             return;
         }
@@ -200,7 +205,7 @@
         }
     }
 
-    /// The incarnations of the schedulers that hold leases here, if schedulers want to know for whom things run.
+    /// Returns the incarnations of the schedulers that hold leases here; empty if the recovery policy is off.
     fn lease_holders(&self) -> Vec<u64> {
         if !self.setup.policy.recovery.on {
             return Vec::new();
@@ -209,16 +214,18 @@
         holders.map(|s| s.incarnation).collect()
     }
 
-    /// Those of them that the profile does not name yet. Without them an executor that is lost while schedulers link to
-    /// it, as all do after the return of a fleet, would have said of nobody that nothing runs for them.
+    /// Returns the lease holders that the profile does not list yet. Without them, schedulers could not rule
+    /// out runs for anyone at an executor that is lost while schedulers link to it, as all of them do after a
+    /// fleet restart.
     fn unpublished_holders(&self) -> Vec<u64> {
         let mut holders = self.lease_holders();
-        holders.retain(|life| !self.owners.contains(life));
+        holders.retain(|holder| !self.owners.contains(holder));
         holders
     }
 
-    /// Whether all that runs at the worker is known, and runs or waits for schedulers that hold leases, as they are
-    /// told: a scheduler that hears nothing more of this process then knows whose jobs may be at work here.
+    /// Returns whether all runs at the worker are known, and all runs and queued tasks belong to schedulers
+    /// with a reported lease. If this process then falls silent, schedulers know whose jobs may still run
+    /// here.
     fn is_accounted(&self, now: Mono) -> bool {
         let holds = |owner: &str| self.sessions.get(owner).is_some_and(|s| !s.standby);
         self.setup.policy.recovery.on
@@ -227,7 +234,7 @@
             && self.queue.iter().all(|w| holds(&w.scheduler))
     }
 
-    /// The profile as one scheduler is told it. One that has just linked counts as holding a lease.
+    /// Returns the profile for one scheduler, which counts as a lease holder even if it has just linked.
     fn profile_for(&self, owner: &str) -> proto::Profile {
         let mut leased = self.leased.clone();
         let session = &self.sessions[owner];
@@ -238,6 +245,7 @@
         self.profile(leased)
     }
 
+    /// Returns the profile with these lease holders.
     fn profile(&self, leased: Vec<String>) -> proto::Profile {
         let Some(worker) = &self.worker else {
             return proto::Profile {
@@ -257,7 +265,7 @@
     }
 }
 
-/// Tells editions of the profile apart.
+/// Returns a hash that identifies the contents of a profile.
 pub(super) fn hash_profile(profile: &proto::Profile) -> u64 {
     xxh3_64(&profile.encode_to_vec())
 }
--- a/lib/src/dispatch/executor/runs.rs
+++ b/lib/src/dispatch/executor/runs.rs
@@ -1,4 +1,7 @@
-//! Runs at the worker: waiting for room, starting, stopping.
+//! The queue of tasks and the runs at the worker.
+//!
+//! Tasks are queued until they fit, started, and stopped on request. The allocated capacity covers every run
+//! from the moment its start is sent until its end is known.
 
 use std::rc::Rc;
 
@@ -16,69 +19,76 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// How far a fencing token is raised when the worker has seen a higher one, at first: ten seconds of the clock that it
-/// begins with.
+/// By how much the fencing token is raised the first time that the worker has seen a higher one. The token
+/// starts at a clock reading in milliseconds, so this is ten seconds.
 pub(super) const FENCE_STEP: u64 = 10_000;
-/// It is raised by twice as much each time, up to this, so that it passes any earlier one soon. After a clock was set
-/// back by an hour 360 calls were refused before that; nine are now.
+/// The largest increase of the fencing token. The increase doubles each time, so that the token passes an
+/// earlier one quickly: after a clock is set back by an hour, nine calls are refused instead of 360.
 const MAX_FENCE_STEP: u64 = 1 << 42;
 
-/// How far a run is.
+/// The state of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// The start was sent.
+    /// The start was sent and is not confirmed yet.
     Starting,
-    /// It runs.
+    /// The worker confirmed the start or listed the run.
     Running,
-    /// It is to end; whether it runs is not known until the worker lists its end, or answers a
-    /// hold that was sent after a confirmed stop.
+    /// The run is being stopped. Whether it still runs is unknown until the worker lists its end, or answers
+    /// a hold that was sent after a confirmed stop without listing the run.
     Stopping {
-        /// When the stop was last sent, if it has not been confirmed.
+        /// When the stop was last sent; `None` once it is confirmed.
         sent: Option<Mono>,
-        /// The hold after which a run that is not listed is gone.
+        /// The number of holds sent when the stop was confirmed. A run that a later hold does not list is
+        /// gone.
         confirmed: Option<u64>,
-        /// What the scheduler is told.
+        /// The end that is reported to the scheduler.
         why: EndKind,
     },
 }
 
-/// A run at the worker.
+/// A run at the worker, from its start order to its end.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
+    /// The key of the scheduler's session.
     pub scheduler: String,
+    /// The scheduler's number for this attempt of the task.
     pub attempt: u32,
+    /// The run's number at the worker, at least the attempt.
     pub run: u32,
     pub state: RunState,
     pub demand: Demand,
     pub estimate: Duration,
+    /// When its first start was sent.
     pub started_at: Mono,
     pub waited: Duration,
-    /// A run that a hold sent after this one does not list is gone.
+    /// The number of holds sent when the worker confirmed the start or listed the run; `u64::MAX` before
+    /// that. A run that a later hold does not list is gone.
     pub listed_by: u64,
     pub percent: u32,
+    /// When its progress last changed.
     pub progressed_at: Mono,
-    /// From when and where on its pace is read next.
+    /// The time and progress at which the pace was last sampled.
     pace_mark: (Mono, u32),
-    /// The share of it that the worker's speed was read from.
+    /// The share of the run that is already part of the estimate of the worker's speed.
     pub sampled_share: f64,
-    /// How long it will still take at its present pace, once that was read.
+    /// The remaining time at its current pace; `None` before the first sample.
     pub remaining: Option<Duration>,
-    /// What is known of its task from workers that crashed.
+    /// The crash history of its task.
     pub crashes: CrashRecord,
-    /// Whether its worker has crashed.
+    /// Whether the worker crashed during this run.
     pub crashed: bool,
-    /// The part of that crash that falls to it, in thousandths.
+    /// The share of the blame for that crash, in thousandths.
     pub blame: u32,
-    /// Whether all runs that share it are of the same job.
+    /// Whether all runs that share the blame belong to the same job.
     pub sole: bool,
-    /// What decides whether it may be stopped for another task.
+    /// The properties that decide whether it can be preempted.
     pub rank: RunRank,
     spec: Rc<str>,
     checkpoint: String,
 }
 
 impl Run {
-    /// Whether it ends within a span, by its progress.
+    /// Returns whether the run is expected to end within `span`, by its progress so far.
     pub(super) fn ends_within(&self, now: Mono, span: Duration) -> bool {
         if self.percent == 0 {
             return false;
@@ -90,14 +100,15 @@
 }
 
 impl Run {
-    /// Its pace since it was last read, against its estimate, if it has run for `span` since.
+    /// Returns how long the whole run takes at its pace since the last sample, relative to its estimate;
+    /// `None` until `span` and a tenth of the estimate have passed since, or without an estimate.
     pub fn sample_pace(&mut self, now: Mono, span: Duration) -> Option<f64> {
         let (since, from) = self.pace_mark;
         let ran = now.since(since);
         if ran < span.max(self.estimate / 10) || self.estimate.is_zero() {
             return None;
         }
-        // Percents are whole: none may be nearly one.
+        // Progress is reported in whole percents: a gain of zero may be almost one.
         let gained = f64::from(self.percent.saturating_sub(from)).max(0.5);
         let whole = ran.mul_f64(100.0 / gained);
         let left = f64::from(100u32.saturating_sub(self.percent));
@@ -106,41 +117,45 @@
         Some(whole.as_secs_f64() / self.estimate.as_secs_f64())
     }
 
-    /// Whether it began at the beginning of its task.
+    /// Returns whether the run began without a checkpoint.
     pub fn is_fresh(&self) -> bool {
         self.checkpoint.is_empty()
     }
 
-    /// How long it ran against its estimate, now that it has ended.
+    /// Returns how long the run took relative to its estimate, given that it ends now; `None` without an
+    /// estimate.
     pub fn time_ratio(&self, now: Mono) -> Option<f64> {
         let ran = now.since(self.started_at).as_secs_f64();
         (!self.estimate.is_zero()).then(|| ran / self.estimate.as_secs_f64())
     }
 }
 
-/// A task that waits for room.
+/// A task that is queued until it fits.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedTask {
+    /// The key of the scheduler's session.
     pub scheduler: String,
     pub task: TaskName,
     pub attempt: u32,
     pub demand: Demand,
+    /// The most tasks of the same step that may run at this worker; 0 for no bound.
     pub spread: u32,
     pub estimate: Duration,
     pub arrived: Mono,
+    /// When the task is returned to its scheduler if it has not started.
     pub latest_start: Mono,
     pub spec: Rc<str>,
     pub checkpoint: String,
-    /// What is known of it from workers that crashed.
+    /// The crash history of the task.
     pub crashes: CrashRecord,
-    /// Whether runs may be stopped to make room for it.
+    /// Whether runs may be preempted for it.
     pub preempts: bool,
-    /// What decides whether its run may be stopped for another task.
+    /// The properties that decide whether its run can be preempted.
     pub rank: RunRank,
 }
 
 impl Executor {
-    /// Queues a task, soonest start first. One for which runs are stopped goes before the others.
+    /// Queues a task, earliest latest start first. Tasks that may preempt go before the others.
     pub(super) fn enqueue(&mut self, queued: QueuedTask) {
         let order = |w: &QueuedTask| (!w.preempts, w.latest_start);
         let later = |w: &QueuedTask| order(w) > order(&queued);
@@ -148,7 +163,7 @@
         self.queue.insert(at.unwrap_or(self.queue.len()), queued);
     }
 
-    /// Starts what fits of the tasks that wait.
+    /// Starts the queued tasks that fit.
     pub(super) fn start_queued(&mut self, now: Mono) {
         if !self.is_ready(now) {
             return;
@@ -160,7 +175,7 @@
                 at += 1;
                 continue;
             }
-            let queued = self.queue.remove(at).expect("it is there");
+            let queued = self.queue.remove(at).expect("index is in the queue");
             self.start(now, queued);
         }
     }
@@ -172,7 +187,7 @@
             && !self.is_blocked_by_trial(now, queued)
     }
 
-    /// Whether there will be room soon for a task that arrives now, behind those that wait.
+    /// Returns whether a task that arrives now will fit soon, behind those already queued.
     pub(super) fn has_capacity_soon(&self, now: Mono, demand: Demand) -> bool {
         let queued = self.queue.iter().map(|w| w.demand);
         let wanted = queued.fold(demand, Demand::plus);
@@ -181,6 +196,7 @@
         wanted.fits(freed.fold(self.allocated, subtract), self.capacity())
     }
 
+    /// Returns whether one more task of the same step may run here.
     pub(super) fn is_within_spread(&self, queued: &QueuedTask) -> bool {
         if queued.spread == 0 {
             return true;
@@ -236,7 +252,7 @@
         self.actions.push(Action::Start(call));
     }
 
-    /// The reply to a start.
+    /// Handles the reply to a start.
     pub fn handle_start_reply(&mut self, now: Mono, name: RunName, reply: OrderReply) {
         let Some(run) = self.runs.get_mut(&name.task) else {
             return;
@@ -256,7 +272,7 @@
             OrderReply::Refused(reason) => self.handle_start_refusal(now, name, reason),
             OrderReply::WrongLife => self.end_run(now, name.task, EndKind::Unavailable),
             OrderReply::Unreachable => self.end_run(now, name.task, EndKind::Unavailable),
-            // The worker has listed it meanwhile: only the answer was lost.
+            // The worker has listed the run in the meantime: only the reply was lost.
             OrderReply::NoAnswer if run.state == RunState::Running => {}
             OrderReply::NoAnswer => {
                 self.counts.unanswered_starts += 1;
@@ -268,18 +284,20 @@
         self.advance(now);
     }
 
+    /// Sends a refused start again if a higher fencing token, a higher run number or a new deadline can help;
+    /// otherwise ends the run.
     fn handle_start_refusal(&mut self, now: Mono, name: RunName, reason: StartRefusal) {
         let stopping = self.runs[&name.task].state != RunState::Starting;
-        let again = matches!(
+        let retryable = matches!(
             reason,
             StartRefusal::Fence | StartRefusal::Old | StartRefusal::Late
         );
-        if again && !stopping && !self.is_evacuated() {
+        if retryable && !stopping && !self.is_evacuated() {
             if reason == StartRefusal::Fence {
                 self.raise_fence();
             }
             let within = self.setup.policy.orders.start_within;
-            let run = self.runs.get_mut(&name.task).expect("it was looked up");
+            let run = self.runs.get_mut(&name.task).expect("run exists");
             if reason == StartRefusal::Old {
                 run.run += 1;
             }
@@ -299,22 +317,24 @@
         self.end_run(now, name.task, why);
     }
 
+    /// Raises the fencing token, after the worker has seen a higher one.
     pub(super) fn raise_fence(&mut self) {
         self.fence += self.fence_step;
         self.fence_step = (self.fence_step * 2).min(MAX_FENCE_STEP);
         self.log(Kind::FenceRaised, self.fence.to_string());
     }
 
-    /// Stops a run, or drops a task that waits. The scheduler is told `why` once it is gone.
+    /// Stops a run or removes a queued task. Once it is gone, the scheduler receives `why`.
     pub(super) fn stop_task(&mut self, now: Mono, task: TaskName, why: EndKind) {
         if let Some(at) = self.queue.iter().position(|w| w.task == task) {
-            let queued = self.queue.remove(at).expect("it is there");
+            let queued = self.queue.remove(at).expect("index is in the queue");
             self.report_unstarted(now, &queued, why);
         }
         self.stop_run(now, task, why);
     }
 
-    /// Stops a run.
+    /// Stops a run. The scheduler receives `why`, unless the worker reports first that the run completed or
+    /// failed.
     pub(super) fn stop_run(&mut self, now: Mono, task: TaskName, why: EndKind) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
@@ -337,7 +357,7 @@
         self.actions.push(Action::Stop(life, name, self.fence));
     }
 
-    /// The reply to a stop.
+    /// Handles the reply to a stop.
     pub fn handle_stop_reply(&mut self, now: Mono, name: RunName, reply: OrderReply) {
         if reply == OrderReply::Refused(StartRefusal::Fence) {
             self.raise_fence();
@@ -360,10 +380,10 @@
         self.advance(now);
     }
 
-    /// Sends stops again that got no answer.
+    /// Sends unanswered stops again.
     pub(super) fn resend_stops(&mut self, now: Mono) {
         let wait = self.setup.policy.orders.stop_again;
-        let mut again = Vec::new();
+        let mut unanswered = Vec::new();
         for (task, run) in &mut self.runs {
             if let RunState::Stopping {
                 sent: Some(at),
@@ -374,24 +394,26 @@
             {
                 *at = now;
                 let run = run.run;
-                again.push(RunName { task: *task, run });
+                unanswered.push(RunName { task: *task, run });
             }
         }
-        for name in again {
+        for name in unanswered {
             self.send_stop(name);
         }
     }
 
-    /// A run is gone without the worker having said how.
+    /// Ends a run whose end the worker has not reported.
     pub(super) fn end_lost_run(&mut self, now: Mono, task: TaskName) {
         let kind = self.lost_end_kind(task);
         self.end_run(now, task, kind);
     }
 
+    /// Ends a run without a checkpoint.
     pub(super) fn end_run(&mut self, now: Mono, task: TaskName, kind: EndKind) {
         self.finish_run(now, task, kind, String::new());
     }
 
+    /// Ends a run: releases its capacity, counts it and reports the end to its scheduler.
     pub(super) fn finish_run(
         &mut self,
         now: Mono,
@@ -411,7 +433,7 @@
             EndKind::Lost => self.counts.lost += 1,
             EndKind::Crashed => self.counts.crashed += 1,
             EndKind::Stalled => self.counts.stalled += 1,
-            // It has run, and is counted by itself.
+            // Counted by `count_preempted`.
             EndKind::Preempted => {}
             _ => self.counts.returned += 1,
         }
@@ -420,9 +442,10 @@
     }
 }
 
-/// Run numbers tried above the attempt before a start is given up.
+/// How many run numbers above the attempt are tried before a start is given up.
 const MAX_RENUMBER: u32 = 16;
 
+/// Subtracts a demand from used capacity, down to zero.
 pub(super) fn subtract(used: Demand, demand: Demand) -> Demand {
     Demand {
         cpu_milli: used.cpu_milli.saturating_sub(demand.cpu_milli),
--- a/lib/src/dispatch/executor/sessions.rs
+++ b/lib/src/dispatch/executor/sessions.rs
@@ -1,4 +1,7 @@
-//! Sessions with schedulers: leases, orders taken in, ends kept for them. What they are told stands in `reports`.
+//! Sessions with schedulers: leases, incoming orders, and the ends kept until they are confirmed.
+//!
+//! Each session belongs to one incarnation of a scheduler. The updates that are sent to schedulers are in
+//! `reports`.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -18,7 +21,7 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// A session with one life of a scheduler. It outlasts its link by what is left of the lease.
+/// A session with one incarnation of a scheduler. It outlives its link until the lease expires.
 #[derive(Debug)]
 pub(super) struct Session {
     /// The scheduler's name.
@@ -26,37 +29,45 @@
     pub incarnation: u64,
     pub link: Option<LinkId>,
     pub lease_until: Mono,
-    /// Whether the scheduler places nothing here at present: it needs no lease and seldom a report.
+    /// Whether the scheduler currently places nothing here, so that it needs no lease and only rare updates.
     pub standby: bool,
+    /// When the last message arrived.
     pub last_heard: Mono,
-    /// Ends the scheduler has not confirmed, by number.
+    /// The ends that the scheduler has not confirmed, by number.
     pub ends: BTreeMap<u64, proto::TaskEnd>,
+    /// The number of the last end that was sent on this link.
     pub last_end_sent: u64,
+    /// The sequence number of the last orders that had one, echoed in updates.
     pub sequence: u64,
+    /// Confirmed claims to report in the next update.
     pub claimed: Vec<JobNumber>,
+    /// Denied claims to report in the next update.
     pub denied: Vec<JobNumber>,
-    /// Runs of the scheduler that go slowly and that it has not been told of yet.
+    /// Slow runs of the scheduler to report in the next update.
     pub slow: Vec<TaskName>,
+    /// Whether an update is due at once.
     pub urgent: bool,
+    /// Whether an update is due after the minimum gap.
     pub changed: bool,
     pub last_update: Mono,
-    /// Whether what is held must be listed in the next update.
+    /// Whether the next update lists the scheduler's runs and queued tasks.
     pub list_held: bool,
-    /// The edition of the profile that was last sent on this link; 0 for none.
+    /// The hash of the profile that was last sent on this link; 0 for none.
     pub profile_sent: u64,
-    /// The revision of the record of the own zone that was sent or came on this link.
+    /// The revision of the record of this executor's zone that was sent or received on this link.
     pub zone_sent: u64,
-    /// Whether it was told on this link that nothing runs here any more, nor will.
+    /// Whether the last update reported that nothing runs here any more and nothing will be started.
     pub departure_sent: bool,
 }
 
-/// The key of a session, and of what runs for it: a scheduler's name and life.
+/// Returns the key of a session and of its runs: the scheduler's name and incarnation.
 fn session_key(greeting: &proto::Greeting) -> String {
     format!("{}#{:x}", greeting.name, greeting.incarnation)
 }
 
 impl Executor {
-    /// A scheduler's link is up.
+    /// Handles a new link from a scheduler. It ends sessions of other incarnations and replaces an older
+    /// link.
     pub fn link_up(&mut self, now: Mono, link: LinkId, greeting: &proto::Greeting) {
         let owner = session_key(greeting);
         let earlier = |key: &String, s: &Session| s.name == greeting.name && *key != owner;
@@ -103,7 +114,7 @@
         self.advance(now);
     }
 
-    /// A link is down. What runs for its scheduler goes on until the lease is over.
+    /// Handles the loss of a link. The scheduler's runs continue until its lease expires.
     pub fn link_down(&mut self, link: LinkId) {
         let lost = |s: &&mut Session| s.link == Some(link);
         let Some(session) = self.sessions.values_mut().find(lost) else {
@@ -114,7 +125,7 @@
         self.log(Kind::LinkDown, detail);
     }
 
-    /// Orders from a scheduler.
+    /// Handles orders from a scheduler.
     pub fn handle_orders(&mut self, now: Mono, link: LinkId, orders: proto::Orders) {
         let linked = self.sessions.iter_mut();
         let Some((name, session)) = linked.into_iter().find(|(_, s)| s.link == Some(link)) else {
@@ -130,14 +141,15 @@
         }
         session.last_heard = now;
         let asks = !(orders.claims.is_empty() && orders.renewals.is_empty());
-        // It counts on an answer at once, since it does not hear otherwise whether this process lives.
+        // A standby scheduler expects an answer at once: it receives no frequent updates that show this
+        // process alive.
         session.urgent |= asks && orders.standby;
-        let moved = std::mem::replace(&mut session.standby, orders.standby) != orders.standby;
-        if moved && !orders.standby {
+        let toggled = std::mem::replace(&mut session.standby, orders.standby) != orders.standby;
+        if toggled && !orders.standby {
             session.urgent = true;
             session.lease_until = session.lease_until.max(now + self.setup.lease);
         }
-        if moved {
+        if toggled {
             self.mark_leases_stale(now);
         }
         let fresh = now < lease_until;
@@ -166,16 +178,19 @@
         self.advance(now);
     }
 
+    /// Stops the task if the scheduler's attempt runs here, or if the task is queued.
     fn stop_on_order(&mut self, now: Mono, scheduler: &str, task: TaskName, attempt: u32) {
         let mine = |s: &str, a: u32| s == scheduler && a == attempt;
-        let runs = self.runs.get(&task);
-        let runs = runs.is_some_and(|r| mine(&r.scheduler, r.attempt));
-        let waits = self.queue.iter().any(|w| w.task == task);
-        if runs || waits {
+        let running = self.runs.get(&task);
+        let running = running.is_some_and(|r| mine(&r.scheduler, r.attempt));
+        let queued = self.queue.iter().any(|w| w.task == task);
+        if running || queued {
             self.stop_task(now, task, EndKind::Stopped);
         }
     }
 
+    /// Handles an order to start tasks of a job. `fresh` tells whether the clock reading that the order
+    /// echoes is less than one lease old.
     fn accept_start(&mut self, now: Mono, scheduler: &str, start: proto::StartTasks, fresh: bool) {
         let spec: Rc<str> = Rc::from(start.spec.as_str());
         let demand = Demand::from_proto(start.demand);
@@ -211,6 +226,7 @@
         }
     }
 
+    /// Queues a task, or returns it to its scheduler with the reason why it can't be started here.
     fn accept_task(&mut self, now: Mono, queued: QueuedTask, fresh: bool) {
         if self.is_claimed_by_other(&queued.scheduler, queued.task.job) {
             return self.report_unstarted(now, &queued, EndKind::Claimed);
@@ -233,14 +249,14 @@
         self.enqueue(queued);
     }
 
-    /// Hands back the tasks that wait.
+    /// Returns all queued tasks to their schedulers.
     pub(super) fn return_queue(&mut self, now: Mono) {
         for queued in std::mem::take(&mut self.queue) {
             self.report_unstarted(now, &queued, EndKind::Unavailable);
         }
     }
 
-    /// Hands back tasks whose time has passed.
+    /// Returns queued tasks whose latest start has passed.
     pub(super) fn expire_queued(&mut self, now: Mono) {
         let (expired, queue) = std::mem::take(&mut self.queue)
             .into_iter()
@@ -252,23 +268,25 @@
         }
     }
 
-    /// Ends the sessions whose lease is over; what runs for them is stopped.
+    /// Ends the sessions whose lease has expired and stops their runs. A standby session without runs is kept
+    /// while it is heard from.
     pub(super) fn expire_leases(&mut self, now: Mono) {
         let silence = self.setup.policy.cells.silence;
         let runs = |owner: &str| self.runs.values().any(|r| r.scheduler == owner);
         let idle = |owner: &str, s: &Session| {
             s.standby && now.since(s.last_heard) < silence && !runs(owner)
         };
-        let over = self.sessions.iter();
-        let over = over.filter(|(owner, s)| s.lease_until <= now && !idle(owner, s));
-        let over: Vec<String> = over.map(|(name, _)| name.clone()).collect();
-        for name in over {
+        let expired = self.sessions.iter();
+        let expired = expired.filter(|(owner, s)| s.lease_until <= now && !idle(owner, s));
+        let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
+        for name in expired {
             self.counts.expired_leases += 1;
             self.log(Kind::LeaseOver, format!("scheduler {name}"));
             self.end_session(now, &name);
         }
     }
 
+    /// Ends a session: closes its link, drops its queued tasks and stops its runs.
     fn end_session(&mut self, now: Mono, name: &str) {
         self.mark_leases_stale(now);
         if let Some(session) = self.sessions.remove(name)
@@ -284,7 +302,7 @@
         }
     }
 
-    /// Tells a scheduler how a run ended.
+    /// Reports to a scheduler how a run ended.
     pub(super) fn report_end(
         &mut self,
         now: Mono,
@@ -307,7 +325,7 @@
         self.push_end(&run.scheduler, end);
     }
 
-    /// Tells a scheduler that a task was not started.
+    /// Reports to a scheduler that a task was not started.
     pub(super) fn report_unstarted(&mut self, now: Mono, queued: &QueuedTask, kind: EndKind) {
         self.counts.returned += 1;
         let end = proto::TaskEnd {
@@ -324,6 +342,7 @@
         self.push_end(&queued.scheduler, end);
     }
 
+    /// Numbers an end and keeps it for the scheduler until it is confirmed.
     fn push_end(&mut self, scheduler: &str, mut end: proto::TaskEnd) {
         for session in self.sessions.values_mut() {
             session.changed = true;
--- a/lib/src/dispatch/executor/speeds.rs
+++ b/lib/src/dispatch/executor/speeds.rs
@@ -1,4 +1,7 @@
-//! The worker's speed, read from the progress and the ends of its runs.
+//! The worker's speed, estimated from the progress and the ends of its runs.
+//!
+//! Each sample is the ratio of a run's time to its expected time, weighted by the share of the run that it
+//! covers.
 
 use super::Executor;
 use super::runs::Run;
@@ -7,8 +10,8 @@
 use crate::prelude::*;
 
 impl Run {
-    /// The share of the run that a reading at this time is the first of, by its expected time. All shares of a run
-    /// make one, so that a long run counts no more than a short one.
+    /// Returns the share of the run that no earlier sample covers, relative to its expected time, and marks
+    /// it as covered. The shares of a run sum to one, so that a long run counts no more than a short one.
     fn take_share(&mut self, now: Mono) -> f64 {
         let ran = now.since(self.started_at).as_secs_f64();
         let share = (ran / self.estimate.as_secs_f64()).min(1.0) - self.sampled_share;
@@ -18,7 +21,7 @@
 }
 
 impl Executor {
-    /// A run takes `ratio` times its expected time, by its progress.
+    /// Updates the speed from a run that takes `ratio` times its expected time, by its progress.
     pub(super) fn sample_progress(&mut self, now: Mono, task: TaskName, ratio: f64) {
         if let Some(run) = self.timed_run(task) {
             let share = run.take_share(now);
@@ -26,7 +29,7 @@
         }
     }
 
-    /// A run has ended whole.
+    /// Updates the speed from a completed run.
     pub(super) fn sample_finished_run(&mut self, now: Mono, task: TaskName) {
         if let Some(run) = self.timed_run(task)
             && let Some(ratio) = run.time_ratio(now)
@@ -36,8 +39,8 @@
         }
     }
 
-    /// A run whose time can be set against an expected one. One that goes on where an earlier one left off has less
-    /// to do than is expected.
+    /// Returns a run whose time can be compared to its estimate. A run that resumes from a checkpoint is
+    /// excluded, since it has less to do than estimated.
     fn timed_run(&mut self, task: TaskName) -> Option<&mut Run> {
         if !self.setup.policy.speeds.on {
             return None;
@@ -46,6 +49,7 @@
         (run.is_fresh() && !run.estimate.is_zero()).then_some(run)
     }
 
+    /// Adds a sample to the estimate, and logs a lasting change of speed.
     fn update_speed(&mut self, ratio: f64, share: f64) {
         let before = self.speed.percent();
         if self.speed.read(ratio, share) {
@@ -59,7 +63,7 @@
         }
     }
 
-    /// How long tasks take at the worker against their expected times, in percent; 0 if not known.
+    /// Returns how long tasks take at the worker in percent of their expected times; 0 if unknown.
     pub fn slowness_percent(&self) -> u32 {
         self.speed.percent()
     }
