--- a/lib/tests/runner/test_scheduler.rs
+++ b/lib/tests/runner/test_scheduler.rs
@@ -1,4 +1,6 @@
-//! The scheduler: jobs that come, wait, come again and end.
+//! Tests of the scheduler. The fixture feeds it links, updates of executors and peers, and callers' requests,
+//! advances its clock, and collects the actions that it returns. The tests here cover the basic course of a
+//! job; each submodule covers one part of the scheduler.
 
 mod balance;
 mod bulkheads;
@@ -44,15 +46,19 @@
 const OTHER_EXECUTOR: LinkId = LinkId(3);
 const OTHER_PEER: LinkId = LinkId(4);
 
+/// A scheduler with a clock under the control of the test, and the actions that it has returned.
 struct Bench {
     scheduler: Scheduler,
     now: Mono,
     actions: Vec<Action>,
+    /// The clock of the executors, which increases with each of their updates.
     clock_us: u64,
+    /// The number of the last task end that an executor has reported.
     last_end: u64,
 }
 
 impl Bench {
+    /// Returns a scheduler that has just started, with a catalog.
     fn new() -> Bench {
         let mut bench = Bench::without_catalog();
         bench.scheduler.set_catalog(bench.now, catalog(3));
@@ -84,30 +90,29 @@
         }
     }
 
-    /// A scheduler that has been up for long enough not to doubt its past, with an executor of
-    /// four tasks' room.
+    /// Returns a scheduler that has warmed up, with an executor that has free capacity for four tasks.
     fn ready() -> Bench {
         let mut bench = Bench::new();
         bench.link(EXECUTOR, "e1", true);
         for _ in 0..150 {
             bench.report(Vec::new());
-            bench.pass(20);
+            bench.advance(20);
         }
         bench.report(Vec::new());
         bench.actions.clear();
         bench
     }
 
-    fn take(&mut self) {
-        let fresh = self.scheduler.take_actions();
-        self.actions.extend(fresh);
+    fn collect_actions(&mut self) {
+        let actions = self.scheduler.take_actions();
+        self.actions.extend(actions);
     }
 
     fn link(&mut self, link: LinkId, name: &str, executor: bool) {
-        self.link_life(1, link, name, executor);
+        self.link_incarnation(1, link, name, executor);
     }
 
-    fn link_life(&mut self, incarnation: u64, link: LinkId, name: &str, executor: bool) {
+    fn link_incarnation(&mut self, incarnation: u64, link: LinkId, name: &str, executor: bool) {
         let greeting = proto::Greeting {
             executor,
             name: name.to_owned(),
@@ -115,20 +120,23 @@
             ..proto::Greeting::default()
         };
         self.scheduler.link_up(self.now, link, &greeting);
-        self.take();
+        self.collect_actions();
     }
 
-    fn pass(&mut self, ms: u64) {
+    /// Advances the clock, and runs the periodic work of the scheduler.
+    fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
         self.scheduler.tick(self.now);
-        self.take();
+        self.collect_actions();
     }
 
-    fn update(&mut self, update: proto::Update) {
-        self.update_on(EXECUTOR, update);
+    /// Delivers an update of the executor on the link `EXECUTOR`.
+    fn send_update(&mut self, update: proto::Update) {
+        self.send_update_on(EXECUTOR, update);
     }
 
-    fn update_on(&mut self, link: LinkId, update: proto::Update) {
+    /// Delivers an update of an executor, together with a worker report of four free cores.
+    fn send_update_on(&mut self, link: LinkId, update: proto::Update) {
         self.clock_us += 1;
         let update = proto::Update {
             clock_us: self.clock_us,
@@ -143,17 +151,19 @@
         };
         let body = Body::Update(update);
         self.scheduler.message(self.now, link, body);
-        self.take();
+        self.collect_actions();
     }
 
+    /// Delivers an update of the executor with its profile, which lists the holders of its leases.
     fn report(&mut self, leased: Vec<String>) {
-        self.update(proto::Update {
+        self.send_update(proto::Update {
             profile: Some(profile(leased)),
             ..proto::Update::default()
         });
     }
 
-    fn end(&mut self, task: TaskName, attempt: u32, kind: EndKind) {
+    /// Delivers the executor's report that an attempt of a task has ended.
+    fn end_task(&mut self, task: TaskName, attempt: u32, kind: EndKind) {
         self.last_end += 1;
         let end = proto::TaskEnd {
             number: self.last_end,
@@ -162,44 +172,48 @@
             ran_us: 1000,
             ..proto::TaskEnd::default()
         };
-        self.update(proto::Update {
+        self.send_update(proto::Update {
             ends: vec![end],
             ..proto::Update::default()
         });
     }
 
-    fn peer(&mut self, update: proto::PeerUpdate) {
-        self.peer_on(PEER, update);
+    /// Delivers an update of the peer on the link `PEER`.
+    fn send_peer_update(&mut self, update: proto::PeerUpdate) {
+        self.send_peer_update_on(PEER, update);
     }
 
-    fn peer_on(&mut self, link: LinkId, update: proto::PeerUpdate) {
+    fn send_peer_update_on(&mut self, link: LinkId, update: proto::PeerUpdate) {
         let body = Body::Peer(update);
         self.scheduler.message(self.now, link, body);
-        self.take();
+        self.collect_actions();
     }
 
+    /// Delivers a peer's announcement that it holds a job.
     fn announce_on(&mut self, link: LinkId, number: u64) {
         let update = proto::PeerUpdate {
             jobs: vec![number],
             ..proto::PeerUpdate::default()
         };
-        self.peer_on(link, update);
+        self.send_peer_update_on(link, update);
     }
 
-    fn end_on(&mut self, link: LinkId, job: u64, outcome: JobOutcome) {
+    /// Delivers a peer's report of the outcome of a job.
+    fn end_job_on(&mut self, link: LinkId, job: u64, outcome: JobOutcome) {
         let outcome = outcome.code();
         let update = proto::PeerUpdate {
             ends: vec![proto::JobEnd { job, outcome }],
             ..proto::PeerUpdate::default()
         };
-        self.peer_on(link, update);
+        self.send_peer_update_on(link, update);
     }
 
+    /// Submits a job of one step with an estimate of 100 ms, whose tasks need one core each.
     fn submit(&mut self, caller: u64, number: u64, tasks: u32) {
-        self.submit_of(caller, number, tasks, 100);
+        self.submit_estimated(caller, number, tasks, 100);
     }
 
-    fn submit_of(&mut self, caller: u64, number: u64, tasks: u32, estimate_ms: u32) {
+    fn submit_estimated(&mut self, caller: u64, number: u64, tasks: u32, estimate_ms: u32) {
         let request = JobRequest {
             number: JobNumber(number),
             queue: "q".to_owned(),
@@ -218,9 +232,10 @@
             call: Rc::default(),
         };
         self.scheduler.submit(self.now, CallerId(caller), request);
-        self.take();
+        self.collect_actions();
     }
 
+    /// Returns the outcomes that were answered to callers.
     fn answers(&self) -> Vec<(u64, JobOutcome)> {
         let answers = self.actions.iter().filter_map(|a| match a {
             Action::Answer(caller, outcome) => Some((caller.0, *outcome)),
@@ -229,6 +244,7 @@
         answers.collect()
     }
 
+    /// Returns the orders that were sent to executors.
     fn orders(&self) -> Vec<proto::Orders> {
         let orders = self.actions.iter().filter_map(|a| match a {
             Action::Send(_, body) => match &**body {
@@ -240,6 +256,7 @@
         orders.collect()
     }
 
+    /// Returns the job, index and attempt of each task start that was sent to an executor.
     fn starts(&self) -> Vec<(u64, u32, u32)> {
         let orders = self.orders();
         let starts = orders.iter().flat_map(|o| o.starts.iter());
@@ -287,22 +304,22 @@
 }
 
 #[test]
-fn test_scheduler_completes_a_job_when_all_tasks_are_done() {
+fn test_scheduler_job_completion() {
     let mut bench = Bench::ready();
     bench.submit(1, 7, 2);
     assert_eq!(bench.starts(), [(7, 0, 1), (7, 1, 1)]);
-    bench.end(task(7, 0), 1, EndKind::Done);
+    bench.end_task(task(7, 0), 1, EndKind::Done);
     assert_eq!(bench.answers(), []);
-    bench.end(task(7, 1), 1, EndKind::Done);
+    bench.end_task(task(7, 1), 1, EndKind::Done);
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
 #[test]
-fn test_scheduler_gives_the_same_answer_to_a_job_that_comes_again() {
+fn test_scheduler_resubmitted_job() {
     let mut bench = Bench::ready();
     bench.submit(1, 7, 1);
     bench.submit(2, 7, 1);
-    bench.end(task(7, 0), 1, EndKind::Done);
+    bench.end_task(task(7, 0), 1, EndKind::Done);
     bench.submit(3, 7, 1);
     let expected: Vec<(u64, JobOutcome)> = (1..=3).map(|c| (c, JobOutcome::Completed)).collect();
     assert_eq!(bench.answers(), expected);
@@ -310,15 +327,15 @@
 }
 
 #[test]
-fn test_scheduler_fails_a_job_whose_task_has_failed_often() {
+fn test_scheduler_max_attempts() {
     let mut bench = Bench::ready();
     bench.submit(1, 7, 1);
-    bench.end(task(7, 0), 1, EndKind::Failed);
+    bench.end_task(task(7, 0), 1, EndKind::Failed);
     assert_eq!(bench.answers(), []);
-    assert_eq!(bench.starts(), [(7, 0, 1)], "not again where it failed");
+    assert_eq!(bench.starts(), [(7, 0, 1)], "not retried where it failed");
     let second = LinkId(9);
     bench.link(second, "e2", true);
-    bench.update_on(
+    bench.send_update_on(
         second,
         proto::Update {
             profile: Some(profile(Vec::new())),
@@ -333,7 +350,7 @@
         ran_us: 1000,
         ..proto::TaskEnd::default()
     };
-    bench.update_on(
+    bench.send_update_on(
         second,
         proto::Update {
             ends: vec![end],
@@ -344,12 +361,12 @@
 }
 
 #[test]
-fn test_scheduler_refuses_what_finds_no_room_and_says_when_to_come_back() {
+fn test_scheduler_refusal_without_capacity() {
     let mut bench = Bench::ready();
     bench.submit(1, 1, 4);
     bench.submit(2, 2, 4);
     for _ in 0..20 {
-        bench.pass(20);
+        bench.advance(20);
     }
     let answers = bench.answers();
     assert_eq!(answers.len(), 1, "{answers:?}");
@@ -358,50 +375,50 @@
 }
 
 #[test]
-fn test_scheduler_places_a_task_again_that_was_lost() {
+fn test_scheduler_retry_after_unavailable_worker() {
     let mut bench = Bench::ready();
     bench.submit(1, 7, 1);
-    bench.end(task(7, 0), 1, EndKind::Unavailable);
+    bench.end_task(task(7, 0), 1, EndKind::Unavailable);
     bench.report(Vec::new());
     assert_eq!(bench.starts(), [(7, 0, 1), (7, 0, 2)]);
-    bench.end(task(7, 0), 1, EndKind::Done);
+    bench.end_task(task(7, 0), 1, EndKind::Done);
     assert_eq!(
         bench.answers(),
         [],
-        "the end of an earlier try does not count"
+        "the end of an earlier attempt is ignored"
     );
-    bench.end(task(7, 0), 2, EndKind::Done);
+    bench.end_task(task(7, 0), 2, EndKind::Done);
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
 #[test]
-fn test_scheduler_stops_a_job_whose_caller_has_left() {
+fn test_scheduler_caller_left() {
     let mut bench = Bench::ready();
     bench.submit(1, 7, 2);
     bench
         .scheduler
         .caller_left(bench.now, CallerId(1), JobNumber(7));
-    bench.take();
+    bench.collect_actions();
     let stops: usize = bench.orders().iter().map(|o| o.stops.len()).sum();
     assert_eq!(stops, 2);
 }
 
 #[test]
-fn test_scheduler_never_goes_back_to_an_older_catalog() {
+fn test_scheduler_older_catalog() {
     let mut bench = Bench::ready();
     bench.scheduler.set_catalog(bench.now, catalog(9));
     bench.scheduler.set_catalog(bench.now, catalog(8));
     assert_eq!(bench.scheduler.version(), 9);
     bench.link(PEER, "s2", false);
     let older = serde_json::to_vec(&catalog(4)).expect("JSON");
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         catalog_version: 4,
         catalog: older.into(),
         ..proto::PeerUpdate::default()
     });
     assert_eq!(bench.scheduler.version(), 9);
     let newer = serde_json::to_vec(&catalog(12)).expect("JSON");
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         catalog_version: 12,
         catalog: newer.into(),
         ..proto::PeerUpdate::default()
@@ -409,12 +426,12 @@
     assert_eq!(
         bench.scheduler.version(),
         12,
-        "a peer's newer one is taken up"
+        "a newer catalog of a peer is applied"
     );
 }
 
 #[test]
-fn test_scheduler_that_leaves_takes_only_what_ends_before_it() {
+fn test_scheduler_leaving_deadline() {
     let mut bench = Bench::ready();
     let ends_at = bench.now + Duration::from_millis(400);
     bench.scheduler.leave(bench.now, ends_at);
@@ -427,55 +444,60 @@
 }
 
 #[test]
-fn test_scheduler_that_was_paused_gives_up_its_links() {
+fn test_scheduler_links_closed_after_pause() {
     let mut bench = Bench::ready();
     bench.now = bench.now + Duration::from_secs(3);
     bench.report(Vec::new());
     bench.submit(1, 7, 1);
     assert!(bench.actions.contains(&Action::Close(EXECUTOR)));
-    assert_eq!(bench.starts(), [], "an old report is no sign of life");
+    assert_eq!(
+        bench.starts(),
+        [],
+        "reports queued during the pause are ignored"
+    );
 }
 
-/// All names on each new link made the messages of a fleet of ten schedulers grow with the square of
-/// the executors that join at once.
+/// Guards against updates that repeat the names of all executors whenever one links: in a fleet of ten
+/// schedulers, the messages grew with the square of the number of executors that join at once.
 #[test]
-fn test_scheduler_tells_peers_only_of_executors_that_are_new() {
+fn test_scheduler_executor_announcements() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
-    bench.pass(20);
+    bench.advance(20);
     let names = |bench: &mut Bench| -> Vec<String> {
-        let told = bench.actions.drain(..).filter_map(|action| match action {
+        let sent = bench.actions.drain(..).filter_map(|action| match action {
             Action::Send(PEER, body) => Some(*body),
             _ => None,
         });
-        let named = told.flat_map(|body| match body {
+        let names = sent.flat_map(|body| match body {
             Body::Peer(update) => update.executors,
             _ => Vec::new(),
         });
-        named.collect()
+        names.collect()
     };
-    assert_eq!(names(&mut bench), ["e1"], "all in the first message");
+    assert_eq!(names(&mut bench), ["e1"], "the first message lists all");
     bench.link(OTHER_EXECUTOR, "e2", true);
-    bench.pass(20);
-    assert_eq!(names(&mut bench), ["e2"], "then what is new");
-    bench.pass(200);
+    bench.advance(20);
+    assert_eq!(names(&mut bench), ["e2"], "later ones list only new names");
+    bench.advance(200);
     assert_eq!(names(&mut bench), [""; 0]);
 }
 
-/// An entry that is cut off from all agents, but not from a peer, took a job and let the peer wait for it.
+/// Guards against an entry that accepts and announces a job although it is cut off from all agents: a peer that
+/// could run the job would follow it there instead.
 #[test]
-fn test_scheduler_refuses_at_once_what_it_has_no_executor_for() {
+fn test_scheduler_refusal_without_executors() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
-    bench.peer(proto::PeerUpdate::default());
+    bench.send_peer_update(proto::PeerUpdate::default());
     bench.scheduler.link_down(bench.now, EXECUTOR);
     bench.actions.clear();
     bench.submit(1, 9, 1);
     assert_matches!(bench.answers()[..], [(1, JobOutcome::Refused(_))]);
-    bench.pass(200);
+    bench.advance(200);
     let announced = bench.actions.iter().any(|a| match a {
         Action::Send(_, body) => matches!(&**body, Body::Peer(update) if update.jobs == [9]),
         _ => false,
     });
-    assert!(!announced, "a peer may run it");
+    assert!(!announced, "a peer may be able to run it");
 }
--- a/lib/tests/runner/test_scheduler/balance.rs
+++ b/lib/tests/runner/test_scheduler/balance.rs
@@ -29,7 +29,7 @@
     let mut bench = settled(on);
     bench.say(waiting);
     for number in 1..=JOBS {
-        bench.submit_of(number, number, 4, 100);
+        bench.submit_estimated(number, number, 4, 100);
     }
     bench.say(waiting);
     bench
@@ -45,7 +45,7 @@
     for _ in 0..150 {
         bench.report(Vec::new());
         bench.say([0, 0]);
-        bench.pass(20);
+        bench.advance(20);
     }
     bench.report(Vec::new());
     bench.actions.clear();
@@ -54,13 +54,13 @@
 
 impl Bench {
     fn say(&mut self, waiting: [u64; 2]) {
-        self.peer_on(PEER, says(waiting[0]));
-        self.peer_on(OTHER_PEER, says(waiting[1]));
+        self.send_peer_update_on(PEER, says(waiting[0]));
+        self.send_peer_update_on(OTHER_PEER, says(waiting[1]));
     }
 
     /// Lets the time pass after which jobs are handed on, without room for them.
     fn wait_for_turn(&mut self) {
-        self.pass(20);
+        self.advance(20);
     }
 
     /// Jobs handed to a peer.
@@ -106,7 +106,7 @@
     let (link, number) = bench.first_handed();
     let job = bench.handed_to(link).remove(0);
     assert_eq!(job.waited_ms, 20);
-    bench.end_on(link, number, JobOutcome::Completed);
+    bench.end_job_on(link, number, JobOutcome::Completed);
     assert_eq!(bench.outcomes_of(number), [JobOutcome::Completed]);
 }
 
@@ -131,7 +131,7 @@
     let run = |waiting| {
         let mut bench = crowded(false, waiting);
         for _ in 0..20 {
-            bench.pass(20);
+            bench.advance(20);
             bench.report(Vec::new());
         }
         bench.actions
@@ -149,11 +149,11 @@
 #[test]
 fn test_balance_passes_by_peers_that_are_busy_leave_or_were_not_heard() {
     let mut bench = crowded(true, [0, 0]);
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         busy_percent: 90,
         ..says(0)
     });
-    bench.peer_on(
+    bench.send_peer_update_on(
         OTHER_PEER,
         proto::PeerUpdate {
             leaving: true,
@@ -163,9 +163,9 @@
     bench.wait_for_turn();
     assert_eq!(bench.handed_on(), [0; 0]);
     let mut bench = settled(true);
-    bench.pass(250);
+    bench.advance(250);
     for number in 1..=JOBS {
-        bench.submit_of(number, number, 4, 300);
+        bench.submit_estimated(number, number, 4, 300);
     }
     bench.wait_for_turn();
     assert_eq!(bench.handed_on(), [0; 0], "they may be cut off");
@@ -179,8 +179,8 @@
     let (link, _) = bench.first_handed();
     let handed = bench.handed_to(link);
     let mut receiver = settled(true);
-    receiver.submit_of(1, 100, 4, 100);
-    receiver.peer(proto::PeerUpdate { handed, ..says(0) });
+    receiver.submit_estimated(1, 100, 4, 100);
+    receiver.send_peer_update(proto::PeerUpdate { handed, ..says(0) });
     receiver.say([0, 0]);
     receiver.wait_for_turn();
     receiver.wait_for_turn();
@@ -196,18 +196,18 @@
     let fresh = bench.handed_to(link).remove(0);
     let refused_after = |waited_ms: u32| {
         let mut receiver = settled(true);
-        receiver.submit_of(1, 100, 4, 100);
+        receiver.submit_estimated(1, 100, 4, 100);
         let job = proto::HandedJob {
             waited_ms,
             ..fresh.clone()
         };
-        receiver.peer(proto::PeerUpdate {
+        receiver.send_peer_update(proto::PeerUpdate {
             handed: vec![job],
             ..says(0)
         });
         let mut ms = 0;
         while !receiver.told_refused(number) {
-            receiver.pass(1);
+            receiver.advance(1);
             ms += 1;
         }
         ms
@@ -235,7 +235,7 @@
     let mut bench = crowded(true, [0, 0]);
     bench.wait_for_turn();
     let (link, number) = bench.first_handed();
-    bench.end_on(link, number, JobOutcome::Refused(700));
+    bench.end_job_on(link, number, JobOutcome::Refused(700));
     assert_eq!(bench.outcomes_of(number), [JobOutcome::Refused(700)]);
 }
 
@@ -247,10 +247,10 @@
     let (link, number) = bench.first_handed();
     bench.actions.clear();
     bench.scheduler.link_down(bench.now, link);
-    bench.take();
+    bench.collect_actions();
     assert_eq!(bench.starts(), [], "not before it is claimed");
     for _ in 0..400 {
-        bench.pass(20);
+        bench.advance(20);
     }
     let outcomes = bench.outcomes_of(number);
     let denied = outcomes.iter().any(|o| matches!(o, JobOutcome::Refused(_)));
@@ -266,9 +266,9 @@
     let (link, number) = bench.first_handed();
     bench.actions.clear();
     bench.report(Vec::new());
-    bench.submit_of(50, number, 4, 100);
+    bench.submit_estimated(50, number, 4, 100);
     assert!(bench.starts().iter().all(|s| s.0 != number));
-    bench.end_on(link, number, JobOutcome::Completed);
+    bench.end_job_on(link, number, JobOutcome::Completed);
     assert_eq!(bench.outcomes_of(50), [JobOutcome::Completed]);
     assert_eq!(bench.outcomes_of(number), [JobOutcome::Completed]);
 }
@@ -285,7 +285,7 @@
     bench
         .scheduler
         .caller_left(bench.now, caller, JobNumber(number));
-    bench.take();
+    bench.collect_actions();
     let told = bench.actions.iter().any(|a| match a {
         Action::Send(to, body) if *to == link => match &**body {
             Body::Peer(update) => update.unfollow == [number],
@@ -296,9 +296,9 @@
     assert!(told);
     let unfollow = handed.iter().map(|h| h.job).collect();
     let mut receiver = settled(true);
-    receiver.peer(proto::PeerUpdate { handed, ..says(0) });
+    receiver.send_peer_update(proto::PeerUpdate { handed, ..says(0) });
     assert!(!receiver.scheduler.is_idle());
-    receiver.peer(proto::PeerUpdate {
+    receiver.send_peer_update(proto::PeerUpdate {
         unfollow,
         ..says(0)
     });
--- a/lib/tests/runner/test_scheduler/bulkheads.rs
+++ b/lib/tests/runner/test_scheduler/bulkheads.rs
@@ -38,10 +38,10 @@
                 profile: Some(profile(Vec::new())),
                 ..proto::Update::default()
             };
-            self.bench.update_on(LinkId(FIRST + n), update);
+            self.bench.send_update_on(LinkId(FIRST + n), update);
         }
-        self.bench.peer(proto::PeerUpdate::default());
-        self.bench.pass(ms);
+        self.bench.send_peer_update(proto::PeerUpdate::default());
+        self.bench.advance(ms);
     }
 
     fn submit(&mut self, number: u64, queue: &str) {
@@ -64,7 +64,7 @@
         };
         let now = self.bench.now;
         self.bench.scheduler.submit(now, CallerId(number), request);
-        self.bench.take();
+        self.bench.collect_actions();
     }
 
     fn blame(&mut self, queue: &str, blame: u32) {
@@ -72,7 +72,7 @@
             queue: queue.to_owned(),
             blame,
         }];
-        self.bench.peer(proto::PeerUpdate {
+        self.bench.send_peer_update(proto::PeerUpdate {
             blames,
             ..proto::PeerUpdate::default()
         });
@@ -108,7 +108,8 @@
             ..proto::Update::default()
         };
         self.bench.actions.clear();
-        self.bench.update_on(sent.expect("it was placed"), update);
+        self.bench
+            .send_update_on(sent.expect("it was placed"), update);
         self.bench.answers()
     }
 
@@ -200,7 +201,7 @@
         queue: "q".to_owned(),
         remaining_ms: 1000,
     }];
-    fleet.bench.peer(proto::PeerUpdate {
+    fleet.bench.send_peer_update(proto::PeerUpdate {
         confined,
         ..proto::PeerUpdate::default()
     });
--- a/lib/tests/runner/test_scheduler/call_ids.rs
+++ b/lib/tests/runner/test_scheduler/call_ids.rs
@@ -27,7 +27,7 @@
         call: Rc::from(call),
     };
     bench.scheduler.submit(bench.now, CallerId(caller), request);
-    bench.take();
+    bench.collect_actions();
 }
 
 /// The kinds of the log lines that name a call.
@@ -45,7 +45,7 @@
     let mut bench = Bench::ready();
     submit(&mut bench, 1, "q", "first");
     submit(&mut bench, 2, "q", "second");
-    bench.end(task(9, 0), 1, EndKind::Done);
+    bench.end_task(task(9, 0), 1, EndKind::Done);
     submit(&mut bench, 3, "q", "third");
     assert_eq!(lines(&bench, "first"), [Kind::JobTaken]);
     assert_eq!(lines(&bench, "second"), [Kind::JobJoined]);
--- a/lib/tests/runner/test_scheduler/catalogs.rs
+++ b/lib/tests/runner/test_scheduler/catalogs.rs
@@ -45,8 +45,8 @@
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.link(OTHER_PEER, "s3", false);
-    bench.peer_on(PEER, word(3));
-    bench.peer_on(OTHER_PEER, word(3));
+    bench.send_peer_update_on(PEER, word(3));
+    bench.send_peer_update_on(OTHER_PEER, word(3));
     bench.actions.clear();
     bench
 }
@@ -55,22 +55,22 @@
 fn test_scheduler_sends_its_catalog_once_for_each_request() {
     let mut bench = with_two_peers();
     bench.scheduler.set_catalog(bench.now, catalog(9));
-    bench.take();
+    bench.collect_actions();
     let versions: Vec<u64> = told(&mut bench)
         .iter()
         .map(|(_, u)| u.catalog_version)
         .collect();
     assert_eq!(versions, [9, 9], "both peers hear of the version at once");
     for _ in 0..20 {
-        bench.pass(100);
-        bench.peer_on(PEER, word(3));
+        bench.advance(100);
+        bench.send_peer_update_on(PEER, word(3));
     }
     assert_eq!(
         copies(&mut bench),
         0,
         "a peer that is behind and has not asked"
     );
-    bench.peer_on(
+    bench.send_peer_update_on(
         PEER,
         proto::PeerUpdate {
             catalog_wanted: true,
@@ -79,8 +79,8 @@
     );
     assert_eq!(copies(&mut bench), 1);
     for _ in 0..20 {
-        bench.pass(100);
-        bench.peer_on(PEER, word(3));
+        bench.advance(100);
+        bench.send_peer_update_on(PEER, word(3));
     }
     assert_eq!(copies(&mut bench), 0, "the copy is on its way");
 }
@@ -88,25 +88,25 @@
 #[test]
 fn test_scheduler_asks_one_peer_when_the_store_does_not_tell() {
     let mut bench = with_two_peers();
-    bench.peer_on(PEER, word(9));
-    bench.peer_on(OTHER_PEER, word(9));
-    bench.pass(20);
-    bench.pass(160);
+    bench.send_peer_update_on(PEER, word(9));
+    bench.send_peer_update_on(OTHER_PEER, word(9));
+    bench.advance(20);
+    bench.advance(160);
     assert_eq!(asked(&mut bench), [], "the store has the first word");
-    bench.pass(40);
+    bench.advance(40);
     let first = asked(&mut bench);
     assert_eq!(first.len(), 1, "one peer at a time: {first:?}");
     for _ in 0..7 {
-        bench.pass(100);
-        bench.peer_on(PEER, word(9));
-        bench.peer_on(OTHER_PEER, word(9));
+        bench.advance(100);
+        bench.send_peer_update_on(PEER, word(9));
+        bench.send_peer_update_on(OTHER_PEER, word(9));
     }
     assert_eq!(asked(&mut bench), [], "its answer may be on its way");
-    bench.pass(120);
+    bench.advance(120);
     let second = asked(&mut bench);
     assert_eq!(second.len(), 1);
     assert_ne!(first, second, "another one the second time");
-    bench.peer_on(
+    bench.send_peer_update_on(
         second[0],
         proto::PeerUpdate {
             catalog: encoded(9),
@@ -114,21 +114,21 @@
         },
     );
     assert_eq!(bench.scheduler.version(), 9);
-    bench.pass(2000);
+    bench.advance(2000);
     assert_eq!(asked(&mut bench), []);
 }
 
 #[test]
 fn test_scheduler_asks_another_peer_when_the_link_to_the_asked_one_breaks() {
     let mut bench = with_two_peers();
-    bench.peer_on(PEER, word(9));
-    bench.peer_on(OTHER_PEER, word(9));
-    bench.pass(20);
-    bench.pass(220);
+    bench.send_peer_update_on(PEER, word(9));
+    bench.send_peer_update_on(OTHER_PEER, word(9));
+    bench.advance(20);
+    bench.advance(220);
     let first = asked(&mut bench);
     assert_eq!(first.len(), 1);
     bench.scheduler.link_down(bench.now, first[0]);
-    bench.pass(20);
+    bench.advance(20);
     let second = asked(&mut bench);
     assert_eq!(second.len(), 1);
     assert_ne!(first, second);
@@ -138,8 +138,8 @@
 fn test_scheduler_without_a_catalog_asks_at_once() {
     let mut bench = Bench::without_catalog();
     bench.link(PEER, "s2", false);
-    bench.peer_on(PEER, word(9));
-    bench.pass(20);
+    bench.send_peer_update_on(PEER, word(9));
+    bench.advance(20);
     assert_eq!(asked(&mut bench), [PEER]);
 }
 
@@ -147,9 +147,9 @@
 fn test_scheduler_takes_no_catalog_from_a_peer_that_is_behind() {
     let mut bench = with_two_peers();
     bench.scheduler.set_catalog(bench.now, catalog(9));
-    bench.peer_on(PEER, word(3));
-    bench.pass(20);
-    bench.pass(1000);
+    bench.send_peer_update_on(PEER, word(3));
+    bench.advance(20);
+    bench.advance(1000);
     assert_eq!(asked(&mut bench), []);
     assert_eq!(bench.scheduler.version(), 9);
 }
--- a/lib/tests/runner/test_scheduler/cells.rs
+++ b/lib/tests/runner/test_scheduler/cells.rs
@@ -53,18 +53,20 @@
 
     /// Both executors report, then time passes. The one of the cell lists these schedulers.
     fn live(&mut self, ms: u64, leased: &[&str]) {
-        self.bench.peer_on(THIRD_PEER, proto::PeerUpdate::default());
+        self.bench
+            .send_peer_update_on(THIRD_PEER, proto::PeerUpdate::default());
         let leased = leased.iter().map(|name| (*name).to_owned()).collect();
         self.report(self.near, leased);
         self.report(self.standby, Vec::new());
-        self.bench.pass(ms);
+        self.bench.advance(ms);
     }
 
     /// 100 ms in which the executor on standby says nothing.
     fn live_without_standby(&mut self) {
-        self.bench.peer_on(THIRD_PEER, proto::PeerUpdate::default());
+        self.bench
+            .send_peer_update_on(THIRD_PEER, proto::PeerUpdate::default());
         self.report(self.near, Vec::new());
-        self.bench.pass(100);
+        self.bench.advance(100);
     }
 
     fn report(&mut self, link: LinkId, leased: Vec<String>) {
@@ -72,7 +74,7 @@
             profile: Some(profile(leased)),
             ..proto::Update::default()
         };
-        self.bench.update_on(link, update);
+        self.bench.send_update_on(link, update);
     }
 
     fn confirm(&mut self, link: LinkId, job: u64) {
@@ -80,7 +82,7 @@
             claimed: vec![job],
             ..proto::Update::default()
         };
-        self.bench.update_on(link, update);
+        self.bench.send_update_on(link, update);
     }
 
     /// The links on which a claim of this job was sent.
@@ -126,7 +128,7 @@
     for _ in 0..10 {
         cells.report(cells.near, Vec::new());
         cells.report(cells.standby, Vec::new());
-        cells.bench.pass(100);
+        cells.bench.advance(100);
     }
     assert!(!cells.sent().is_empty());
     assert!(!standby(&cells), "it is of the cell now");
@@ -142,7 +144,7 @@
     cells.bench.actions.clear();
     for _ in 0..11 {
         cells.report(cells.standby, Vec::new());
-        cells.bench.pass(20);
+        cells.bench.advance(20);
     }
     let at = cells.started_at();
     assert_eq!(
@@ -159,12 +161,12 @@
 fn test_scheduler_cell_claims_where_a_lost_peer_had_leases() {
     let mut cells = Cells::ready();
     cells.bench.link(PEER, "s2", false);
-    cells.bench.peer(proto::PeerUpdate::default());
+    cells.bench.send_peer_update(proto::PeerUpdate::default());
     cells.live(100, &["s1", "s2"]);
     cells.bench.actions.clear();
     cells.bench.scheduler.link_down(cells.bench.now, PEER);
     cells.bench.submit(1, 9, 1);
-    cells.bench.pass(20);
+    cells.bench.advance(20);
     assert_eq!(cells.claimed_at(9), [cells.near]);
     assert_eq!(cells.started_at(), []);
     cells.confirm(cells.near, 9);
@@ -185,8 +187,8 @@
     cells.bench.scheduler.link_down(now, PEER);
     cells.bench.scheduler.link_down(now, cells.standby);
     // Long enough that it can begin late.
-    cells.bench.submit_of(1, 9, 1, 8000);
-    cells.bench.pass(20);
+    cells.bench.submit_estimated(1, 9, 1, 8000);
+    cells.bench.advance(20);
     cells.confirm(cells.near, 9);
     for _ in 0..12 {
         cells.live_without_standby();
@@ -195,7 +197,7 @@
     for _ in 0..3 {
         // Claimed once more, since the peer was not heard for so long.
         cells.confirm(cells.near, 9);
-        cells.bench.pass(100);
+        cells.bench.advance(100);
     }
     assert_eq!(cells.started_at(), [cells.near]);
 }
@@ -207,8 +209,8 @@
     cells.bench.link(PEER, "s2", false);
     cells.bench.announce_on(PEER, 9);
     cells.bench.scheduler.link_down(cells.bench.now, PEER);
-    cells.bench.submit_of(1, 9, 1, 900);
-    cells.bench.pass(20);
+    cells.bench.submit_estimated(1, 9, 1, 900);
+    cells.bench.advance(20);
     cells.bench.actions.clear();
     for _ in 0..7 {
         cells.live_without_standby();
@@ -231,17 +233,17 @@
         ..proto::Greeting::default()
     };
     bench.scheduler.link_up(bench.now, PEER, &greeting);
-    bench.peer(proto::PeerUpdate::default());
+    bench.send_peer_update(proto::PeerUpdate::default());
     assert!(bench.scheduler.is_ready(), "the neighbour is young, too");
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         settled: true,
         ..proto::PeerUpdate::default()
     });
     assert!(!bench.scheduler.is_ready());
     for _ in 0..70 {
         bench.report(Vec::new());
-        bench.peer(proto::PeerUpdate::default());
-        bench.pass(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.advance(20);
     }
     assert!(bench.scheduler.is_ready());
 }
--- a/lib/tests/runner/test_scheduler/claims.rs
+++ b/lib/tests/runner/test_scheduler/claims.rs
@@ -9,13 +9,13 @@
     bench
         .scheduler
         .caller_left(bench.now, CallerId(1), JobNumber(7));
-    bench.take();
+    bench.collect_actions();
     bench.actions.clear();
     bench.submit(2, 7, 1);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.starts(), [], "the earlier run may not have ended");
     assert!(bench.orders().iter().any(|o| o.renewals == [7]));
-    bench.update(proto::Update {
+    bench.send_update(proto::Update {
         claimed: vec![7],
         ..proto::Update::default()
     });
@@ -26,14 +26,14 @@
 fn test_scheduler_follows_a_job_that_a_peer_has() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         jobs: vec![7],
         ..proto::PeerUpdate::default()
     });
     bench.submit(1, 7, 1);
     assert_eq!(bench.starts(), []);
     let outcome = JobOutcome::Completed.code();
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         ends: vec![proto::JobEnd { job: 7, outcome }],
         ..proto::PeerUpdate::default()
     });
@@ -48,11 +48,11 @@
     bench.announce_on(PEER, 7);
     bench.announce_on(OTHER_PEER, 7);
     bench.submit(1, 7, 1);
-    bench.end_on(OTHER_PEER, 7, JobOutcome::Unknown);
-    bench.pass(20);
+    bench.end_job_on(OTHER_PEER, 7, JobOutcome::Unknown);
+    bench.advance(20);
     assert_eq!(bench.starts(), [], "s2 has it");
     assert!(bench.orders().iter().all(|o| o.claims.is_empty()));
-    bench.end_on(PEER, 7, JobOutcome::Completed);
+    bench.end_job_on(PEER, 7, JobOutcome::Completed);
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
@@ -64,14 +64,14 @@
     bench.link(PEER, "s2", false);
     bench.announce_on(PEER, 7);
     bench.scheduler.link_down(bench.now, PEER);
-    bench.submit_of(1, 7, 1, 900);
+    bench.submit_estimated(1, 7, 1, 900);
     bench.link(PEER, "s2", false);
     bench.announce_on(PEER, 7);
-    bench.update(proto::Update {
+    bench.send_update(proto::Update {
         claimed: vec![7],
         ..proto::Update::default()
     });
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.starts(), [], "s2 may run it at e2, out of reach");
     assert_eq!(bench.answers(), [(1, JobOutcome::Unknown)]);
 }
@@ -80,22 +80,22 @@
 fn test_scheduler_claims_a_job_of_a_peer_that_is_away() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         jobs: vec![7],
         ..proto::PeerUpdate::default()
     });
     bench.scheduler.link_down(bench.now, PEER);
     bench.submit(1, 7, 1);
-    bench.pass(20);
+    bench.advance(20);
     assert!(bench.orders().iter().any(|o| o.claims == [7]));
-    bench.update(proto::Update {
+    bench.send_update(proto::Update {
         claimed: vec![7],
         ..proto::Update::default()
     });
     assert_eq!(bench.starts(), [], "the peer may not have noticed yet");
     for _ in 0..70 {
         bench.report(Vec::new());
-        bench.pass(20);
+        bench.advance(20);
     }
     // By then the job can't be in time any more and is turned away without a start.
     assert_eq!(bench.starts(), []);
@@ -109,10 +109,10 @@
     bench.scheduler.link_down(bench.now, PEER);
     for _ in 0..50 {
         bench.report(vec!["s1".to_owned(), "s2".to_owned()]);
-        bench.pass(20);
+        bench.advance(20);
     }
     bench.submit(1, 7, 1);
-    bench.pass(20);
+    bench.advance(20);
     assert!(bench.orders().iter().any(|o| o.claims == [7]));
     assert_eq!(bench.starts(), []);
 }
@@ -125,8 +125,8 @@
     bench.link(OTHER_EXECUTOR, "e2", true);
     bench.scheduler.link_down(bench.now, OTHER_EXECUTOR);
     bench.report(vec!["s1".to_owned(), "s2".to_owned()]);
-    bench.pass(20);
-    bench.submit_of(1, 7, 1, 900);
+    bench.advance(20);
+    bench.submit_estimated(1, 7, 1, 900);
     bench
 }
 
@@ -136,7 +136,7 @@
         profile: Some(profile(vec!["s1".to_owned(), "s2".to_owned()])),
         ..proto::Update::default()
     };
-    bench.update_on(link, update);
+    bench.send_update_on(link, update);
 }
 
 #[test]
@@ -150,9 +150,9 @@
     confirm_on(&mut bench, EXECUTOR);
     confirm_on(&mut bench, OTHER_EXECUTOR);
     for _ in 0..20 {
-        bench.pass(20);
-        bench.peer(proto::PeerUpdate::default());
-        bench.update_on(OTHER_EXECUTOR, proto::Update::default());
+        bench.advance(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.send_update_on(OTHER_EXECUTOR, proto::Update::default());
         bench.report(Vec::new());
     }
     assert_eq!(bench.starts(), [(7, 0, 1)]);
@@ -163,7 +163,7 @@
     let mut bench = young_in_doubt();
     for _ in 0..80 {
         confirm_on(&mut bench, EXECUTOR);
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [], "the other executor may run it for s2");
     assert_eq!(bench.answers(), [(1, JobOutcome::Unknown)]);
@@ -176,11 +176,11 @@
     bench.link(EXECUTOR, "e1", true);
     let names = names.iter().map(|n| (*n).to_owned()).collect();
     bench.scheduler.set_roster(bench.now, names);
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     bench.report(Vec::new());
     for _ in 0..25 {
         confirm(&mut bench);
-        bench.pass(20);
+        bench.advance(20);
     }
     bench
 }
@@ -197,14 +197,14 @@
     assert_eq!(bench.starts(), [], "what e2 had started may still run");
     for _ in 0..45 {
         bench.report(Vec::new());
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended by itself");
 }
 
 /// The one executor that is still there has nothing of the job, nor of any peer.
 fn confirm(bench: &mut Bench) {
-    bench.update(proto::Update {
+    bench.send_update(proto::Update {
         claimed: vec![7],
         ..proto::Update::default()
     });
@@ -219,17 +219,17 @@
     bench.link(OTHER_EXECUTOR, "e2", true);
     let names = vec!["e1".to_owned(), "e2".to_owned()];
     bench.scheduler.set_roster(bench.now, names);
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     bench.report(Vec::new());
     let last = proto::Update {
         departed: true,
         ..proto::Update::default()
     };
-    bench.update_on(OTHER_EXECUTOR, last);
+    bench.send_update_on(OTHER_EXECUTOR, last);
     bench.scheduler.link_down(bench.now, OTHER_EXECUTOR);
     for _ in 0..25 {
         confirm(&mut bench);
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
@@ -246,14 +246,14 @@
         departed: true,
         ..proto::Update::default()
     };
-    bench.update_on(OTHER_EXECUTOR, last);
+    bench.send_update_on(OTHER_EXECUTOR, last);
     bench.scheduler.link_down(bench.now, OTHER_EXECUTOR);
     bench.link(OTHER_EXECUTOR, "e2", true);
     bench.scheduler.link_down(bench.now, OTHER_EXECUTOR);
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     for _ in 0..25 {
         confirm(&mut bench);
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), []);
 }
@@ -267,7 +267,7 @@
     bench.scheduler.link_down(bench.now, PEER);
     for _ in 0..2000 {
         bench.report(vec!["s1".to_owned(), "s2".to_owned()]);
-        bench.pass(20);
+        bench.advance(20);
     }
     bench.submit(1, 7, 1);
     assert_eq!(bench.starts(), []);
@@ -279,11 +279,11 @@
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(OTHER_EXECUTOR, "e2", true);
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     for _ in 0..75 {
         confirm_on(&mut bench, EXECUTOR);
-        bench.update_on(OTHER_EXECUTOR, proto::Update::default());
-        bench.pass(20);
+        bench.send_update_on(OTHER_EXECUTOR, proto::Update::default());
+        bench.advance(20);
     }
     assert_eq!(
         bench.starts(),
@@ -291,18 +291,18 @@
         "e2 has not confirmed, and s2 is unheard"
     );
     confirm_on(&mut bench, OTHER_EXECUTOR);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
 
 #[test]
 fn test_scheduler_that_was_paused_doubts_new_jobs() {
     let mut bench = Bench::ready();
-    bench.pass(2400);
+    bench.advance(2400);
     bench.submit(1, 7, 1);
     bench.link(EXECUTOR, "e1", true);
     bench.report(Vec::new());
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.starts(), [], "a peer may have it since the pause");
     assert!(bench.orders().iter().any(|o| o.claims == [7]));
 }
@@ -314,25 +314,25 @@
     bench.link(PEER, "s2", false);
     let roster = vec!["e1".to_owned()];
     bench.scheduler.set_roster(bench.now, roster);
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     bench.actions.clear();
-    bench.pass(2400);
+    bench.advance(2400);
     bench.link(PEER, "s2", false);
     bench.link(EXECUTOR, "e1", true);
     for _ in 0..5 {
-        bench.peer(proto::PeerUpdate::default());
+        bench.send_peer_update(proto::PeerUpdate::default());
         bench.report(Vec::new());
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [], "the peer may have it by now");
     assert!(bench.orders().iter().any(|o| o.claims == [7]));
     for _ in 0..22 {
-        bench.peer(proto::PeerUpdate::default());
-        bench.update(proto::Update {
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.send_update(proto::Update {
             claimed: vec![7],
             ..proto::Update::default()
         });
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
@@ -342,14 +342,14 @@
 fn test_scheduler_claims_new_jobs_after_the_link_to_a_peer_was_lost() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
-    bench.peer(proto::PeerUpdate::default());
+    bench.send_peer_update(proto::PeerUpdate::default());
     bench.scheduler.link_down(bench.now, PEER);
     bench.submit(1, 9, 1);
     assert_eq!(bench.starts(), [], "the peer may have taken it");
-    bench.pass(20);
+    bench.advance(20);
     let claims: Vec<u64> = bench.orders().into_iter().flat_map(|o| o.claims).collect();
     assert_eq!(claims, [9]);
-    bench.update(proto::Update {
+    bench.send_update(proto::Update {
         claimed: vec![9],
         ..proto::Update::default()
     });
@@ -364,10 +364,10 @@
 fn test_scheduler_does_not_doubt_new_jobs_long_after_a_link_was_lost() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
-    bench.peer(proto::PeerUpdate::default());
+    bench.send_peer_update(proto::PeerUpdate::default());
     bench.scheduler.link_down(bench.now, PEER);
     for _ in 0..26 {
-        bench.pass(20);
+        bench.advance(20);
         bench.report(Vec::new());
     }
     bench.actions.clear();
@@ -379,7 +379,7 @@
 fn test_scheduler_does_not_doubt_new_jobs_when_a_peer_has_left() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         leaving: true,
         ..proto::PeerUpdate::default()
     });
@@ -409,7 +409,7 @@
     );
     for _ in 0..45 {
         bench.report(Vec::new());
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended by itself");
 }
@@ -421,16 +421,16 @@
     bench.link(EXECUTOR, "e1", true);
     bench.link(PEER, "s2", false);
     bench.scheduler.set_roster(bench.now, vec!["e1".to_owned()]);
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         executors: vec!["e1".to_owned(), "e2".to_owned()],
         ..proto::PeerUpdate::default()
     });
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     bench.report(Vec::new());
     for _ in 0..25 {
         confirm_on(&mut bench, EXECUTOR);
-        bench.pass(20);
-        bench.peer(proto::PeerUpdate::default());
+        bench.advance(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
     }
     assert_eq!(bench.starts(), [], "the peer may have it at work at e2");
 }
@@ -441,16 +441,16 @@
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.scheduler.set_roster(bench.now, vec!["e1".to_owned()]);
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     bench.report(Vec::new());
     bench.link(PEER, "s2", false);
     for _ in 0..10 {
         confirm_on(&mut bench, EXECUTOR);
-        bench.pass(20);
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [], "the peer has not said what it has");
-    bench.peer(proto::PeerUpdate::default());
-    bench.pass(20);
+    bench.send_peer_update(proto::PeerUpdate::default());
+    bench.advance(20);
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
 
@@ -466,23 +466,23 @@
     bench.scheduler.link_down(bench.now, OTHER_EXECUTOR);
     for _ in 0..100 {
         bench.report(Vec::new());
-        bench.peer(proto::PeerUpdate::default());
-        bench.pass(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.advance(20);
     }
     bench.scheduler.link_down(bench.now, PEER);
-    bench.link_life(2, PEER, "s2", false);
-    bench.peer(proto::PeerUpdate::default());
-    bench.submit_of(1, 7, 1, 2000);
+    bench.link_incarnation(2, PEER, "s2", false);
+    bench.send_peer_update(proto::PeerUpdate::default());
+    bench.submit_estimated(1, 7, 1, 2000);
     for _ in 0..50 {
         confirm(&mut bench);
-        bench.peer(proto::PeerUpdate::default());
-        bench.pass(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [], "e2 may still run it");
     for _ in 0..20 {
         confirm(&mut bench);
-        bench.peer(proto::PeerUpdate::default());
-        bench.pass(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended");
 }
@@ -497,22 +497,22 @@
     bench.scheduler.link_down(bench.now, OTHER_EXECUTOR);
     for _ in 0..100 {
         bench.report(Vec::new());
-        bench.peer(proto::PeerUpdate::default());
-        bench.pass(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.advance(20);
     }
     bench.announce_on(PEER, 7);
-    bench.submit_of(1, 7, 1, 2000);
-    bench.end_on(PEER, 7, JobOutcome::Unknown);
+    bench.submit_estimated(1, 7, 1, 2000);
+    bench.end_job_on(PEER, 7, JobOutcome::Unknown);
     for _ in 0..60 {
         confirm(&mut bench);
-        bench.peer(proto::PeerUpdate::default());
-        bench.pass(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [], "e2 may still run it");
     for _ in 0..10 {
         confirm(&mut bench);
-        bench.peer(proto::PeerUpdate::default());
-        bench.pass(20);
+        bench.send_peer_update(proto::PeerUpdate::default());
+        bench.advance(20);
     }
     assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended");
 }
--- a/lib/tests/runner/test_scheduler/contention.rs
+++ b/lib/tests/runner/test_scheduler/contention.rs
@@ -38,7 +38,7 @@
         for _ in 0..150 {
             bench.tell(&[]);
             bench.report(Vec::new());
-            bench.pass(20);
+            bench.advance(20);
         }
         bench.report(Vec::new());
         bench.actions.clear();
@@ -50,7 +50,7 @@
         let mut bench = Bench::contending(policy);
         for number in 0..KNOWN_RUNS {
             bench.submit_to("p0", 1000 + number, 1);
-            bench.end_after(task(1000 + number, 0), Duration::from_millis(100));
+            bench.end_task_after(task(1000 + number, 0), Duration::from_millis(100));
         }
         bench.free(0);
         bench.actions.clear();
@@ -76,10 +76,10 @@
             call: Rc::default(),
         };
         self.scheduler.submit(self.now, CallerId(number), request);
-        self.take();
+        self.collect_actions();
     }
 
-    fn end_after(&mut self, task: TaskName, ran: Duration) {
+    fn end_task_after(&mut self, task: TaskName, ran: Duration) {
         self.last_end += 1;
         let end = proto::TaskEnd {
             number: self.last_end,
@@ -88,7 +88,7 @@
             ran_us: ran.as_micros() as u64,
             ..proto::TaskEnd::default()
         };
-        self.update(proto::Update {
+        self.send_update(proto::Update {
             ends: vec![end],
             ..proto::Update::default()
         });
@@ -110,9 +110,9 @@
         };
         self.scheduler
             .message(self.now, EXECUTOR, Body::Update(update));
-        self.take();
+        self.collect_actions();
         self.scheduler.tick(self.now);
-        self.take();
+        self.collect_actions();
     }
 
     /// The peer tells what waits at it: priorities and the room that they need.
@@ -133,7 +133,7 @@
             backlog: rows.iter().map(row).collect(),
             ..proto::PeerUpdate::default()
         };
-        self.peer_on(link, update);
+        self.send_peer_update_on(link, update);
     }
 
     fn started(&self) -> Vec<u64> {
@@ -187,7 +187,7 @@
         let due: Vec<(Mono, TaskName, u32)> = due.collect();
         running.retain(|r| r.0 > now);
         for (_, name, _) in &due {
-            bench.end_after(*name, Duration::from_millis(100));
+            bench.end_task_after(*name, Duration::from_millis(100));
         }
         bench.free(4000 - 1000 * running.len() as i64);
         for (job, index, attempt) in bench.starts() {
@@ -199,7 +199,7 @@
             (round, caller, outcome.code()).hash(&mut digest);
         }
         bench.actions.clear();
-        bench.pass(10);
+        bench.advance(10);
     }
     digest.finish()
 }
@@ -228,7 +228,7 @@
     assert_eq!(bench.started(), [8], "as urgent as what waits there");
     bench.actions.clear();
     bench.tell(&[]);
-    bench.pass(10);
+    bench.advance(10);
     assert_eq!(bench.started(), [7], "nothing waits there any more");
 }
 
@@ -239,7 +239,7 @@
     bench.submit_to("p2", 7, 2);
     assert!(bench.started().is_empty());
     bench.scheduler.link_down(bench.now, PEER);
-    bench.pass(10);
+    bench.advance(10);
     assert_eq!(bench.started(), [7]);
 }
 
@@ -256,7 +256,7 @@
         number += 1;
         bench.submit_to("p2", number, 1);
         bench.report(Vec::new());
-        bench.pass(20);
+        bench.advance(20);
         let waited = bench.now.since(told);
         assert!(waited < Duration::from_millis(400), "held for {waited:?}");
     }
@@ -285,7 +285,7 @@
     bench.tell(&[(0, 90_000)]);
     for _ in 0..25 {
         bench.free(0);
-        bench.pass(20);
+        bench.advance(20);
     }
     assert!(bench.scheduler.is_linked("s2"), "its link is up");
     bench.submit_to("p2", 7, 2);
@@ -326,7 +326,7 @@
         let mut bench = Bench::contending(policy(on));
         bench.free(0);
         bench.submit_to("p2", 7, 2);
-        bench.pass(1);
+        bench.advance(1);
         bench.submit_to("p1", 8, 2);
         bench.free(2000);
         let expected = if on { [8] } else { [7] };
@@ -342,7 +342,7 @@
     bench.submit_to("p1", 8, 1);
     bench.actions.clear();
     for _ in 0..10 {
-        bench.pass(10);
+        bench.advance(10);
     }
     let told = bench.actions.iter().find_map(|action| match action {
         Action::Send(PEER, body) => match &**body {
--- a/lib/tests/runner/test_scheduler/crashes.rs
+++ b/lib/tests/runner/test_scheduler/crashes.rs
@@ -25,7 +25,7 @@
             profile: Some(profile(Vec::new())),
             ..proto::Update::default()
         };
-        bench.update_on(link, update);
+        bench.send_update_on(link, update);
     }
     bench.actions.clear();
     bench
@@ -59,7 +59,7 @@
             ends: ends.iter().map(end).collect(),
             ..proto::Update::default()
         };
-        self.update_on(link, update);
+        self.send_update_on(link, update);
     }
 }
 
@@ -144,7 +144,7 @@
     let mut bench = fleet();
     bench.link(PEER, "s2", false);
     bench.scheduler.link_down(bench.now, PEER);
-    bench.take();
+    bench.collect_actions();
     bench.submit(1, 7, 1);
     assert_eq!(bench.starts(), [], "it is claimed first");
     let update = proto::Update {
@@ -155,7 +155,7 @@
         }],
         ..proto::Update::default()
     };
-    bench.update_on(EXECUTOR, update);
+    bench.send_update_on(EXECUTOR, update);
     assert_eq!(bench.answers(), [(1, JobOutcome::Failed)]);
     assert_eq!(bench.starts(), []);
 }
@@ -171,7 +171,7 @@
         crashed: vec![crashed(None), crashed(Some(task(99, 3).proto(0)))],
         ..proto::Update::default()
     };
-    bench.update_on(EXECUTOR, update);
+    bench.send_update_on(EXECUTOR, update);
     bench.submit(1, 7, 1);
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
--- a/lib/tests/runner/test_scheduler/evacuations.rs
+++ b/lib/tests/runner/test_scheduler/evacuations.rs
@@ -14,7 +14,7 @@
         bench.link_in(OTHER_EXECUTOR, "e2", "b");
         for _ in 0..100 {
             bench.both_report();
-            bench.pass(20);
+            bench.advance(20);
         }
         bench.both_report();
         bench.actions.clear();
@@ -30,7 +30,7 @@
             ..proto::Greeting::default()
         };
         self.scheduler.link_up(self.now, link, &greeting);
-        self.take();
+        self.collect_actions();
     }
 
     fn both_report(&mut self) {
@@ -39,7 +39,7 @@
                 profile: Some(profile(Vec::new())),
                 ..proto::Update::default()
             };
-            self.update_on(link, update);
+            self.send_update_on(link, update);
         }
     }
 
@@ -49,14 +49,14 @@
             evacuated,
         };
         self.scheduler.set_evacuation(self.now, zone, word);
-        self.take();
+        self.collect_actions();
     }
 
     fn list(&mut self, zones: &[(&str, u64)], at: u64) {
         let zones: BTreeMap<String, u64> =
             zones.iter().map(|(z, r)| ((*z).to_owned(), *r)).collect();
         self.scheduler.set_evacuations(self.now, &zones, at);
-        self.take();
+        self.collect_actions();
     }
 
     fn orders_on(&self, link: LinkId) -> Vec<proto::Orders> {
@@ -133,7 +133,7 @@
 fn test_scheduler_hears_of_evacuations_from_peers_and_executors() {
     let mut bench = Bench::in_two_zones();
     bench.link(PEER, "s2", false);
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         zones: vec![proto::ZoneState {
             zone: "a".to_owned(),
             revision: 3,
@@ -144,7 +144,7 @@
     assert_eq!(bench.scheduler.evacuated().collect::<Vec<_>>(), ["a"]);
     let told = bench.orders_on(EXECUTOR).into_iter().filter_map(|o| o.zone);
     assert_eq!(told.count(), 1);
-    bench.update_on(
+    bench.send_update_on(
         OTHER_EXECUTOR,
         proto::Update {
             zone: Some(proto::ZoneState {
@@ -156,7 +156,7 @@
         },
     );
     assert_eq!(bench.scheduler.evacuated().collect::<Vec<_>>(), ["a", "b"]);
-    bench.pass(20);
+    bench.advance(20);
     let zones = bench.peer_zones(PEER).into_iter().map(|z| z.zone);
     assert!(zones.collect::<Vec<_>>().contains(&"b".to_owned()));
 }
@@ -187,7 +187,7 @@
     bench.submit(4, 8, 1);
     assert_matches!(bench.answers()[1..], [(4, JobOutcome::Refused(_))]);
     bench.word("b", 9, false);
-    bench.end(task(6, 0), 1, EndKind::Done);
+    bench.end_task(task(6, 0), 1, EndKind::Done);
     assert_eq!(bench.answers().len(), 2, "what runs there ends where it is");
 }
 
@@ -202,7 +202,7 @@
     bench.link_in(OTHER_EXECUTOR, "e2", "b");
     for _ in 0..100 {
         bench.both_report();
-        bench.pass(20);
+        bench.advance(20);
     }
     bench.word("a", 7, true);
     bench.submit(1, 5, 8);
--- a/lib/tests/runner/test_scheduler/handing.rs
+++ b/lib/tests/runner/test_scheduler/handing.rs
@@ -8,12 +8,12 @@
     bench.link_peer(PEER, "s2", "z");
     bench.link_peer(OTHER_PEER, "s3", "elsewhere");
     for link in [PEER, OTHER_PEER] {
-        bench.peer_on(link, stays());
+        bench.send_peer_update_on(link, stays());
     }
     bench
         .scheduler
         .leave(bench.now, bench.now + Duration::from_millis(500));
-    bench.take();
+    bench.collect_actions();
     bench.actions.clear();
     bench
 }
@@ -34,7 +34,7 @@
             ..proto::Greeting::default()
         };
         self.scheduler.link_up(self.now, link, &greeting);
-        self.take();
+        self.collect_actions();
     }
 
     fn handed(&self) -> Vec<(LinkId, proto::HandedJob)> {
@@ -66,7 +66,7 @@
 #[test]
 fn test_scheduler_leaving_hands_on_what_would_outlast_it() {
     let mut bench = leaving();
-    bench.submit_of(1, 7, 2, 900);
+    bench.submit_estimated(1, 7, 2, 900);
     let handed = bench.handed();
     assert_eq!(handed.len(), 1);
     assert_eq!(handed[0].0, PEER, "the one of its own zone");
@@ -74,14 +74,14 @@
     assert_eq!(bench.starts(), [], "it runs there only");
     assert_eq!(bench.answers(), []);
     assert!(!bench.scheduler.is_idle(), "it waits for the answer");
-    bench.end_on(PEER, 7, JobOutcome::Completed);
+    bench.end_job_on(PEER, 7, JobOutcome::Completed);
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
 #[test]
 fn test_scheduler_leaving_runs_what_ends_in_time() {
     let mut bench = leaving();
-    bench.submit_of(1, 7, 2, 100);
+    bench.submit_estimated(1, 7, 2, 100);
     assert_eq!(bench.handed(), []);
     assert_eq!(bench.starts().len(), 2);
 }
@@ -90,24 +90,24 @@
 #[test]
 fn test_scheduler_that_ends_says_nothing_certain_of_what_it_has_handed_on() {
     let mut bench = leaving();
-    bench.submit_of(1, 7, 2, 900);
+    bench.submit_estimated(1, 7, 2, 900);
     bench.scheduler.abandon(bench.now);
-    bench.take();
+    bench.collect_actions();
     assert_eq!(bench.answers(), [(1, JobOutcome::Unknown)]);
 }
 
 #[test]
 fn test_scheduler_leaving_without_a_peer_that_stays_refuses() {
     let mut bench = leaving();
-    bench.peer_on(PEER, proto::PeerUpdate::default());
-    bench.peer_on(
+    bench.send_peer_update_on(PEER, proto::PeerUpdate::default());
+    bench.send_peer_update_on(
         OTHER_PEER,
         proto::PeerUpdate {
             leaving: true,
             ..stays()
         },
     );
-    bench.submit_of(1, 7, 2, 900);
+    bench.submit_estimated(1, 7, 2, 900);
     assert_eq!(bench.handed(), []);
     assert_matches!(bench.answers()[..], [(1, JobOutcome::Refused(_))]);
 }
@@ -116,16 +116,16 @@
 #[test]
 fn test_scheduler_leaving_does_not_deny_what_a_lost_peer_may_have_begun() {
     let mut bench = leaving();
-    bench.submit_of(1, 7, 2, 900);
+    bench.submit_estimated(1, 7, 2, 900);
     bench.scheduler.link_down(bench.now, PEER);
-    bench.take();
+    bench.collect_actions();
     assert_eq!(bench.answers(), [(1, JobOutcome::Unknown)]);
 }
 
 #[test]
 fn test_scheduler_runs_what_a_peer_hands_on_and_tells_it_the_end() {
     let mut bench = leaving();
-    bench.submit_of(1, 7, 2, 900);
+    bench.submit_estimated(1, 7, 2, 900);
     let job = bench.handed().remove(0).1;
     let mut bench = Bench::ready();
     bench.link_peer(PEER, "s1", "z");
@@ -134,16 +134,16 @@
         leaving: true,
         ..proto::PeerUpdate::default()
     };
-    bench.peer(update.clone());
+    bench.send_peer_update(update.clone());
     assert_eq!(bench.starts(), [(7, 0, 1), (7, 1, 1)]);
-    bench.peer(update.clone());
+    bench.send_peer_update(update.clone());
     assert_eq!(bench.starts().len(), 2, "handed on twice, it runs once");
-    bench.end(task(7, 0), 1, EndKind::Done);
-    bench.end(task(7, 1), 1, EndKind::Done);
-    bench.pass(20);
+    bench.end_task(task(7, 0), 1, EndKind::Done);
+    bench.end_task(task(7, 1), 1, EndKind::Done);
+    bench.advance(20);
     let told = (7, JobOutcome::Completed);
     assert_eq!(bench.ends_told(PEER), [told, told], "to both that asked");
-    bench.peer(update);
+    bench.send_peer_update(update);
     assert_eq!(bench.starts().len(), 2, "it has ended");
     assert_eq!(bench.ends_told(PEER).len(), 3);
 }
@@ -157,7 +157,7 @@
         queue: "q".to_owned(),
         ..proto::HandedJob::default()
     }];
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         handed,
         ..proto::PeerUpdate::default()
     });
@@ -172,9 +172,9 @@
     bench.link_peer(OTHER_PEER, "s3", "z");
     bench.announce_on(OTHER_PEER, 7);
     let mut leaving = leaving();
-    leaving.submit_of(1, 7, 2, 900);
+    leaving.submit_estimated(1, 7, 2, 900);
     let handed = vec![leaving.handed().remove(0).1];
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         jobs: vec![7],
         handed,
         ..proto::PeerUpdate::default()
--- a/lib/tests/runner/test_scheduler/links.rs
+++ b/lib/tests/runner/test_scheduler/links.rs
@@ -10,9 +10,9 @@
     bench.link(PEER, "s2", false);
     bench.announce_on(PEER, 7);
     bench.link(SECOND, "s2", false);
-    bench.peer_on(SECOND, proto::PeerUpdate::default());
-    bench.submit_of(1, 7, 1, 900);
-    bench.pass(20);
+    bench.send_peer_update_on(SECOND, proto::PeerUpdate::default());
+    bench.submit_estimated(1, 7, 1, 900);
+    bench.advance(20);
     assert_eq!(bench.follows(SECOND), [7]);
     bench.actions.clear();
     bench
@@ -51,12 +51,12 @@
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.announce_on(PEER, 7);
-    bench.submit_of(1, 7, 1, 900);
-    bench.pass(20);
+    bench.submit_estimated(1, 7, 1, 900);
+    bench.advance(20);
     bench.actions.clear();
-    bench.link_life(2, SECOND, "s2", false);
-    bench.peer_on(SECOND, proto::PeerUpdate::default());
-    bench.pass(20);
+    bench.link_incarnation(2, SECOND, "s2", false);
+    bench.send_peer_update_on(SECOND, proto::PeerUpdate::default());
+    bench.advance(20);
     let claims: Vec<u64> = bench
         .orders()
         .iter()
@@ -77,9 +77,9 @@
 fn test_scheduler_asks_again_for_jobs_it_follows_when_the_used_link_breaks() {
     let mut bench = following_over_two_links();
     bench.scheduler.link_down(bench.now, SECOND);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.follows(PEER), [7]);
-    bench.end_on(PEER, 7, JobOutcome::Completed);
+    bench.end_job_on(PEER, 7, JobOutcome::Completed);
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
@@ -88,7 +88,7 @@
 fn test_scheduler_asks_again_for_jobs_it_follows_when_a_spare_link_breaks() {
     let mut bench = following_over_two_links();
     bench.scheduler.link_down(bench.now, PEER);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.follows(SECOND), [7]);
 }
 
@@ -103,14 +103,14 @@
         settled: true,
         ..proto::PeerUpdate::default()
     };
-    bench.peer_on(SECOND, stays);
+    bench.send_peer_update_on(SECOND, stays);
     let until = bench.now + Duration::from_millis(500);
     bench.scheduler.leave(bench.now, until);
-    bench.submit_of(1, 7, 2, 900);
+    bench.submit_estimated(1, 7, 2, 900);
     bench.scheduler.link_down(bench.now, SECOND);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.follows(PEER), [7]);
-    bench.end_on(PEER, 7, JobOutcome::Unknown);
+    bench.end_job_on(PEER, 7, JobOutcome::Unknown);
     assert_eq!(
         bench.answers(),
         [(1, JobOutcome::Unknown)],
@@ -124,11 +124,11 @@
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.link(SECOND, "s2", false);
-    bench.submit_of(1, 9, 1, 900);
-    bench.pass(200);
+    bench.submit_estimated(1, 9, 1, 900);
+    bench.advance(200);
     bench.actions.clear();
     bench.scheduler.link_down(bench.now, SECOND);
-    bench.pass(200);
+    bench.advance(200);
     let named = bench.actions.iter().filter_map(|a| match a {
         Action::Send(PEER, body) => match &**body {
             Body::Peer(update) => Some(update.jobs.clone()),
@@ -146,17 +146,17 @@
 fn test_scheduler_passes_a_cancel_on_again_when_a_link_has_broken() {
     let mut bench = following_over_two_links();
     assert!(bench.scheduler.cancel(bench.now, JobNumber(7)));
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.cancels(SECOND), [7]);
     bench.scheduler.link_down(bench.now, SECOND);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.cancels(PEER), [7]);
     bench.scheduler.link_down(bench.now, PEER);
     bench.link(SECOND, "s2", false);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.cancels(SECOND), [7, 7]);
-    bench.pass(3_000);
+    bench.advance(3_000);
     bench.link(PEER, "s2", false);
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.cancels(PEER), [7], "long known by then");
 }
--- a/lib/tests/runner/test_scheduler/preempting.rs
+++ b/lib/tests/runner/test_scheduler/preempting.rs
@@ -42,7 +42,7 @@
     bench.link(OTHER_EXECUTOR, "e2", true);
     for _ in 0..150 {
         bench.rooms(0, [1000, 2500]);
-        bench.pass(20);
+        bench.advance(20);
     }
     bench.rooms(0, [1000, 2500]);
     bench.actions.clear();
@@ -69,7 +69,7 @@
             };
             let body = proto::frame::Body::Update(update);
             self.scheduler.message(self.now, link, body);
-            self.take();
+            self.collect_actions();
         }
     }
 
@@ -92,7 +92,7 @@
     fn wait(&mut self) {
         for _ in 0..LATEST_MS / 10 - 5 {
             self.rooms(0, [1000, 2500]);
-            self.pass(10);
+            self.advance(10);
         }
     }
 }
@@ -100,7 +100,7 @@
 #[test]
 fn test_scheduler_places_an_urgent_job_where_runs_may_be_stopped() {
     let mut bench = full(true, 0);
-    bench.submit_of(1, 7, 3, ESTIMATE_MS);
+    bench.submit_estimated(1, 7, 3, ESTIMATE_MS);
     assert_eq!(bench.starts(), [], "room may become free by itself");
     bench.wait();
     assert_eq!(bench.preempting(OTHER_EXECUTOR), 2, "most room first");
@@ -111,7 +111,7 @@
 fn test_scheduler_stops_nothing_for_other_jobs_or_while_the_switch_is_off() {
     for (on, priority) in [(true, 1), (false, 0)] {
         let mut bench = full(on, priority);
-        bench.submit_of(1, 7, 3, ESTIMATE_MS);
+        bench.submit_estimated(1, 7, 3, ESTIMATE_MS);
         bench.wait();
         assert_eq!(bench.starts(), [], "on: {on}, priority {priority}");
     }
@@ -121,10 +121,10 @@
 #[test]
 fn test_scheduler_stops_nothing_for_a_job_that_would_be_late() {
     let mut bench = full(true, 0);
-    bench.submit_of(1, 7, 1, 1);
+    bench.submit_estimated(1, 7, 1, 1);
     for _ in 0..5 {
         bench.rooms(0, [1000, 2500]);
-        bench.pass(10);
+        bench.advance(10);
     }
     assert_eq!(bench.starts(), []);
 }
@@ -133,7 +133,7 @@
 #[test]
 fn test_scheduler_asks_once_for_the_room_of_others() {
     let mut bench = full(true, 0);
-    bench.submit_of(1, 7, 1, ESTIMATE_MS);
+    bench.submit_estimated(1, 7, 1, ESTIMATE_MS);
     bench.wait();
     let end = proto::TaskEnd {
         number: 1,
@@ -153,8 +153,8 @@
         ..proto::Update::default()
     });
     bench.scheduler.message(bench.now, OTHER_EXECUTOR, body);
-    bench.take();
-    bench.pass(2);
+    bench.collect_actions();
+    bench.advance(2);
     bench.rooms(0, [1000, 2500]);
     assert_eq!(bench.starts().len(), 1);
 }
@@ -163,7 +163,7 @@
 #[test]
 fn test_scheduler_stops_nothing_for_a_job_of_which_a_part_finds_no_room() {
     let mut bench = full(true, 0);
-    bench.submit_of(1, 7, 4, ESTIMATE_MS);
+    bench.submit_estimated(1, 7, 4, ESTIMATE_MS);
     bench.wait();
     assert_eq!(bench.starts(), []);
 }
@@ -173,7 +173,7 @@
 fn test_scheduler_runs_a_stopped_task_anew() {
     let mut bench = full(true, 2);
     bench.rooms(4000, [0, 0]);
-    bench.submit_of(1, 7, 1, ESTIMATE_MS);
+    bench.submit_estimated(1, 7, 1, ESTIMATE_MS);
     let stops = |bench: &Bench| -> Vec<u32> {
         let orders = bench.orders();
         let starts = orders.iter().flat_map(|o| o.starts.iter());
@@ -203,7 +203,7 @@
         ..proto::Update::default()
     };
     bench.now = bench.now + Duration::from_millis(5);
-    bench.update_on(at, update(end(1, EndKind::Preempted)));
+    bench.send_update_on(at, update(end(1, EndKind::Preempted)));
     assert_eq!(bench.starts(), [(7, 0, 1), (7, 0, 2)]);
     assert_eq!(stops(&bench), [1, 0]);
     let orders = bench.orders();
--- a/lib/tests/runner/test_scheduler/returning.rs
+++ b/lib/tests/runner/test_scheduler/returning.rs
@@ -20,8 +20,8 @@
     let mut bench = Bench::with_policy(policy);
     bench.scheduler.set_catalog(bench.now, catalog(3));
     bench.link(EXECUTOR, "e1", true);
-    bench.link_life(PEER_LIFE, PEER, "s2", false);
-    bench.peer(proto::PeerUpdate {
+    bench.link_incarnation(PEER_LIFE, PEER, "s2", false);
+    bench.send_peer_update(proto::PeerUpdate {
         roster_read: true,
         ..proto::PeerUpdate::default()
     });
@@ -33,7 +33,7 @@
 }
 
 fn confirm(bench: &mut Bench) {
-    bench.update(proto::Update {
+    bench.send_update(proto::Update {
         claimed: vec![7],
         profile: Some(profile(vec!["s1".to_owned(), "s2".to_owned()])),
         ..proto::Update::default()
@@ -51,15 +51,15 @@
         accounted,
         ..proto::Update::default()
     };
-    bench.update_on(OTHER_EXECUTOR, update);
+    bench.send_update_on(OTHER_EXECUTOR, update);
 }
 
 /// Lets time pass in which the first executor and the peer are heard.
 fn pass_heard(bench: &mut Bench, ms: u64, silent: &[proto::SilentExecutor]) {
     for _ in 0..ms / 20 {
-        bench.pass(20);
+        bench.advance(20);
         confirm(bench);
-        bench.peer(proto::PeerUpdate {
+        bench.send_peer_update(proto::PeerUpdate {
             silent: silent.to_vec(),
             roster_read: true,
             ..proto::PeerUpdate::default()
@@ -95,7 +95,7 @@
 #[test]
 fn test_scheduler_that_the_store_turns_away_has_a_peer_read_the_executors() {
     let mut bench = recovering();
-    bench.submit_of(1, 7, 1, 900);
+    bench.submit_estimated(1, 7, 1, 900);
     pass_heard(&mut bench, 60, &[]);
     assert!(to_peer(&bench).iter().any(|u| u.roster_wanted));
     pass_heard(&mut bench, 100, &[]);
@@ -104,7 +104,7 @@
         [],
         "there may be executors it does not know"
     );
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         roster: names(1),
         ..proto::PeerUpdate::default()
     });
@@ -114,9 +114,9 @@
 #[test]
 fn test_scheduler_that_is_told_of_an_executor_it_has_not_met_waits_for_it() {
     let mut bench = recovering();
-    bench.submit_of(1, 7, 1, 900);
+    bench.submit_estimated(1, 7, 1, 900);
     pass_heard(&mut bench, 60, &[]);
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         roster: names(2),
         ..proto::PeerUpdate::default()
     });
@@ -135,20 +135,20 @@
 fn test_scheduler_reads_the_executors_anew_for_a_peer_that_has_started_since() {
     let mut bench = recovering();
     bench.scheduler.set_roster(bench.now, names(1));
-    bench.pass(20);
-    bench.link_life(PEER_LIFE + 1, OTHER_PEER, "s3", false);
+    bench.advance(20);
+    bench.link_incarnation(PEER_LIFE + 1, OTHER_PEER, "s3", false);
     let began = bench.now;
     let wanted = proto::PeerUpdate {
         roster_wanted: true,
         ..proto::PeerUpdate::default()
     };
-    bench.peer_on(OTHER_PEER, wanted);
-    bench.pass(20);
+    bench.send_peer_update_on(OTHER_PEER, wanted);
+    bench.advance(20);
     let told = |b: &Bench| sent_on(b, OTHER_PEER).iter().any(|u| u.roster == names(1));
     assert!(!told(&bench), "it was read before s3 had started");
     assert!(bench.scheduler.wants_roster());
     bench.scheduler.set_roster_read(bench.now, began, names(1));
-    bench.pass(20);
+    bench.advance(20);
     assert!(told(&bench));
     assert!(!bench.scheduler.wants_roster());
 }
@@ -158,7 +158,7 @@
     let mut bench = recovering();
     bench.scheduler.set_roster(bench.now, names(2));
     last_word(&mut bench, accounted, owners);
-    bench.submit_of(1, 7, 1, 900);
+    bench.submit_estimated(1, 7, 1, 900);
     bench
 }
 
@@ -201,7 +201,7 @@
         newcomers: vec![STRANGER],
         ..proto::Update::default()
     };
-    bench.update_on(OTHER_EXECUTOR, update);
+    bench.send_update_on(OTHER_EXECUTOR, update);
     pass_heard(&mut bench, 800, &[]);
     assert_eq!(bench.starts(), []);
 }
@@ -211,7 +211,7 @@
     let mut bench = with_silent_executor(true, vec![1, PEER_LIFE]);
     bench.scheduler.link_down(bench.now, PEER);
     for _ in 0..40 {
-        bench.pass(20);
+        bench.advance(20);
         confirm(&mut bench);
     }
     assert_eq!(bench.starts(), []);
@@ -221,7 +221,7 @@
 fn test_scheduler_hears_from_a_peer_for_whom_an_executor_ran_that_it_never_met() {
     let mut bench = recovering();
     bench.scheduler.set_roster(bench.now, names(2));
-    bench.submit_of(1, 7, 1, 900);
+    bench.submit_estimated(1, 7, 1, 900);
     pass_heard(&mut bench, 200, &[]);
     assert_eq!(bench.starts(), []);
     let silent = silent(vec![PEER_LIFE], 0);
@@ -233,15 +233,15 @@
 fn test_scheduler_waits_if_any_peer_names_somebody_it_has_not_met() {
     let mut bench = recovering();
     bench.scheduler.set_roster(bench.now, names(2));
-    bench.link_life(PEER_LIFE + 1, OTHER_PEER, "s3", false);
-    bench.submit_of(1, 7, 1, 900);
+    bench.link_incarnation(PEER_LIFE + 1, OTHER_PEER, "s3", false);
+    bench.submit_estimated(1, 7, 1, 900);
     for _ in 0..20 {
         pass_heard(&mut bench, 20, &[silent(vec![PEER_LIFE, STRANGER], 0)]);
         let update = proto::PeerUpdate {
             silent: vec![silent(vec![PEER_LIFE], 0)],
             ..proto::PeerUpdate::default()
         };
-        bench.peer_on(OTHER_PEER, update);
+        bench.send_peer_update_on(OTHER_PEER, update);
     }
     assert_eq!(bench.starts(), []);
 }
@@ -253,15 +253,15 @@
     let named = |ago: u64| {
         let mut bench = recovering();
         bench.scheduler.set_roster(bench.now, names(1));
-        bench.submit_of(1, 7, 1, 900);
+        bench.submit_estimated(1, 7, 1, 900);
         pass_heard(&mut bench, 200, &[]);
         assert_eq!(bench.starts(), [(7, 0, 1)]);
         bench
             .scheduler
             .caller_left(bench.now, CallerId(1), JobNumber(7));
         pass_heard(&mut bench, ago, &[]);
-        bench.link_life(PEER_LIFE + 1, OTHER_PEER, "s3", false);
-        bench.pass(20);
+        bench.link_incarnation(PEER_LIFE + 1, OTHER_PEER, "s3", false);
+        bench.advance(20);
         sent_on(&bench, OTHER_PEER)[0].jobs.contains(&7)
     };
     assert!(named(20));
@@ -275,7 +275,7 @@
     let silent = silent(vec![PEER_LIFE], 0);
     pass_heard(&mut bench, 20, &[silent]);
     pass_heard(&mut bench, 300, &[]);
-    bench.submit_of(1, 7, 1, 900);
+    bench.submit_estimated(1, 7, 1, 900);
     pass_heard(&mut bench, 300, &[]);
     assert_eq!(bench.starts(), []);
 }
@@ -287,11 +287,11 @@
     let told = |u: &proto::PeerUpdate| u.silent.iter().any(|s| s.name == "e2" && s.owners == [1]);
     assert!(to_peer(&bench).iter().any(told));
     bench.actions.clear();
-    bench.peer(proto::PeerUpdate {
+    bench.send_peer_update(proto::PeerUpdate {
         settled: true,
         ..proto::PeerUpdate::default()
     });
-    bench.pass(120);
+    bench.advance(120);
     assert!(to_peer(&bench).iter().all(|u| u.silent.is_empty()));
 }
 
@@ -320,14 +320,14 @@
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.report(Vec::new());
-    bench.submit_of(1, 7, 1, 2000);
+    bench.submit_estimated(1, 7, 1, 2000);
     for _ in 0..18 {
-        bench.pass(20);
+        bench.advance(20);
     }
     let roster = vec!["e1".to_owned(), "e9".to_owned()];
     bench.scheduler.set_roster(bench.now, roster);
     for _ in 0..18 {
-        bench.pass(20);
+        bench.advance(20);
     }
     let told = bench.actions.iter().filter_map(|a| match a {
         Action::Log(event) if event.kind == Kind::ClaimsPending => Some(event.detail.clone()),
--- a/lib/tests/runner/test_scheduler/slow.rs
+++ b/lib/tests/runner/test_scheduler/slow.rs
@@ -24,7 +24,7 @@
     }
     bench.pace(EXECUTOR, 100, 4000, Vec::new());
     bench.actions.clear();
-    bench.submit_of(1, 9, 1, 400);
+    bench.submit_estimated(1, 9, 1, 400);
     assert_eq!(bench.starts(), [(9, 0, 1)]);
     bench.actions.clear();
     bench
@@ -57,7 +57,7 @@
         };
         let body = proto::frame::Body::Update(update);
         self.scheduler.message(self.now, link, body);
-        self.take();
+        self.collect_actions();
     }
 
     fn stops(&self) -> usize {
@@ -87,7 +87,7 @@
     assert!(bench.has_logged(Kind::TaskMoved));
     assert_eq!(bench.starts(), [], "its end is waited for");
     bench.actions.clear();
-    bench.end(task(9, 0), 1, EndKind::Stopped);
+    bench.end_task(task(9, 0), 1, EndKind::Stopped);
     assert_eq!(bench.starts(), [(9, 0, 2)]);
 }
 
@@ -109,7 +109,7 @@
 #[test]
 fn test_scheduler_leaves_a_slow_run_that_would_be_late_elsewhere_too() {
     let mut bench = with_a_job();
-    bench.pass(300);
+    bench.advance(300);
     bench.pace(OTHERS[0], 100, 4000, Vec::new());
     bench.pace(EXECUTOR, 500, 3000, slow(1900));
     assert_eq!(bench.stops(), 0);
--- a/lib/tests/runner/test_scheduler/speeds.rs
+++ b/lib/tests/runner/test_scheduler/speeds.rs
@@ -39,7 +39,7 @@
     }
     for _ in 0..150 {
         bench.speeds(FULL, ROOM);
-        bench.pass(20);
+        bench.advance(20);
     }
     bench.speeds(FULL, ROOM);
     bench.actions.clear();
@@ -77,7 +77,7 @@
         };
         let body = proto::frame::Body::Update(update);
         self.scheduler.message(self.now, link, body);
-        self.take();
+        self.collect_actions();
     }
 
     fn submit_near(&mut self, number: u64, cpu_milli: u32, estimate_ms: u32, rack: &str) {
@@ -100,7 +100,7 @@
             call: Rc::default(),
         };
         self.scheduler.submit(self.now, CallerId(number), request);
-        self.take();
+        self.collect_actions();
     }
 
     fn jobs_at(&self, link: LinkId) -> Vec<(u64, u32)> {
@@ -135,9 +135,9 @@
 fn test_scheduler_keeps_a_long_task_off_a_slow_worker_that_has_room() {
     let mut bench = uneven();
     bench.submit(1, 7, 1);
-    bench.submit_of(2, 8, 1, 800);
+    bench.submit_estimated(2, 8, 1, 800);
     for _ in 0..3 {
-        bench.pass(100);
+        bench.advance(100);
         bench.speeds(FULL, ROOM);
     }
     bench.submit(3, 9, 1);
@@ -165,7 +165,7 @@
     let mut bench = uneven();
     bench.speeds(ROOM, ROOM);
     bench.submit(1, 7, 1);
-    bench.submit_of(2, 8, 1, 800);
+    bench.submit_estimated(2, 8, 1, 800);
     assert_eq!(bench.jobs_at(SLOW), [(7, 100)]);
     assert_eq!(bench.jobs_at(FAST), [(8, 800)]);
 }
@@ -173,7 +173,7 @@
 #[test]
 fn test_scheduler_tries_no_steady_worker_one_task_at_a_time() {
     let mut bench = uneven();
-    bench.submit_of(1, 7, 3, 60);
+    bench.submit_estimated(1, 7, 3, 60);
     assert_eq!(bench.starts().len(), 3);
     assert_eq!(bench.logged(Kind::WorkerDegraded), 0);
 }
@@ -184,7 +184,7 @@
     let mut bench = uneven();
     bench.speed(SLOW, 560, ROOM, Vec::new());
     assert_eq!(bench.logged(Kind::WorkerDegraded), 1);
-    bench.submit_of(1, 7, 3, 60);
+    bench.submit_estimated(1, 7, 3, 60);
     assert_eq!(bench.starts().len(), 1, "on trial");
     bench.speed(SLOW, 182, ROOM, Vec::new());
     assert_eq!(bench.logged(Kind::WorkerSpeedRestored), 1);
@@ -220,15 +220,15 @@
     let mut bench = uneven();
     bench.speeds(ROOM, ROOM);
     for _ in 0..4 {
-        bench.pass(100);
+        bench.advance(100);
         bench.speed(SLOW, 182, ROOM, Vec::new());
     }
     bench.actions.clear();
-    bench.submit_of(1, 7, 1, 800);
+    bench.submit_estimated(1, 7, 1, 800);
     assert_eq!(bench.jobs_at(FAST), [], "its report is old");
     bench.scheduler.link_down(bench.now, FAST);
     bench.scheduler.link_down(bench.now, THIRD);
-    bench.take();
+    bench.collect_actions();
     bench.speed(SLOW, 182, ROOM, Vec::new());
     bench.submit(2, 8, 1);
     let mean = |a: &Action| matches!(a, Action::Log(e) if e.detail.contains("slowness 1.00"));
