--- a/lib/tests/runner/test_scheduler.rs
+++ b/lib/tests/runner/test_scheduler.rs
@@ -483,8 +483,8 @@
     assert_eq!(names(&mut bench), [""; 0]);
 }
 
-/// Guards against an entry that accepts and announces a job although it is cut off from all agents: a peer that
-/// could run the job would follow it there instead.
+/// Guards against an entry that accepts and announces a job although it is cut off from all agents: a peer
+/// that could run the job would follow it there instead.
 #[test]
 fn test_scheduler_refusal_without_executors() {
     let mut bench = Bench::ready();
--- a/lib/tests/runner/test_scheduler/claims.rs
+++ b/lib/tests/runner/test_scheduler/claims.rs
@@ -1,9 +1,11 @@
-//! Claims: jobs that may be at work elsewhere, peers that have them, schedulers that have just started.
+//! Tests of claims: jobs that may be running for another scheduler. Covers jobs that a peer holds or may hold
+//! after its link is lost, and schedulers that have just started or were paused. No task may run twice at
+//! once, and a job is started as soon as that is certain.
 
 use super::*;
 
 #[test]
-fn test_scheduler_claims_a_job_before_it_runs_again_after_it_was_given_up() {
+fn test_claim_resubmitted_job() {
     let mut bench = Bench::ready();
     bench.submit(1, 7, 1);
     bench
@@ -13,7 +15,7 @@
     bench.actions.clear();
     bench.submit(2, 7, 1);
     bench.advance(20);
-    assert_eq!(bench.starts(), [], "the earlier run may not have ended");
+    assert_eq!(bench.starts(), [], "its earlier run may still be going on");
     assert!(bench.orders().iter().any(|o| o.renewals == [7]));
     bench.send_update(proto::Update {
         claimed: vec![7],
@@ -23,7 +25,7 @@
 }
 
 #[test]
-fn test_scheduler_follows_a_job_that_a_peer_has() {
+fn test_claim_job_of_linked_peer() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.send_peer_update(proto::PeerUpdate {
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn test_scheduler_follows_the_peer_at_work_after_another_one_gave_up() {
+fn test_claim_job_given_up_by_one_of_two_peers() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.link(OTHER_PEER, "s3", false);
@@ -50,14 +52,14 @@
     bench.submit(1, 7, 1);
     bench.end_job_on(OTHER_PEER, 7, JobOutcome::Unknown);
     bench.advance(20);
-    assert_eq!(bench.starts(), [], "s2 has it");
+    assert_eq!(bench.starts(), [], "s2 still holds it");
     assert!(bench.orders().iter().all(|o| o.claims.is_empty()));
     bench.end_job_on(PEER, 7, JobOutcome::Completed);
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
 #[test]
-fn test_scheduler_does_not_claim_a_job_from_a_peer_that_is_back() {
+fn test_claim_job_of_reconnected_peer() {
     let mut bench = Bench::ready();
     let roster = vec!["e1".to_owned(), "e2".to_owned()];
     bench.scheduler.set_roster(bench.now, roster);
@@ -72,12 +74,16 @@
         ..proto::Update::default()
     });
     bench.advance(20);
-    assert_eq!(bench.starts(), [], "s2 may run it at e2, out of reach");
+    assert_eq!(
+        bench.starts(),
+        [],
+        "s2 may run it at e2, which is not linked"
+    );
     assert_eq!(bench.answers(), [(1, JobOutcome::Unknown)]);
 }
 
 #[test]
-fn test_scheduler_claims_a_job_of_a_peer_that_is_away() {
+fn test_claim_job_of_lost_peer() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.send_peer_update(proto::PeerUpdate {
@@ -92,18 +98,22 @@
         claimed: vec![7],
         ..proto::Update::default()
     });
-    assert_eq!(bench.starts(), [], "the peer may not have noticed yet");
+    assert_eq!(
+        bench.starts(),
+        [],
+        "the peer may not have noticed that it is cut off"
+    );
     for _ in 0..70 {
         bench.report(Vec::new());
         bench.advance(20);
     }
-    // By then the job can't be in time any more and is turned away without a start.
+    // The job can't end in time any more, and is rejected without a start.
     assert_eq!(bench.starts(), []);
     assert_eq!(bench.answers().len(), 1);
 }
 
 #[test]
-fn test_scheduler_doubts_new_jobs_while_an_executor_hears_a_peer_it_can_not_hear() {
+fn test_claim_unreachable_peer_with_lease() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.scheduler.link_down(bench.now, PEER);
@@ -117,9 +127,9 @@
     assert_eq!(bench.starts(), []);
 }
 
-/// A scheduler that has just started: one executor hears a peer that is not met yet, another one
-/// has been met and lost again. A job has come in.
-fn young_in_doubt() -> Bench {
+/// Returns a scheduler that has just started and has a job: one executor lists a lease of a peer that is not
+/// linked here, and the link to another executor has been lost again.
+fn starting_with_unlinked_peer() -> Bench {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(OTHER_EXECUTOR, "e2", true);
@@ -130,6 +140,7 @@
     bench
 }
 
+/// Delivers an executor's confirmation of the claim of job 7, with leases of this scheduler and `s2`.
 fn confirm_on(bench: &mut Bench, link: LinkId) {
     let update = proto::Update {
         claimed: vec![7],
@@ -140,9 +151,9 @@
 }
 
 #[test]
-fn test_scheduler_that_is_young_waits_until_it_has_met_its_peers() {
-    let mut bench = young_in_doubt();
-    assert_eq!(bench.answers(), [], "it is too early to give up");
+fn test_claim_at_start_peers_linked() {
+    let mut bench = starting_with_unlinked_peer();
+    assert_eq!(bench.answers(), [], "it is too early to end the job");
     let roster = vec!["e1".to_owned(), "e2".to_owned()];
     bench.scheduler.set_roster(bench.now, roster);
     bench.link(PEER, "s2", false);
@@ -159,8 +170,8 @@
 }
 
 #[test]
-fn test_scheduler_that_was_young_does_not_start_what_it_can_not_claim() {
-    let mut bench = young_in_doubt();
+fn test_claim_at_start_unreachable_executor() {
+    let mut bench = starting_with_unlinked_peer();
     for _ in 0..80 {
         confirm_on(&mut bench, EXECUTOR);
         bench.advance(20);
@@ -169,9 +180,9 @@
     assert_eq!(bench.answers(), [(1, JobOutcome::Unknown)]);
 }
 
-/// A scheduler without peers that has just started, with a job that the one executor it has met
-/// has confirmed.
-fn young_with_roster(names: &[&str]) -> Bench {
+/// Returns a scheduler without peers that has just started, knows this roster, and has a job whose claim is
+/// confirmed by the one linked executor.
+fn starting_with_roster(names: &[&str]) -> Bench {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     let names = names.iter().map(|n| (*n).to_owned()).collect();
@@ -186,23 +197,27 @@
 }
 
 #[test]
-fn test_scheduler_that_is_young_starts_once_it_has_met_all_executors() {
-    let bench = young_with_roster(&["e1"]);
+fn test_claim_at_start_complete_roster() {
+    let bench = starting_with_roster(&["e1"]);
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
 
 #[test]
-fn test_scheduler_that_is_young_waits_for_an_executor_it_has_not_met() {
-    let mut bench = young_with_roster(&["e1", "e2"]);
-    assert_eq!(bench.starts(), [], "what e2 had started may still run");
+fn test_claim_at_start_unlinked_executor() {
+    let mut bench = starting_with_roster(&["e1", "e2"]);
+    assert_eq!(bench.starts(), [], "e2 may still run tasks for others");
     for _ in 0..45 {
         bench.report(Vec::new());
         bench.advance(20);
     }
-    assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended by itself");
+    assert_eq!(
+        bench.starts(),
+        [(7, 0, 1)],
+        "any lease elsewhere has expired"
+    );
 }
 
-/// The one executor that is still there has nothing of the job, nor of any peer.
+/// Delivers the first executor's confirmation of the claim of job 7.
 fn confirm(bench: &mut Bench) {
     bench.send_update(proto::Update {
         claimed: vec![7],
@@ -210,10 +225,11 @@
     });
 }
 
-/// All machines had lost power and came back; eight executors were taken away within 0.2 s after that, in order, and their
-/// keys stood in the list that was read just before.
+/// Guards against waiting for executors that shut down in order just after a scheduler has read the roster.
+/// After a power loss, eight executors were removed within 0.2 s of the restart, and the roster read before
+/// still listed them.
 #[test]
-fn test_scheduler_that_is_young_does_not_wait_for_an_executor_that_has_departed() {
+fn test_claim_at_start_departed_executor() {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(OTHER_EXECUTOR, "e2", true);
@@ -234,9 +250,10 @@
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
 
-/// It was started anew, and has not been met since: what it has begun for others is not known.
+/// The executor has linked again since it departed, and its link was lost: what it runs for others is not
+/// known.
 #[test]
-fn test_scheduler_waits_for_an_executor_that_has_departed_and_come_back() {
+fn test_claim_at_start_returned_executor() {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(OTHER_EXECUTOR, "e2", true);
@@ -259,7 +276,7 @@
 }
 
 #[test]
-fn test_scheduler_does_not_claim_past_an_executor_it_never_met() {
+fn test_claim_never_linked_executor() {
     let mut bench = Bench::ready();
     let roster = vec!["e1".to_owned(), "e2".to_owned()];
     bench.scheduler.set_roster(bench.now, roster);
@@ -275,7 +292,7 @@
 }
 
 #[test]
-fn test_scheduler_that_was_young_waits_for_all_while_a_peer_may_be_at_work() {
+fn test_claim_at_start_unlinked_peer() {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(OTHER_EXECUTOR, "e2", true);
@@ -288,7 +305,7 @@
     assert_eq!(
         bench.starts(),
         [],
-        "e2 has not confirmed, and s2 is unheard"
+        "e2 has not confirmed, and s2 is not heard"
     );
     confirm_on(&mut bench, OTHER_EXECUTOR);
     bench.advance(20);
@@ -296,19 +313,23 @@
 }
 
 #[test]
-fn test_scheduler_that_was_paused_doubts_new_jobs() {
+fn test_claim_after_pause() {
     let mut bench = Bench::ready();
     bench.advance(2400);
     bench.submit(1, 7, 1);
     bench.link(EXECUTOR, "e1", true);
     bench.report(Vec::new());
     bench.advance(20);
-    assert_eq!(bench.starts(), [], "a peer may have it since the pause");
+    assert_eq!(
+        bench.starts(),
+        [],
+        "a peer may have accepted it during the pause"
+    );
     assert!(bench.orders().iter().any(|o| o.claims == [7]));
 }
 
 #[test]
-fn test_scheduler_that_is_young_claims_anew_after_a_pause() {
+fn test_claim_repeated_after_pause() {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(PEER, "s2", false);
@@ -324,7 +345,11 @@
         bench.report(Vec::new());
         bench.advance(20);
     }
-    assert_eq!(bench.starts(), [], "the peer may have it by now");
+    assert_eq!(
+        bench.starts(),
+        [],
+        "the peer may have accepted it meanwhile"
+    );
     assert!(bench.orders().iter().any(|o| o.claims == [7]));
     for _ in 0..22 {
         bench.send_peer_update(proto::PeerUpdate::default());
@@ -337,15 +362,15 @@
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
 
-/// A caller's connection may break together with the link that would have announced its job.
+/// A caller's connection may break together with the link on which its job would have been announced.
 #[test]
-fn test_scheduler_claims_new_jobs_after_the_link_to_a_peer_was_lost() {
+fn test_claim_after_lost_link() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.send_peer_update(proto::PeerUpdate::default());
     bench.scheduler.link_down(bench.now, PEER);
     bench.submit(1, 9, 1);
-    assert_eq!(bench.starts(), [], "the peer may have taken it");
+    assert_eq!(bench.starts(), [], "the peer may have accepted it");
     bench.advance(20);
     let claims: Vec<u64> = bench.orders().into_iter().flat_map(|o| o.claims).collect();
     assert_eq!(claims, [9]);
@@ -356,12 +381,12 @@
     assert_eq!(
         bench.starts(),
         [(9, 0, 1)],
-        "the peer itself is not waited for"
+        "the executors' confirmation is enough"
     );
 }
 
 #[test]
-fn test_scheduler_does_not_doubt_new_jobs_long_after_a_link_was_lost() {
+fn test_claim_long_after_lost_link() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.send_peer_update(proto::PeerUpdate::default());
@@ -376,7 +401,7 @@
 }
 
 #[test]
-fn test_scheduler_does_not_doubt_new_jobs_when_a_peer_has_left() {
+fn test_claim_after_peer_left() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.send_peer_update(proto::PeerUpdate {
@@ -388,35 +413,27 @@
     assert_eq!(bench.starts(), [(9, 0, 1)]);
 }
 
-/// Symptom: a task ran twice at once, in one of twelve plays of a soak's seed.
-///
-/// Sequence: the keys of all agents were taken away in the store; an entry was started anew, read that there are no
-/// executors, and linked to two of four. 135 ms after its start a job came to it that its peer had at work at a third
-/// executor. It claimed the job at the two, which confirmed, and began it.
-///
-/// Cause: with an empty list of the executors, all of them had been met. The store's list is no lower bound: keys can be
-/// missing while their owners live.
-///
-/// What settled it: `SC222 0 executors, 0 of them not met`, then `SC405 ... at 2` at the entry, `SC406 ... at agent-3` at its peer
-/// 420 ms earlier, and `SC434` at agent-3 25 ms later.
+/// Guards against a task that runs twice at once because the roster is incomplete. Keys can be missing in the
+/// store while their owners are alive: with an empty roster and two of four executors linked, all executors
+/// counted as met, and a job that a peer ran at a third one was started.
 #[test]
-fn test_scheduler_that_is_young_does_not_trust_a_list_without_those_it_has_met() {
-    let mut bench = young_with_roster(&[]);
-    assert_eq!(
-        bench.starts(),
-        [],
-        "there are executors that it has not met"
-    );
+fn test_claim_at_start_incomplete_roster() {
+    let mut bench = starting_with_roster(&[]);
+    assert_eq!(bench.starts(), [], "the roster lacks a linked executor");
     for _ in 0..45 {
         bench.report(Vec::new());
         bench.advance(20);
     }
-    assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended by itself");
+    assert_eq!(
+        bench.starts(),
+        [(7, 0, 1)],
+        "any lease elsewhere has expired"
+    );
 }
 
-/// The same fault, seen from the other names that were known: those that a peer tells.
+/// Guards against the same failure when the roster lacks an executor that a peer has announced.
 #[test]
-fn test_scheduler_that_is_young_waits_for_the_executors_of_its_peers() {
+fn test_claim_at_start_executor_of_peer() {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(PEER, "s2", false);
@@ -432,12 +449,12 @@
         bench.advance(20);
         bench.send_peer_update(proto::PeerUpdate::default());
     }
-    assert_eq!(bench.starts(), [], "the peer may have it at work at e2");
+    assert_eq!(bench.starts(), [], "the peer may run it at e2");
 }
 
-/// A link that has just come up says nothing: what its peer has at work comes with the first message.
+/// A link that has just come up tells nothing of the peer's jobs: the first update on it lists them.
 #[test]
-fn test_scheduler_that_is_young_waits_for_the_first_word_of_a_peer() {
+fn test_claim_at_start_first_peer_update() {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.scheduler.set_roster(bench.now, vec!["e1".to_owned()]);
@@ -448,17 +465,17 @@
         confirm_on(&mut bench, EXECUTOR);
         bench.advance(20);
     }
-    assert_eq!(bench.starts(), [], "the peer has not said what it has");
+    assert_eq!(bench.starts(), [], "the peer has not listed its jobs");
     bench.send_peer_update(proto::PeerUpdate::default());
     bench.advance(20);
     assert_eq!(bench.starts(), [(7, 0, 1)]);
 }
 
-/// A peer has begun a task of a job at e2, to which this scheduler had lost its link before. The peer was killed and
-/// started again, and is heard under its name at once; what it had begun runs until its lease at e2 is over. As a
-/// peer that is heard it was not doubted, and the task ran twice at once (seed 79 of the random run with executors that leave).
+/// Guards against a task that runs twice at once after a peer was restarted. The new incarnation is heard at
+/// once, but what the earlier one started at e2, which is not linked here, runs on until its lease expires.
+/// Found by the random run with executors that leave, seed 79.
 #[test]
-fn test_scheduler_waits_for_what_an_earlier_life_of_a_peer_may_have_at_work() {
+fn test_claim_after_peer_restart() {
     let mut bench = Bench::new();
     bench.link(EXECUTOR, "e1", true);
     bench.link(OTHER_EXECUTOR, "e2", true);
@@ -484,13 +501,14 @@
         bench.send_peer_update(proto::PeerUpdate::default());
         bench.advance(20);
     }
-    assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended");
+    assert_eq!(bench.starts(), [(7, 0, 1)], "the lease at e2 has expired");
 }
 
-/// A peer has a job at work at e2, which can't be reached from here, and gives it up. Its stop has not arrived at e2 yet; the
-/// job was begun here at once, and a task ran twice (seed 5082 of the random run that recovers, with executors that leave).
+/// Guards against a task that runs twice at once after a peer has given up its job. The peer's stop may not
+/// have reached e2, which is not linked here, when the job is taken over. Found by the random run that
+/// recovers, with executors that leave, seed 5082.
 #[test]
-fn test_scheduler_waits_for_what_a_peer_that_gives_a_job_up_has_at_work() {
+fn test_claim_job_given_up_by_peer() {
     let mut bench = Bench::ready();
     bench.link(OTHER_EXECUTOR, "e2", true);
     bench.link(PEER, "s2", false);
@@ -514,5 +532,5 @@
         bench.send_peer_update(proto::PeerUpdate::default());
         bench.advance(20);
     }
-    assert_eq!(bench.starts(), [(7, 0, 1)], "by now it has ended");
+    assert_eq!(bench.starts(), [(7, 0, 1)], "the lease at e2 has expired");
 }
