--- a/lib/tests/runner/test_scheduler.rs
+++ b/lib/tests/runner/test_scheduler.rs
@@ -11,10 +11,10 @@
 mod contention;
 mod crashes;
 mod evacuations;
-mod handing;
+mod handoff;
 mod links;
-mod preempting;
-mod returning;
+mod preemption;
+mod recovery;
 mod slow;
 mod speeds;
 
--- a/lib/tests/runner/test_scheduler/contention.rs
+++ b/lib/tests/runner/test_scheduler/contention.rs
@@ -1,4 +1,6 @@
-//! Jobs that compete for too little room, at one scheduler beside peers that tell what waits at them.
+//! Tests of contention control: jobs compete for too little capacity at one scheduler, while peers report the
+//! backlog of jobs that wait there. Covers the order of placement, yielding to more urgent work at peers, and
+//! refusals.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -7,7 +9,7 @@
 
 use super::*;
 
-/// Runs that must have ended before the scheduler concludes anything from them, with some to spare.
+/// The number of ended runs after which the scheduler knows how fast capacity is released, with a margin.
 const KNOWN_RUNS: u64 = 40;
 
 fn policy(on: bool) -> Policy {
@@ -16,7 +18,7 @@
     policy
 }
 
-/// Queues of three priorities.
+/// Returns a catalog with queues of three priorities besides the default one.
 fn queues() -> Catalog {
     let mut catalog = catalog(3);
     for priority in 0..3 {
@@ -29,14 +31,14 @@
 }
 
 impl Bench {
-    /// Like [`Bench::ready`], with queues of three priorities and a peer.
+    /// Returns a scheduler like [`Bench::ready`], with queues of three priorities and a peer.
     fn contending(policy: Policy) -> Bench {
         let mut bench = Bench::with_policy(policy);
         bench.scheduler.set_catalog(bench.now, queues());
         bench.link(EXECUTOR, "e1", true);
         bench.link(PEER, "s2", false);
         for _ in 0..150 {
-            bench.tell(&[]);
+            bench.send_backlog(&[]);
             bench.report(Vec::new());
             bench.advance(20);
         }
@@ -45,14 +47,14 @@
         bench
     }
 
-    /// One whose executor is full with jobs of the most urgent queue, and that knows how long runs take.
+    /// Returns a scheduler whose executor is full, and that knows how fast capacity is released.
     fn full(policy: Policy) -> Bench {
         let mut bench = Bench::contending(policy);
         for number in 0..KNOWN_RUNS {
             bench.submit_to("p0", 1000 + number, 1);
             bench.end_task_after(task(1000 + number, 0), Duration::from_millis(100));
         }
-        bench.free(0);
+        bench.report_free(0);
         bench.actions.clear();
         bench
     }
@@ -94,8 +96,8 @@
         });
     }
 
-    /// The executor reports so much free room, in thousandths of a core.
-    fn free(&mut self, cpu_milli: i64) {
+    /// Delivers the executor's report of its free capacity, in thousandths of a core.
+    fn report_free(&mut self, cpu_milli: i64) {
         self.clock_us += 1;
         let update = proto::Update {
             clock_us: self.clock_us,
@@ -115,12 +117,12 @@
         self.collect_actions();
     }
 
-    /// The peer tells what waits at it: priorities and the room that they need.
-    fn tell(&mut self, rows: &[(u32, u64)]) {
-        self.tell_on(PEER, rows);
+    /// Delivers the peer's backlog: priorities, and the capacity that the waiting jobs of each need.
+    fn send_backlog(&mut self, rows: &[(u32, u64)]) {
+        self.send_backlog_on(PEER, rows);
     }
 
-    fn tell_on(&mut self, link: LinkId, rows: &[(u32, u64)]) {
+    fn send_backlog_on(&mut self, link: LinkId, rows: &[(u32, u64)]) {
         let row = |(priority, cpu_milli): &(u32, u64)| proto::Backlog {
             priority: *priority,
             cpu_milli: *cpu_milli,
@@ -136,25 +138,28 @@
         self.send_peer_update_on(link, update);
     }
 
+    /// Returns the jobs of which tasks were started.
     fn started(&self) -> Vec<u64> {
         let mut jobs: Vec<u64> = self.starts().iter().map(|s| s.0).collect();
         jobs.dedup();
         jobs
     }
 
+    /// Returns the callers whose jobs were refused.
     fn refused(&self) -> Vec<u64> {
         let refused = self.answers().into_iter();
         let refused = refused.filter(|(_, outcome)| matches!(outcome, JobOutcome::Refused(_)));
         refused.map(|(caller, _)| caller).collect()
     }
 
+    /// Returns how many jobs were ended for a cause.
     fn refusals_for(&self, cause: &str) -> u64 {
         let causes = &self.scheduler.counts().causes;
         causes.get(cause).copied().unwrap_or_default()
     }
 }
 
-/// Draws for a replayed load, the same each time.
+/// A deterministic random number generator, so that replays are the same each time.
 struct Draws(u64);
 
 impl Draws {
@@ -167,8 +172,8 @@
     }
 }
 
-/// A load of twice the room of the executor for five seconds, of three priorities, beside a peer that tells a backlog:
-/// a digest of what was started when, and of what callers were answered when.
+/// Replays five seconds of a load of three priorities that needs twice the capacity of the executor, beside a
+/// peer that reports a backlog. Returns a digest of all starts and answers and their times.
 fn replay(policy: Policy) -> u64 {
     let mut bench = Bench::contending(policy);
     let mut draws = Draws(7);
@@ -176,7 +181,7 @@
     let mut running: Vec<(Mono, TaskName, u32)> = Vec::new();
     for round in 0..500u64 {
         if round % 5 == 0 {
-            bench.tell(&[(0, draws.below(6000)), (2, draws.below(6000))]);
+            bench.send_backlog(&[(0, draws.below(6000)), (2, draws.below(6000))]);
         }
         if draws.below(5) == 0 {
             let queue = format!("p{}", draws.below(3));
@@ -189,7 +194,7 @@
         for (_, name, _) in &due {
             bench.end_task_after(*name, Duration::from_millis(100));
         }
-        bench.free(4000 - 1000 * running.len() as i64);
+        bench.report_free(4000 - 1000 * running.len() as i64);
         for (job, index, attempt) in bench.starts() {
             let ends = bench.now + Duration::from_millis(60 + draws.below(80));
             running.push((ends, task(job, index), attempt));
@@ -204,38 +209,39 @@
     digest.finish()
 }
 
-/// What [`replay`] gave before schedulers told each other what waits.
-const REPLAYED: u64 = 13_209_058_747_369_664_932;
+/// The digest of [`replay`] with the decisions of a scheduler that has no contention control.
+const BASELINE_DIGEST: u64 = 13_209_058_747_369_664_932;
 
 #[test]
-fn test_contention_off_decides_as_without_it() {
-    assert_eq!(replay(policy(false)), REPLAYED);
+fn test_contention_off_same_decisions() {
+    assert_eq!(replay(policy(false)), BASELINE_DIGEST);
 }
 
 #[test]
-fn test_contention_on_decides_otherwise() {
-    assert_ne!(replay(policy(true)), REPLAYED);
+fn test_contention_on_other_decisions() {
+    assert_ne!(replay(policy(true)), BASELINE_DIGEST);
 }
 
-/// A patient job leaves room that urgent work at a peer waits for; the same job takes it where there is room for both.
+/// A patient job leaves free capacity to urgent work that waits at a peer, and takes it once nothing waits
+/// there.
 #[test]
-fn test_contention_yields_room_to_urgent_work_at_a_peer() {
+fn test_contention_yield_to_urgent_backlog() {
     let mut bench = Bench::contending(policy(true));
-    bench.tell(&[(0, 3500)]);
+    bench.send_backlog(&[(0, 3500)]);
     bench.submit_to("p2", 7, 2);
     assert!(bench.started().is_empty());
     bench.submit_to("p0", 8, 2);
-    assert_eq!(bench.started(), [8], "as urgent as what waits there");
+    assert_eq!(bench.started(), [8], "as urgent as the backlog there");
     bench.actions.clear();
-    bench.tell(&[]);
+    bench.send_backlog(&[]);
     bench.advance(10);
-    assert_eq!(bench.started(), [7], "nothing waits there any more");
+    assert_eq!(bench.started(), [7], "the backlog there is gone");
 }
 
 #[test]
-fn test_contention_forgets_the_backlog_of_a_peer_whose_link_is_cut() {
+fn test_contention_backlog_lost_link() {
     let mut bench = Bench::contending(policy(true));
-    bench.tell(&[(0, 100_000)]);
+    bench.send_backlog(&[(0, 100_000)]);
     bench.submit_to("p2", 7, 2);
     assert!(bench.started().is_empty());
     bench.scheduler.link_down(bench.now, PEER);
@@ -243,48 +249,49 @@
     assert_eq!(bench.started(), [7]);
 }
 
-/// The peer dies without a word: its link stays up until it has been silent for long.
+/// The peer dies, but its link stays up until it has been silent for long.
 #[test]
-fn test_contention_does_not_wait_for_a_peer_that_died_after_it_told_a_backlog() {
+fn test_contention_backlog_dead_peer() {
     let mut policy = policy(true);
     policy.admission.sure_share = 1.0;
     let mut bench = Bench::contending(policy);
-    bench.tell(&[(0, 100_000)]);
-    let told = bench.now;
+    bench.send_backlog(&[(0, 100_000)]);
+    let reported_at = bench.now;
     let mut number = 10;
     while bench.started().is_empty() {
         number += 1;
         bench.submit_to("p2", number, 1);
         bench.report(Vec::new());
         bench.advance(20);
-        let waited = bench.now.since(told);
+        let waited = bench.now.since(reported_at);
         assert!(waited < Duration::from_millis(400), "held for {waited:?}");
     }
 }
 
-/// What waits as urgent, or more so, leaves no room in time: the caller hears so at once, and that nothing has run.
+/// If equally or more urgent work leaves no capacity in time, the caller is refused at once, and nothing has
+/// run.
 #[test]
-fn test_contention_refuses_at_once_what_a_backlog_leaves_no_time_for() {
+fn test_contention_refusal_large_backlog() {
     for on in [true, false] {
         let mut bench = Bench::full(policy(on));
-        bench.tell(&[(0, 2000), (2, 90_000)]);
+        bench.send_backlog(&[(0, 2000), (2, 90_000)]);
         bench.submit_to("p2", 7, 2);
         let expected: &[u64] = if on { &[7] } else { &[] };
         assert_eq!(bench.refused(), expected);
         assert_eq!(bench.refusals_for("backlog"), u64::from(on));
         bench.submit_to("p0", 8, 2);
-        assert_eq!(bench.refused(), expected, "too little is ahead of it");
+        assert_eq!(bench.refused(), expected, "too little work is ahead of it");
         assert_eq!(bench.starts(), []);
     }
 }
 
-/// Reports of the backlog that are older than some heartbeats refuse nobody, while the link is still up.
+/// A backlog report that is older than some heartbeats refuses no job, even while the link is up.
 #[test]
-fn test_contention_refuses_nobody_for_an_old_backlog() {
+fn test_contention_no_refusal_stale_backlog() {
     let mut bench = Bench::full(policy(true));
-    bench.tell(&[(0, 90_000)]);
+    bench.send_backlog(&[(0, 90_000)]);
     for _ in 0..25 {
-        bench.free(0);
+        bench.report_free(0);
         bench.advance(20);
     }
     assert!(bench.scheduler.is_linked("s2"), "its link is up");
@@ -292,26 +299,28 @@
     assert!(bench.refused().is_empty());
 }
 
-/// A job that may have run elsewhere is not refused for the backlog: it can't be said that it has not run.
+/// A job that may have run elsewhere is not refused for the backlog, since a refusal promises that it has not
+/// run.
 #[test]
-fn test_contention_does_not_refuse_a_job_that_may_have_run() {
+fn test_contention_no_refusal_resubmitted_job() {
     let mut bench = Bench::full(policy(true));
     bench.announce_on(PEER, 7);
     bench.scheduler.link_down(bench.now, PEER);
     bench.link(OTHER_PEER, "s3", false);
-    bench.tell_on(OTHER_PEER, &[(0, 90_000)]);
+    bench.send_backlog_on(OTHER_PEER, &[(0, 90_000)]);
     bench.submit_to("p2", 7, 2);
     assert!(bench.answers().is_empty());
 }
 
-/// Four tasks' room, of which three are in use: a job of three tasks does not fit, one of a single task does.
+/// Of the capacity for four tasks, three quarters are in use: a job of three tasks does not fit, one of one
+/// task does.
 #[test]
-fn test_contention_goes_on_behind_a_job_that_does_not_fit() {
+fn test_contention_smaller_job_overtakes() {
     for on in [true, false] {
         let mut policy = policy(on);
         policy.admission.wide_share = 1.0;
         let mut bench = Bench::contending(policy);
-        bench.free(1000);
+        bench.report_free(1000);
         bench.submit_to("p1", 7, 3);
         bench.submit_to("p1", 8, 1);
         let expected: &[u64] = if on { &[8] } else { &[] };
@@ -319,39 +328,39 @@
     }
 }
 
-/// Priorities 1 and 2 are not one class: the more urgent goes first, though the other came before.
+/// Priorities 1 and 2 are separate classes: the more urgent job is placed first, though it arrived later.
 #[test]
-fn test_contention_orders_all_priorities() {
+fn test_contention_priority_order() {
     for on in [true, false] {
         let mut bench = Bench::contending(policy(on));
-        bench.free(0);
+        bench.report_free(0);
         bench.submit_to("p2", 7, 2);
         bench.advance(1);
         bench.submit_to("p1", 8, 2);
-        bench.free(2000);
+        bench.report_free(2000);
         let expected = if on { [8] } else { [7] };
         assert_eq!(bench.started(), expected);
     }
 }
 
 #[test]
-fn test_contention_tells_peers_what_waits() {
+fn test_contention_backlog_sent_to_peers() {
     let mut bench = Bench::contending(policy(true));
-    bench.free(0);
+    bench.report_free(0);
     bench.submit_to("p2", 7, 3);
     bench.submit_to("p1", 8, 1);
     bench.actions.clear();
     for _ in 0..10 {
         bench.advance(10);
     }
-    let told = bench.actions.iter().find_map(|action| match action {
+    let backlog = bench.actions.iter().find_map(|action| match action {
         Action::Send(PEER, body) => match &**body {
             Body::Peer(update) => Some(update.backlog.clone()),
             _ => None,
         },
         _ => None,
     });
-    let told = told.expect("a heartbeat");
-    let rows: Vec<(u32, u64)> = told.iter().map(|b| (b.priority, b.cpu_milli)).collect();
+    let backlog = backlog.expect("a heartbeat is sent");
+    let rows: Vec<(u32, u64)> = backlog.iter().map(|b| (b.priority, b.cpu_milli)).collect();
     assert_eq!(rows, [(1, 1000), (2, 3000)]);
 }
