--- a/lib/tests/runner/test_scheduler/balance.rs
+++ b/lib/tests/runner/test_scheduler/balance.rs
@@ -1,8 +1,10 @@
-//! Jobs that wait where callers are many run where they are few.
+//! Tests of load balancing between schedulers: jobs that wait here are handed off to peers at which less
+//! waits, each job once at most. A job whose peer is lost, or that is submitted again, must not run twice.
 
 use super::*;
 
-/// What waits here in the tests below: jobs of four tasks of a core each, of which one has room.
+/// The number of submitted jobs. Each has four tasks of one core, and the executor has free capacity for one
+/// job.
 const JOBS: u64 = 9;
 
 fn policy(on: bool) -> Policy {
@@ -11,8 +13,8 @@
     policy
 }
 
-/// What a peer says at which so much waits, in thousandths of a core.
-fn says(waiting: u64) -> proto::PeerUpdate {
+/// Returns the update of a peer at which this much waits, in thousandths of a core.
+fn load_update(waiting: u64) -> proto::PeerUpdate {
     let row = proto::Backlog {
         cpu_milli: waiting,
         ..proto::Backlog::default()
@@ -24,18 +26,18 @@
     }
 }
 
-/// A scheduler with two peers, whose executor has room for one of the jobs that come.
-fn crowded(on: bool, waiting: [u64; 2]) -> Bench {
+/// Returns a scheduler with two peers, at which all but one of the submitted jobs wait.
+fn overloaded(on: bool, waiting: [u64; 2]) -> Bench {
     let mut bench = settled(on);
-    bench.say(waiting);
+    bench.send_loads(waiting);
     for number in 1..=JOBS {
         bench.submit_estimated(number, number, 4, 100);
     }
-    bench.say(waiting);
+    bench.send_loads(waiting);
     bench
 }
 
-/// The same before any job has come.
+/// Returns the same scheduler before any job is submitted.
 fn settled(on: bool) -> Bench {
     let mut bench = Bench::with_policy(policy(on));
     bench.scheduler.set_catalog(bench.now, catalog(3));
@@ -44,7 +46,7 @@
     bench.link(OTHER_PEER, "s3", false);
     for _ in 0..150 {
         bench.report(Vec::new());
-        bench.say([0, 0]);
+        bench.send_loads([0, 0]);
         bench.advance(20);
     }
     bench.report(Vec::new());
@@ -53,17 +55,18 @@
 }
 
 impl Bench {
-    fn say(&mut self, waiting: [u64; 2]) {
-        self.send_peer_update_on(PEER, says(waiting[0]));
-        self.send_peer_update_on(OTHER_PEER, says(waiting[1]));
+    /// Delivers the updates of both peers, at which this much waits.
+    fn send_loads(&mut self, waiting: [u64; 2]) {
+        self.send_peer_update_on(PEER, load_update(waiting[0]));
+        self.send_peer_update_on(OTHER_PEER, load_update(waiting[1]));
     }
 
-    /// Lets the time pass after which jobs are handed on, without room for them.
-    fn wait_for_turn(&mut self) {
+    /// Advances the clock until waiting jobs are handed off, while there is no free capacity.
+    fn wait_for_handoff(&mut self) {
         self.advance(20);
     }
 
-    /// Jobs handed to a peer.
+    /// Returns the jobs that were handed off to a peer.
     fn handed_to(&self, link: LinkId) -> Vec<proto::HandedJob> {
         let handed = self.actions.iter().filter_map(|a| match a {
             Action::Send(to, body) if *to == link => match &**body {
@@ -75,19 +78,21 @@
         handed.flatten().collect()
     }
 
-    fn handed_on(&self) -> Vec<u64> {
+    /// Returns all jobs that were handed off.
+    fn handed_off(&self) -> Vec<u64> {
         let handed = [self.handed_to(PEER), self.handed_to(OTHER_PEER)].concat();
         handed.iter().map(|h| h.job).collect()
     }
 
-    /// The peer and the number of the first job that was handed on.
+    /// Returns the first job that was handed off, and the link to its peer.
     fn first_handed(&self) -> (LinkId, u64) {
         let of = |link| self.handed_to(link).first().map(|h| (link, h.job));
         of(PEER)
             .or_else(|| of(OTHER_PEER))
-            .expect("one is handed on")
+            .expect("one job is handed off")
     }
 
+    /// Returns the outcomes that were answered to a caller.
     fn outcomes_of(&self, caller: u64) -> Vec<JobOutcome> {
         let answers = self.answers().into_iter();
         let answers = answers.filter(|(c, _)| *c == caller);
@@ -95,14 +100,14 @@
     }
 }
 
-/// Eight jobs wait here and nothing at two peers: a third of them stays.
+/// Eight jobs wait here and none at two peers: a third of them stays.
 #[test]
-fn test_balance_hands_on_what_waits_above_the_mean() {
-    let mut bench = crowded(true, [0, 0]);
-    bench.wait_for_turn();
-    let handed = bench.handed_on();
+fn test_balance_handoff() {
+    let mut bench = overloaded(true, [0, 0]);
+    bench.wait_for_handoff();
+    let handed = bench.handed_off();
     assert_eq!(handed.len(), 5, "{handed:?}");
-    assert!(!handed.contains(&1), "what has begun stays");
+    assert!(!handed.contains(&1), "a job that has begun stays");
     let (link, number) = bench.first_handed();
     let job = bench.handed_to(link).remove(0);
     assert_eq!(job.waited_ms, 20);
@@ -111,25 +116,25 @@
 }
 
 #[test]
-fn test_balance_hands_on_nothing_while_switched_off() {
-    let mut bench = crowded(false, [0, 0]);
-    bench.wait_for_turn();
-    assert_eq!(bench.handed_on(), [0; 0]);
-    let told = bench.actions.iter().any(|a| match a {
+fn test_balance_off() {
+    let mut bench = overloaded(false, [0, 0]);
+    bench.wait_for_handoff();
+    assert_eq!(bench.handed_off(), [0; 0]);
+    let reported = bench.actions.iter().any(|a| match a {
         Action::Send(_, body) => match &**body {
             Body::Peer(update) => !update.backlog.is_empty() || update.busy_percent > 0,
             _ => false,
         },
         _ => false,
     });
-    assert!(!told, "nor does it tell of its load");
+    assert!(!reported, "its load is not reported either");
 }
 
-/// What peers say of their loads changes nothing then: each message and each start is the same.
+/// While balancing is off, the loads of peers change no message and no start.
 #[test]
-fn test_balance_switched_off_decides_as_if_nothing_was_told() {
+fn test_balance_off_same_decisions() {
     let run = |waiting| {
-        let mut bench = crowded(false, waiting);
+        let mut bench = overloaded(false, waiting);
         for _ in 0..20 {
             bench.advance(20);
             bench.report(Vec::new());
@@ -140,73 +145,77 @@
 }
 
 #[test]
-fn test_balance_keeps_jobs_while_as_much_waits_elsewhere() {
-    let mut bench = crowded(true, [32_000, 32_000]);
-    bench.wait_for_turn();
-    assert_eq!(bench.handed_on(), [0; 0]);
+fn test_balance_even_load() {
+    let mut bench = overloaded(true, [32_000, 32_000]);
+    bench.wait_for_handoff();
+    assert_eq!(bench.handed_off(), [0; 0]);
 }
 
 #[test]
-fn test_balance_passes_by_peers_that_are_busy_leave_or_were_not_heard() {
-    let mut bench = crowded(true, [0, 0]);
+fn test_balance_unavailable_peers() {
+    let mut bench = overloaded(true, [0, 0]);
     bench.send_peer_update(proto::PeerUpdate {
         busy_percent: 90,
-        ..says(0)
+        ..load_update(0)
     });
     bench.send_peer_update_on(
         OTHER_PEER,
         proto::PeerUpdate {
             leaving: true,
-            ..says(0)
+            ..load_update(0)
         },
     );
-    bench.wait_for_turn();
-    assert_eq!(bench.handed_on(), [0; 0]);
+    bench.wait_for_handoff();
+    assert_eq!(bench.handed_off(), [0; 0]);
     let mut bench = settled(true);
     bench.advance(250);
     for number in 1..=JOBS {
         bench.submit_estimated(number, number, 4, 300);
     }
-    bench.wait_for_turn();
-    assert_eq!(bench.handed_on(), [0; 0], "they may be cut off");
+    bench.wait_for_handoff();
+    assert_eq!(bench.handed_off(), [0; 0], "the peers may be cut off");
 }
 
-/// One hop only: the receiver waits for room, too, and would hand it on.
+/// A job is handed off once at most: the receiver lacks capacity, too, and would pass it on.
 #[test]
-fn test_balance_hands_on_nothing_that_was_handed_here() {
-    let mut bench = crowded(true, [0, 0]);
-    bench.wait_for_turn();
+fn test_balance_single_handoff() {
+    let mut bench = overloaded(true, [0, 0]);
+    bench.wait_for_handoff();
     let (link, _) = bench.first_handed();
     let handed = bench.handed_to(link);
     let mut receiver = settled(true);
     receiver.submit_estimated(1, 100, 4, 100);
-    receiver.send_peer_update(proto::PeerUpdate { handed, ..says(0) });
-    receiver.say([0, 0]);
-    receiver.wait_for_turn();
-    receiver.wait_for_turn();
-    assert_eq!(receiver.handed_on(), [0; 0]);
+    receiver.send_peer_update(proto::PeerUpdate {
+        handed,
+        ..load_update(0)
+    });
+    receiver.send_loads([0, 0]);
+    receiver.wait_for_handoff();
+    receiver.wait_for_handoff();
+    assert_eq!(receiver.handed_off(), [0; 0]);
 }
 
-/// Its objective counts from when it came to the first scheduler: it is refused as soon as there.
+/// The objective of a job counts from its arrival at the first scheduler: the peer refuses it at the same
+/// time as that scheduler would.
 #[test]
-fn test_balance_counts_the_time_that_a_job_has_waited_elsewhere() {
-    let mut bench = crowded(true, [0, 0]);
-    bench.wait_for_turn();
+fn test_balance_waited_time() {
+    let mut bench = overloaded(true, [0, 0]);
+    bench.wait_for_handoff();
     let (link, number) = bench.first_handed();
-    let fresh = bench.handed_to(link).remove(0);
+    let handed = bench.handed_to(link).remove(0);
     let refused_after = |waited_ms: u32| {
         let mut receiver = settled(true);
         receiver.submit_estimated(1, 100, 4, 100);
         let job = proto::HandedJob {
             waited_ms,
-            ..fresh.clone()
+            ..handed.clone()
         };
         receiver.send_peer_update(proto::PeerUpdate {
             handed: vec![job],
-            ..says(0)
+            ..load_update(0)
         });
         let mut ms = 0;
-        while !receiver.told_refused(number) {
+        while !receiver.has_refused(number) {
             receiver.advance(1);
             ms += 1;
         }
@@ -216,7 +225,8 @@
 }
 
 impl Bench {
-    fn told_refused(&self, number: u64) -> bool {
+    /// Returns whether a peer was told that its job is refused.
+    fn has_refused(&self, number: u64) -> bool {
         self.actions.iter().any(|a| match a {
             Action::Send(_, body) => match &**body {
                 Body::Peer(update) => update.ends.iter().any(|e| {
@@ -231,38 +241,39 @@
 }
 
 #[test]
-fn test_balance_passes_a_refusal_on() {
-    let mut bench = crowded(true, [0, 0]);
-    bench.wait_for_turn();
+fn test_balance_refusal_by_peer() {
+    let mut bench = overloaded(true, [0, 0]);
+    bench.wait_for_handoff();
     let (link, number) = bench.first_handed();
     bench.end_job_on(link, number, JobOutcome::Refused(700));
     assert_eq!(bench.outcomes_of(number), [JobOutcome::Refused(700)]);
 }
 
-/// The peer dies or is cut off: it may have begun the job, so it is claimed before it runs here, and never denied.
+/// A peer that dies or is cut off may have begun the job: it is claimed before it runs here, and never
+/// refused.
 #[test]
-fn test_balance_claims_what_a_lost_peer_was_handed() {
-    let mut bench = crowded(true, [0, 0]);
-    bench.wait_for_turn();
+fn test_balance_lost_peer() {
+    let mut bench = overloaded(true, [0, 0]);
+    bench.wait_for_handoff();
     let (link, number) = bench.first_handed();
     bench.actions.clear();
     bench.scheduler.link_down(bench.now, link);
     bench.collect_actions();
-    assert_eq!(bench.starts(), [], "not before it is claimed");
+    assert_eq!(bench.starts(), [], "it must be claimed first");
     for _ in 0..400 {
         bench.advance(20);
     }
     let outcomes = bench.outcomes_of(number);
-    let denied = outcomes.iter().any(|o| matches!(o, JobOutcome::Refused(_)));
+    let refused = outcomes.iter().any(|o| matches!(o, JobOutcome::Refused(_)));
     assert_eq!(outcomes.len(), 1);
-    assert!(!denied, "{outcomes:?}");
+    assert!(!refused, "{outcomes:?}");
 }
 
-/// A caller that comes again before the peer has announced the job waits for the one there.
+/// A job that is submitted again before the peer has announced it is followed at the peer.
 #[test]
-fn test_balance_does_not_run_here_what_comes_again() {
-    let mut bench = crowded(true, [0, 0]);
-    bench.wait_for_turn();
+fn test_balance_resubmitted_job() {
+    let mut bench = overloaded(true, [0, 0]);
+    bench.wait_for_handoff();
     let (link, number) = bench.first_handed();
     bench.actions.clear();
     bench.report(Vec::new());
@@ -273,11 +284,11 @@
     assert_eq!(bench.outcomes_of(number), [JobOutcome::Completed]);
 }
 
-/// The peer is told, and gives the job up.
+/// When its caller leaves, the peer is told so, and cancels the job.
 #[test]
-fn test_balance_gives_up_what_no_caller_waits_for() {
-    let mut bench = crowded(true, [0, 0]);
-    bench.wait_for_turn();
+fn test_balance_caller_left() {
+    let mut bench = overloaded(true, [0, 0]);
+    bench.wait_for_handoff();
     let (link, number) = bench.first_handed();
     let handed = bench.handed_to(link);
     bench.actions.clear();
@@ -286,21 +297,24 @@
         .scheduler
         .caller_left(bench.now, caller, JobNumber(number));
     bench.collect_actions();
-    let told = bench.actions.iter().any(|a| match a {
+    let unfollowed = bench.actions.iter().any(|a| match a {
         Action::Send(to, body) if *to == link => match &**body {
             Body::Peer(update) => update.unfollow == [number],
             _ => false,
         },
         _ => false,
     });
-    assert!(told);
+    assert!(unfollowed);
     let unfollow = handed.iter().map(|h| h.job).collect();
     let mut receiver = settled(true);
-    receiver.send_peer_update(proto::PeerUpdate { handed, ..says(0) });
+    receiver.send_peer_update(proto::PeerUpdate {
+        handed,
+        ..load_update(0)
+    });
     assert!(!receiver.scheduler.is_idle());
     receiver.send_peer_update(proto::PeerUpdate {
         unfollow,
-        ..says(0)
+        ..load_update(0)
     });
     assert!(receiver.scheduler.is_idle());
 }
--- a/lib/tests/runner/test_scheduler/handoff.rs
+++ b/lib/tests/runner/test_scheduler/handoff.rs
@@ -1,14 +1,16 @@
-//! A scheduler that leaves hands on what would outlast it.
+//! Tests of the handoff of jobs that would outlast a scheduler that is leaving: a peer runs them, and reports
+//! the end to the leaving scheduler. No job runs at two schedulers, and none that may have begun is refused.
 
 use super::*;
 
-/// A scheduler that ends in 500 ms, with a peer that stays in its zone and one elsewhere.
+/// Returns a scheduler that ends in 500 ms, with one peer in its zone and one elsewhere that both accept
+/// jobs.
 fn leaving() -> Bench {
     let mut bench = Bench::ready();
     bench.link_peer(PEER, "s2", "z");
     bench.link_peer(OTHER_PEER, "s3", "elsewhere");
     for link in [PEER, OTHER_PEER] {
-        bench.send_peer_update_on(link, stays());
+        bench.send_peer_update_on(link, accepting_update());
     }
     bench
         .scheduler
@@ -18,7 +20,8 @@
     bench
 }
 
-fn stays() -> proto::PeerUpdate {
+/// Returns the update of a peer that accepts jobs.
+fn accepting_update() -> proto::PeerUpdate {
     proto::PeerUpdate {
         settled: true,
         ..proto::PeerUpdate::default()
@@ -37,6 +40,7 @@
         self.collect_actions();
     }
 
+    /// Returns the jobs that were handed off, and the links on which they were sent.
     fn handed(&self) -> Vec<(LinkId, proto::HandedJob)> {
         let handed = self.actions.iter().filter_map(|a| match a {
             Action::Send(link, body) => match &**body {
@@ -48,47 +52,48 @@
         handed.flatten().collect()
     }
 
-    fn ends_told(&self, link: LinkId) -> Vec<(u64, JobOutcome)> {
-        let told = self.actions.iter().filter_map(|a| match a {
+    /// Returns the outcomes of jobs that were reported to a peer.
+    fn ends_sent(&self, link: LinkId) -> Vec<(u64, JobOutcome)> {
+        let sent = self.actions.iter().filter_map(|a| match a {
             Action::Send(to, body) if *to == link => match &**body {
                 Body::Peer(update) => Some(update.ends.clone()),
                 _ => None,
             },
             _ => None,
         });
-        let told = told.flatten();
-        told.map(|e| (e.job, JobOutcome::from_code(e.outcome)))
+        let sent = sent.flatten();
+        sent.map(|e| (e.job, JobOutcome::from_code(e.outcome)))
             .collect()
     }
 }
 
-/// It was refused, though a peer had room for it.
+/// Guards against a refusal although a peer has the capacity for the job.
 #[test]
-fn test_scheduler_leaving_hands_on_what_would_outlast_it() {
+fn test_handoff_of_long_job() {
     let mut bench = leaving();
     bench.submit_estimated(1, 7, 2, 900);
     let handed = bench.handed();
     assert_eq!(handed.len(), 1);
-    assert_eq!(handed[0].0, PEER, "the one of its own zone");
+    assert_eq!(handed[0].0, PEER, "the peer in its own zone");
     assert_eq!((handed[0].1.job, handed[0].1.steps[0].count), (7, 2));
-    assert_eq!(bench.starts(), [], "it runs there only");
+    assert_eq!(bench.starts(), [], "it runs at the peer only");
     assert_eq!(bench.answers(), []);
-    assert!(!bench.scheduler.is_idle(), "it waits for the answer");
+    assert!(!bench.scheduler.is_idle(), "it waits for the outcome");
     bench.end_job_on(PEER, 7, JobOutcome::Completed);
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
 #[test]
-fn test_scheduler_leaving_runs_what_ends_in_time() {
+fn test_handoff_short_job_kept() {
     let mut bench = leaving();
     bench.submit_estimated(1, 7, 2, 100);
     assert_eq!(bench.handed(), []);
     assert_eq!(bench.starts().len(), 2);
 }
 
-/// Its caller comes again, and finds it at the peer.
+/// The caller submits the job again, and finds it at the peer.
 #[test]
-fn test_scheduler_that_ends_says_nothing_certain_of_what_it_has_handed_on() {
+fn test_handoff_outcome_on_exit() {
     let mut bench = leaving();
     bench.submit_estimated(1, 7, 2, 900);
     bench.scheduler.abandon(bench.now);
@@ -97,14 +102,14 @@
 }
 
 #[test]
-fn test_scheduler_leaving_without_a_peer_that_stays_refuses() {
+fn test_handoff_no_available_peer() {
     let mut bench = leaving();
     bench.send_peer_update_on(PEER, proto::PeerUpdate::default());
     bench.send_peer_update_on(
         OTHER_PEER,
         proto::PeerUpdate {
             leaving: true,
-            ..stays()
+            ..accepting_update()
         },
     );
     bench.submit_estimated(1, 7, 2, 900);
@@ -112,9 +117,9 @@
     assert_matches!(bench.answers()[..], [(1, JobOutcome::Refused(_))]);
 }
 
-/// The peer that has the job is lost: it may have begun it, so it can't be said that it has not run.
+/// A lost peer may have begun the job, and a refusal would promise that it has not run.
 #[test]
-fn test_scheduler_leaving_does_not_deny_what_a_lost_peer_may_have_begun() {
+fn test_handoff_lost_peer() {
     let mut bench = leaving();
     bench.submit_estimated(1, 7, 2, 900);
     bench.scheduler.link_down(bench.now, PEER);
@@ -123,7 +128,7 @@
 }
 
 #[test]
-fn test_scheduler_runs_what_a_peer_hands_on_and_tells_it_the_end() {
+fn test_handoff_receiver() {
     let mut bench = leaving();
     bench.submit_estimated(1, 7, 2, 900);
     let job = bench.handed().remove(0).1;
@@ -137,19 +142,19 @@
     bench.send_peer_update(update.clone());
     assert_eq!(bench.starts(), [(7, 0, 1), (7, 1, 1)]);
     bench.send_peer_update(update.clone());
-    assert_eq!(bench.starts().len(), 2, "handed on twice, it runs once");
+    assert_eq!(bench.starts().len(), 2, "handed off twice, it runs once");
     bench.end_task(task(7, 0), 1, EndKind::Done);
     bench.end_task(task(7, 1), 1, EndKind::Done);
     bench.advance(20);
-    let told = (7, JobOutcome::Completed);
-    assert_eq!(bench.ends_told(PEER), [told, told], "to both that asked");
+    let end = (7, JobOutcome::Completed);
+    assert_eq!(bench.ends_sent(PEER), [end, end], "once for each handoff");
     bench.send_peer_update(update);
-    assert_eq!(bench.starts().len(), 2, "it has ended");
-    assert_eq!(bench.ends_told(PEER).len(), 3);
+    assert_eq!(bench.starts().len(), 2, "the job has ended");
+    assert_eq!(bench.ends_sent(PEER).len(), 3);
 }
 
 #[test]
-fn test_scheduler_refuses_a_handed_job_that_nobody_can_follow() {
+fn test_handoff_invalid_request() {
     let mut bench = Bench::ready();
     bench.link_peer(PEER, "s2", "z");
     let handed = vec![proto::HandedJob {
@@ -161,12 +166,12 @@
         handed,
         ..proto::PeerUpdate::default()
     });
-    assert_matches!(bench.ends_told(PEER)[..], [(9, JobOutcome::Refused(_))]);
+    assert_matches!(bench.ends_sent(PEER)[..], [(9, JobOutcome::Refused(_))]);
 }
 
-/// A third scheduler has the job: handed on, it is not begun a second time.
+/// A third scheduler holds the job: the receiver of the handoff does not start it a second time.
 #[test]
-fn test_scheduler_does_not_run_a_handed_job_that_another_peer_has() {
+fn test_handoff_job_of_third_scheduler() {
     let mut bench = Bench::ready();
     bench.link_peer(PEER, "s2", "z");
     bench.link_peer(OTHER_PEER, "s3", "z");
@@ -180,5 +185,5 @@
         ..proto::PeerUpdate::default()
     });
     assert_eq!(bench.starts(), []);
-    assert_eq!(bench.ends_told(PEER), [(7, JobOutcome::Unknown)]);
+    assert_eq!(bench.ends_sent(PEER), [(7, JobOutcome::Unknown)]);
 }
--- a/lib/tests/runner/test_scheduler/links.rs
+++ b/lib/tests/runner/test_scheduler/links.rs
@@ -1,10 +1,12 @@
-//! Links to peers that break, are doubled, or belong to another life: no caller is left waiting.
+//! Tests of links to peers that break, are duplicated, or belong to another incarnation: what may have been
+//! lost with a link is sent again, and no caller is left waiting.
 
 use super::*;
 
 const SECOND: LinkId = LinkId(12);
 
-/// A scheduler with a caller for job 7 of a peer, which is linked twice; `SECOND` is used.
+/// Returns a scheduler with two links to a peer, of which `SECOND` is in use, and a caller that waits for job
+/// 7 of that peer.
 fn following_over_two_links() -> Bench {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
@@ -19,7 +21,7 @@
 }
 
 impl Bench {
-    /// The jobs that a peer was told to cancel.
+    /// Returns the jobs that a peer was asked to cancel.
     fn cancels(&self, link: LinkId) -> Vec<u64> {
         let sent = self.actions.iter().filter_map(|a| match a {
             Action::Send(to, body) if *to == link => match &**body {
@@ -31,7 +33,7 @@
         sent.flatten().collect()
     }
 
-    /// The jobs that a peer was asked to tell the end of.
+    /// Returns the jobs whose ends a peer was asked to report.
     fn follows(&self, link: LinkId) -> Vec<u64> {
         let sent = self.actions.iter().filter_map(|a| match a {
             Action::Send(to, body) if *to == link => match &**body {
@@ -44,10 +46,10 @@
     }
 }
 
-/// Guards against a caller that waits until its deadline, since the peer that had its job was started again
-/// and linked before its earlier link was seen to be down.
+/// Guards against a caller that waits until its deadline because the peer that held its job was restarted and
+/// linked again before the loss of the earlier link was noticed.
 #[test]
-fn test_scheduler_takes_over_what_it_followed_at_an_earlier_life_of_a_peer() {
+fn test_link_restarted_peer() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.announce_on(PEER, 7);
@@ -62,7 +64,7 @@
         .iter()
         .flat_map(|o| o.claims.clone())
         .collect();
-    assert_eq!(claims, [7], "it is claimed, to be run here");
+    assert_eq!(claims, [7], "it is claimed, to run here");
     assert!(
         bench
             .actions
@@ -71,10 +73,10 @@
     );
 }
 
-/// Guards against a caller that waits until its deadline, since the link on which a peer was asked for the end
-/// of its job broke while another one was up.
+/// Guards against a caller that waits until its deadline because the link on which the peer was asked to
+/// report the end of its job broke while another one was up.
 #[test]
-fn test_scheduler_asks_again_for_jobs_it_follows_when_the_used_link_breaks() {
+fn test_link_follows_repeated_used_link_lost() {
     let mut bench = following_over_two_links();
     bench.scheduler.link_down(bench.now, SECOND);
     bench.advance(20);
@@ -83,27 +85,28 @@
     assert_eq!(bench.answers(), [(1, JobOutcome::Completed)]);
 }
 
-/// The peer may have told the end on a link that is not the one used here.
+/// The peer may have reported the end on the link that is not in use here.
 #[test]
-fn test_scheduler_asks_again_for_jobs_it_follows_when_a_spare_link_breaks() {
+fn test_link_follows_repeated_spare_link_lost() {
     let mut bench = following_over_two_links();
     bench.scheduler.link_down(bench.now, PEER);
     bench.advance(20);
     assert_eq!(bench.follows(SECOND), [7]);
 }
 
-/// Guards against a handed job that nobody runs, since the link on which it went broke while another one was up.
+/// Guards against a job that no scheduler runs because the link on which it was handed off broke while
+/// another one was up.
 #[test]
-fn test_scheduler_runs_a_handed_job_that_a_broken_link_has_lost() {
+fn test_link_handoff_lost() {
     let mut bench = Bench::ready();
     for link in [PEER, SECOND] {
         bench.link(link, "s2", false);
     }
-    let stays = proto::PeerUpdate {
+    let accepting = proto::PeerUpdate {
         settled: true,
         ..proto::PeerUpdate::default()
     };
-    bench.send_peer_update_on(SECOND, stays);
+    bench.send_peer_update_on(SECOND, accepting);
     let until = bench.now + Duration::from_millis(500);
     bench.scheduler.leave(bench.now, until);
     bench.submit_estimated(1, 7, 2, 900);
@@ -118,9 +121,9 @@
     );
 }
 
-/// The jobs that are at work here are told again over the link that is left.
+/// The jobs that are held here are announced again on the link that is left.
 #[test]
-fn test_scheduler_names_its_jobs_again_when_the_used_link_breaks() {
+fn test_link_jobs_announced_again() {
     let mut bench = Bench::ready();
     bench.link(PEER, "s2", false);
     bench.link(SECOND, "s2", false);
@@ -129,21 +132,21 @@
     bench.actions.clear();
     bench.scheduler.link_down(bench.now, SECOND);
     bench.advance(200);
-    let named = bench.actions.iter().filter_map(|a| match a {
+    let announced = bench.actions.iter().filter_map(|a| match a {
         Action::Send(PEER, body) => match &**body {
             Body::Peer(update) => Some(update.jobs.clone()),
             _ => None,
         },
         _ => None,
     });
-    let named: Vec<u64> = named.flatten().collect();
-    assert_eq!(named, [9]);
+    let announced: Vec<u64> = announced.flatten().collect();
+    assert_eq!(announced, [9]);
 }
 
-/// Guards against a job that runs on though its cancel was acknowledged, since the link on which it was passed
-/// on broke.
+/// Guards against a job that runs on although its cancel was acknowledged, because the link on which the
+/// cancel was passed on broke.
 #[test]
-fn test_scheduler_passes_a_cancel_on_again_when_a_link_has_broken() {
+fn test_link_cancel_repeated() {
     let mut bench = following_over_two_links();
     assert!(bench.scheduler.cancel(bench.now, JobNumber(7)));
     bench.advance(20);
@@ -158,5 +161,5 @@
     bench.advance(3_000);
     bench.link(PEER, "s2", false);
     bench.advance(20);
-    assert_eq!(bench.cancels(PEER), [7], "long known by then");
+    assert_eq!(bench.cancels(PEER), [7], "the cancel is no longer repeated");
 }
