--- a/lib/tests/runner/test_scheduler/bulkheads.rs
+++ b/lib/tests/runner/test_scheduler/bulkheads.rs
@@ -1,12 +1,14 @@
-//! Queues under which workers crash are confined to a part of the workers.
+//! Tests of bulkheads: a queue under which workers crash is confined to a part of the workers, and other
+//! queues to the rest, until the crashes end.
 
 use super::*;
 
-/// A scheduler with ten executors in reach, and queues `q` and `r`.
+/// A scheduler with a peer, ten linked executors, and the queues `q` and `r`.
 struct Fleet {
     bench: Bench,
 }
 
+/// The link to the first executor.
 const FIRST: u64 = 10;
 
 impl Fleet {
@@ -25,14 +27,15 @@
         bench.link(PEER, "s2", false);
         let mut fleet = Fleet { bench };
         for _ in 0..100 {
-            fleet.live(20);
+            fleet.advance_heard(20);
         }
-        fleet.live(0);
+        fleet.advance_heard(0);
         fleet.bench.actions.clear();
         fleet
     }
 
-    fn live(&mut self, ms: u64) {
+    /// Lets all executors and the peer be heard, then advances the clock.
+    fn advance_heard(&mut self, ms: u64) {
         for n in 0..10 {
             let update = proto::Update {
                 profile: Some(profile(Vec::new())),
@@ -67,6 +70,7 @@
         self.bench.collect_actions();
     }
 
+    /// Delivers a share of the blame for a crash that a peer has attributed to a queue, in thousandths.
     fn blame(&mut self, queue: &str, blame: u32) {
         let blames = vec![proto::QueueBlame {
             queue: queue.to_owned(),
@@ -78,9 +82,9 @@
         });
     }
 
-    /// A job of `q` is placed, and its worker crashes under it alone; what callers are told.
+    /// Submits a job of `q` and has its worker crash under it alone. Returns the answers to callers.
     fn crash(&mut self, job: u64, number: u64) -> Vec<(u64, JobOutcome)> {
-        self.live(0);
+        self.advance_heard(0);
         self.bench.actions.clear();
         self.submit(job, "q");
         let sent = self.bench.actions.iter().find_map(|a| match a {
@@ -109,17 +113,17 @@
         };
         self.bench.actions.clear();
         self.bench
-            .send_update_on(sent.expect("it was placed"), update);
+            .send_update_on(sent.expect("the job was placed"), update);
         self.bench.answers()
     }
 
-    /// The executors at which forty jobs of a queue are placed.
-    fn places(&mut self, from: u64, queue: &str) -> std::collections::BTreeSet<u64> {
-        self.live(0);
+    /// Submits forty jobs of a queue, and returns the links to the executors at which they are placed.
+    fn placements(&mut self, from: u64, queue: &str) -> std::collections::BTreeSet<u64> {
+        self.advance_heard(0);
         self.bench.actions.clear();
         for number in from..from + 40 {
             self.submit(number, queue);
-            self.live(0);
+            self.advance_heard(0);
         }
         let sent = self.bench.actions.iter().filter_map(|a| match a {
             Action::Send(link, body) => match &**body {
@@ -133,69 +137,70 @@
 }
 
 #[test]
-fn test_scheduler_confines_a_queue_under_which_workers_crash() {
+fn test_bulkhead_confined_queue() {
     let mut fleet = Fleet::new();
-    fleet.places(100, "q");
-    fleet.places(200, "r");
+    fleet.placements(100, "q");
+    fleet.placements(200, "r");
     fleet.blame("q", 900);
     fleet.blame("q", 900);
     assert!(
-        fleet.places(300, "q").len() > 3,
-        "fewer than two prove nothing"
+        fleet.placements(300, "q").len() > 3,
+        "two crashes are not enough"
     );
     fleet.blame("q", 900);
-    let inside = fleet.places(400, "q");
+    let inside = fleet.placements(400, "q");
     assert!(inside.len() <= 3, "{inside:?}");
-    let outside = fleet.places(500, "r");
+    let outside = fleet.placements(500, "r");
     assert!(outside.is_disjoint(&inside), "{inside:?} and {outside:?}");
     for _ in 0..160 {
-        fleet.live(20);
+        fleet.advance_heard(20);
     }
     assert!(
-        fleet.places(600, "q").len() > 3,
-        "there were no more crashes"
+        fleet.placements(600, "q").len() > 3,
+        "there were no further crashes"
     );
 }
 
-/// A second crash would keep another worker of the few from the jobs of the queue that take none down.
+/// A second crash of the same job would take another of the few workers away from the harmless jobs of the
+/// queue.
 #[test]
-fn test_scheduler_gives_up_after_one_crash_what_alone_was_there_of_a_confined_queue() {
+fn test_bulkhead_job_given_up_after_crash() {
     let mut fleet = Fleet::new();
-    fleet.places(100, "q");
-    fleet.places(200, "r");
-    assert_eq!(fleet.crash(900, 1), [], "one crash proves nothing");
+    fleet.placements(100, "q");
+    fleet.placements(200, "r");
+    assert_eq!(fleet.crash(900, 1), [], "its queue is not confined");
     fleet.blame("q", 600);
     fleet.blame("q", 600);
     assert_eq!(fleet.crash(901, 2), [(901, JobOutcome::GivenUp)]);
 }
 
-/// Workers that crash by themselves take what runs there, by how much of each queue does.
+/// If workers crash for reasons of their own, queues are blamed in proportion to their runs.
 #[test]
-fn test_scheduler_confines_no_queue_for_crashes_that_fall_to_all() {
+fn test_bulkhead_proportional_blame() {
     let mut fleet = Fleet::new();
-    fleet.places(100, "q");
-    fleet.places(200, "r");
+    fleet.placements(100, "q");
+    fleet.placements(200, "r");
     for _ in 0..6 {
         fleet.blame("q", 550);
         fleet.blame("r", 450);
     }
-    assert!(fleet.places(300, "q").len() > 3);
-    assert!(fleet.places(400, "r").len() > 3);
+    assert!(fleet.placements(300, "q").len() > 3);
+    assert!(fleet.placements(400, "r").len() > 3);
 }
 
 #[test]
-fn test_scheduler_confines_nothing_where_there_is_one_queue_only() {
+fn test_bulkhead_single_queue() {
     let mut fleet = Fleet::new();
-    fleet.places(100, "q");
+    fleet.placements(100, "q");
     for _ in 0..6 {
         fleet.blame("q", 1000);
     }
-    assert!(fleet.places(200, "q").len() > 3);
+    assert!(fleet.placements(200, "q").len() > 3);
 }
 
-/// One that starts meanwhile does not have to learn it anew from crashes.
+/// A scheduler that starts later learns of confined queues from its peers, without further crashes.
 #[test]
-fn test_scheduler_hears_of_confined_queues_on_a_new_link() {
+fn test_bulkhead_confined_queues_exchanged() {
     let mut fleet = Fleet::new();
     let confined = vec![proto::ConfinedQueue {
         queue: "q".to_owned(),
@@ -205,13 +210,13 @@
         confined,
         ..proto::PeerUpdate::default()
     });
-    assert!(fleet.places(100, "q").len() <= 3);
+    assert!(fleet.placements(100, "q").len() <= 3);
     fleet.bench.link(OTHER_PEER, "s3", false);
-    let told = fleet.bench.actions.iter().any(|a| match a {
+    let sent = fleet.bench.actions.iter().any(|a| match a {
         Action::Send(OTHER_PEER, body) => {
             matches!(&**body, Body::Peer(update) if !update.confined.is_empty())
         }
         _ => false,
     });
-    assert!(told);
+    assert!(sent);
 }
--- a/lib/tests/runner/test_scheduler/cells.rs
+++ b/lib/tests/runner/test_scheduler/cells.rs
@@ -22,7 +22,7 @@
         bench.scheduler.set_catalog(bench.now, catalog(3));
         bench.link(EXECUTOR, "e1", true);
         bench.link(OTHER_EXECUTOR, "e2", true);
-        // With a second scheduler, one of two executors is enough for a cell.
+        // This peer takes no part in the tests: beside a second scheduler, one of two executors is a cell.
         bench.link(THIRD_PEER, "s3", false);
         let mut cells = Cells {
             bench,
--- a/lib/tests/runner/test_scheduler/crashes.rs
+++ b/lib/tests/runner/test_scheduler/crashes.rs
@@ -1,4 +1,5 @@
-//! Tasks under which workers crash.
+//! Tests of tasks under which workers crash: crash records are passed on with retries, suspects are kept
+//! apart, and a task that crashes workers ends its job.
 
 use stackcourse_lib::dispatch::model::EndKind;
 use stackcourse_lib::dispatch::model::JobOutcome;
@@ -16,7 +17,7 @@
 
 const OTHERS: [LinkId; 3] = [LinkId(21), LinkId(22), LinkId(23)];
 
-/// Four executors with room for four tasks each.
+/// Returns a scheduler with four executors that have free capacity for four tasks each.
 fn fleet() -> Bench {
     let mut bench = Bench::ready();
     for link in OTHERS {
@@ -32,21 +33,21 @@
 }
 
 impl Bench {
-    /// The link on which a task was last sent.
-    fn sent_on(&self, name: TaskName) -> LinkId {
+    /// Returns the link on which a task was last sent.
+    fn last_link(&self, name: TaskName) -> LinkId {
         let sent = self.actions.iter().rev().find_map(|a| match a {
             Action::Send(link, body) => match &**body {
-                proto::frame::Body::Orders(o) if holds(o, name) => Some(*link),
+                proto::frame::Body::Orders(o) if starts_task(o, name) => Some(*link),
                 _ => None,
             },
             _ => None,
         });
-        sent.expect("it was sent")
+        sent.expect("the task was sent")
     }
 
-    /// The workers crash at which tasks run; each is reported with what is known of it.
+    /// Delivers the report that a worker crashed under these attempts of tasks, with their crash records.
     fn crash(&mut self, number: u64, ends: &[(TaskName, u32, proto::CrashRecord)]) {
-        let link = self.sent_on(ends[0].0);
+        let link = self.last_link(ends[0].0);
         let end = |(name, attempt, record): &(TaskName, u32, proto::CrashRecord)| proto::TaskEnd {
             number,
             task: Some(name.proto(*attempt)),
@@ -63,12 +64,14 @@
     }
 }
 
-fn holds(orders: &proto::Orders, name: TaskName) -> bool {
+/// Returns whether orders start a task.
+fn starts_task(orders: &proto::Orders, name: TaskName) -> bool {
     let of_job = orders.starts.iter().filter(|s| s.job == name.job.0);
     let mut tasks = of_job.flat_map(|s| s.tasks.iter());
     tasks.any(|t| t.index == name.index)
 }
 
+/// Returns the record of a suspect after this many crashes.
 fn suspect(count: u32) -> proto::CrashRecord {
     proto::CrashRecord {
         count,
@@ -78,6 +81,7 @@
     }
 }
 
+/// The record of a task that is proven to crash workers.
 const PROVEN: proto::CrashRecord = proto::CrashRecord {
     count: 2,
     suspect: true,
@@ -86,12 +90,12 @@
 };
 
 #[test]
-fn test_scheduler_sends_on_what_is_known_of_a_task() {
+fn test_crash_record_sent_with_retry() {
     let mut bench = fleet();
     bench.submit(1, 7, 1);
-    let first = bench.sent_on(task(7, 0));
+    let first = bench.last_link(task(7, 0));
     bench.crash(1, &[(task(7, 0), 1, suspect(1))]);
-    assert_ne!(bench.sent_on(task(7, 0)), first);
+    assert_ne!(bench.last_link(task(7, 0)), first);
     let orders = bench.orders();
     let started = orders.iter().flat_map(|o| o.starts.iter());
     let last = started.flat_map(|s| s.tasks.iter()).next_back();
@@ -100,22 +104,22 @@
 }
 
 #[test]
-fn test_scheduler_fails_a_job_whose_task_is_the_cause_of_crashes() {
+fn test_crash_proven_cause() {
     let mut bench = fleet();
     bench.submit(1, 7, 1);
     bench.crash(1, &[(task(7, 0), 1, suspect(1))]);
     bench.crash(1, &[(task(7, 0), 2, PROVEN)]);
     assert_eq!(bench.answers(), [(1, JobOutcome::Failed)]);
     assert_eq!(bench.starts().len(), 2);
-    let told = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::TaskCrashes);
-    assert!(bench.actions.iter().any(told));
+    let logged = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::TaskCrashes);
+    assert!(bench.actions.iter().any(logged));
     bench.submit(2, 7, 1);
     assert_eq!(bench.answers().last(), Some(&(2, JobOutcome::Failed)));
-    assert_eq!(bench.starts().len(), 2, "its end is remembered");
+    assert_eq!(bench.starts().len(), 2, "its outcome is remembered");
 }
 
 #[test]
-fn test_scheduler_gives_a_task_up_after_three_crashes_whatever_they_prove() {
+fn test_crash_max_count() {
     let mut bench = fleet();
     bench.submit(1, 7, 1);
     for count in 1..=3 {
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn test_scheduler_sends_suspects_of_one_crash_to_different_workers() {
+fn test_crash_suspects_separated() {
     let mut bench = fleet();
     bench.submit(1, 7, 2);
     bench.submit(2, 8, 1);
@@ -134,19 +138,19 @@
     for end in ends {
         bench.crash(u64::from(end.0.index) + 1, &[end]);
     }
-    let places = [task(7, 0), task(7, 1)].map(|name| bench.sent_on(name));
-    assert_ne!(places[0], places[1]);
+    let links = [task(7, 0), task(7, 1)].map(|name| bench.last_link(name));
+    assert_ne!(links[0], links[1]);
 }
 
-/// Another scheduler has had the job, learned of the crashes, and is lost.
+/// The scheduler that ran the job before knew of the crashes, and was lost.
 #[test]
-fn test_scheduler_learns_from_a_claim_that_a_task_is_the_cause() {
+fn test_crash_record_from_claim() {
     let mut bench = fleet();
     bench.link(PEER, "s2", false);
     bench.scheduler.link_down(bench.now, PEER);
     bench.collect_actions();
     bench.submit(1, 7, 1);
-    assert_eq!(bench.starts(), [], "it is claimed first");
+    assert_eq!(bench.starts(), [], "it must be claimed first");
     let update = proto::Update {
         claimed: vec![7],
         crashed: vec![proto::CrashedTask {
@@ -161,7 +165,7 @@
 }
 
 #[test]
-fn test_scheduler_bears_records_of_tasks_that_it_does_not_have() {
+fn test_crash_record_of_unknown_task() {
     let mut bench = fleet();
     let crashed = |task| proto::CrashedTask {
         task,
--- a/lib/tests/runner/test_scheduler/evacuations.rs
+++ b/lib/tests/runner/test_scheduler/evacuations.rs
@@ -1,4 +1,5 @@
-//! Evacuated zones: nothing is placed there, others are told, and what can't be served is refused at once.
+//! Tests of evacuated availability zones: nothing is placed there, peers and executors are informed, and jobs
+//! that no other zone can run are refused at once.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 use super::*;
 
 impl Bench {
-    /// Two executors in zones of their own, each with room for four tasks.
+    /// Returns a scheduler with two executors in different zones, each with free capacity for four tasks.
     fn in_two_zones() -> Bench {
         let mut bench = Bench::new();
         bench.link_in(EXECUTOR, "e1", "a");
@@ -21,6 +22,7 @@
         bench
     }
 
+    /// Links an executor in a zone.
     fn link_in(&mut self, link: LinkId, name: &str, zone: &str) {
         let greeting = proto::Greeting {
             executor: true,
@@ -43,22 +45,25 @@
         }
     }
 
-    fn word(&mut self, zone: &str, revision: u64, evacuated: bool) {
-        let word = ZoneRecord {
+    /// Applies the store's record of a zone.
+    fn set_evacuation(&mut self, zone: &str, revision: u64, evacuated: bool) {
+        let record = ZoneRecord {
             revision,
             evacuated,
         };
-        self.scheduler.set_evacuation(self.now, zone, word);
+        self.scheduler.set_evacuation(self.now, zone, record);
         self.collect_actions();
     }
 
-    fn list(&mut self, zones: &[(&str, u64)], at: u64) {
+    /// Applies the store's list of evacuated zones, read at revision `at`.
+    fn set_evacuations(&mut self, zones: &[(&str, u64)], at: u64) {
         let zones: BTreeMap<String, u64> =
             zones.iter().map(|(z, r)| ((*z).to_owned(), *r)).collect();
         self.scheduler.set_evacuations(self.now, &zones, at);
         self.collect_actions();
     }
 
+    /// Returns the orders that were sent on a link.
     fn orders_on(&self, link: LinkId) -> Vec<proto::Orders> {
         let orders = self.actions.iter().filter_map(|a| match a {
             Action::Send(to, body) if *to == link => match &**body {
@@ -70,31 +75,33 @@
         orders.collect()
     }
 
+    /// Returns how many tasks were placed at an executor.
     fn placed_at(&self, link: LinkId) -> usize {
         let orders = self.orders_on(link);
         let starts = orders.iter().flat_map(|o| o.starts.iter());
         starts.map(|s| s.tasks.len()).sum()
     }
 
+    /// Returns the zone records that were sent to a peer.
     fn peer_zones(&self, link: LinkId) -> Vec<proto::ZoneState> {
-        let told = self.actions.iter().filter_map(|a| match a {
+        let sent = self.actions.iter().filter_map(|a| match a {
             Action::Send(to, body) if *to == link => match &**body {
                 Body::Peer(update) => Some(update.zones.clone()),
                 _ => None,
             },
             _ => None,
         });
-        told.flatten().collect()
+        sent.flatten().collect()
     }
 }
 
 #[test]
-fn test_scheduler_places_nothing_in_an_evacuated_zone() {
+fn test_evacuation_placement() {
     let mut bench = Bench::in_two_zones();
-    bench.word("a", 7, true);
-    let told = bench.orders_on(EXECUTOR).into_iter().filter_map(|o| o.zone);
-    let told: Vec<proto::ZoneState> = told.collect();
-    assert_eq!(told.len(), 1, "its executors hear of it at once");
+    bench.set_evacuation("a", 7, true);
+    let zones = bench.orders_on(EXECUTOR).into_iter().filter_map(|o| o.zone);
+    let zones: Vec<proto::ZoneState> = zones.collect();
+    assert_eq!(zones.len(), 1, "its executors are informed at once");
     assert!(
         bench
             .orders_on(OTHER_EXECUTOR)
@@ -104,33 +111,38 @@
     bench.submit(1, 5, 4);
     assert_eq!(bench.placed_at(EXECUTOR), 0);
     assert_eq!(bench.placed_at(OTHER_EXECUTOR), 4);
-    bench.word("a", 9, false);
+    bench.set_evacuation("a", 9, false);
     bench.actions.clear();
     bench.submit(2, 6, 4);
-    assert_eq!(bench.placed_at(EXECUTOR), 4, "it is taken back");
+    assert_eq!(bench.placed_at(EXECUTOR), 4, "the evacuation is over");
 }
 
-/// A read of the store after its history was lost tells of what is over only by not listing it.
+/// After the store has lost its history, the end of an evacuation only shows in that the zone is no longer
+/// listed.
 #[test]
-fn test_scheduler_evacuation_is_over_once_the_store_does_not_list_it() {
+fn test_evacuation_removed_from_list() {
     let mut bench = Bench::in_two_zones();
-    bench.list(&[("a", 7), ("nobody-knows", 8)], 8);
+    bench.set_evacuations(&[("a", 7), ("nobody-knows", 8)], 8);
     bench.submit(1, 5, 4);
     assert_eq!(bench.placed_at(EXECUTOR), 0);
-    bench.list(&[], 6);
-    assert_eq!(bench.scheduler.evacuated().count(), 2, "an older reading");
-    bench.list(&[("nobody-knows", 8)], 12);
+    bench.set_evacuations(&[], 6);
+    assert_eq!(
+        bench.scheduler.evacuated().count(),
+        2,
+        "an older list is ignored"
+    );
+    bench.set_evacuations(&[("nobody-knows", 8)], 12);
     assert_eq!(
         bench.scheduler.evacuated().collect::<Vec<_>>(),
         ["nobody-knows"]
     );
-    bench.word("a", 7, true);
+    bench.set_evacuation("a", 7, true);
     bench.submit(2, 6, 4);
     assert_eq!(bench.placed_at(EXECUTOR), 4);
 }
 
 #[test]
-fn test_scheduler_hears_of_evacuations_from_peers_and_executors() {
+fn test_evacuation_from_peers_and_executors() {
     let mut bench = Bench::in_two_zones();
     bench.link(PEER, "s2", false);
     bench.send_peer_update(proto::PeerUpdate {
@@ -142,8 +154,8 @@
         ..proto::PeerUpdate::default()
     });
     assert_eq!(bench.scheduler.evacuated().collect::<Vec<_>>(), ["a"]);
-    let told = bench.orders_on(EXECUTOR).into_iter().filter_map(|o| o.zone);
-    assert_eq!(told.count(), 1);
+    let zones = bench.orders_on(EXECUTOR).into_iter().filter_map(|o| o.zone);
+    assert_eq!(zones.count(), 1);
     bench.send_update_on(
         OTHER_EXECUTOR,
         proto::Update {
@@ -161,11 +173,11 @@
     assert!(zones.collect::<Vec<_>>().contains(&"b".to_owned()));
 }
 
-/// A peer that has just linked may have started meanwhile, while the store does not serve it.
+/// A peer or executor that has just linked may have started while it can't read the store.
 #[test]
-fn test_scheduler_tells_a_new_peer_and_a_new_executor_with_the_first_message() {
+fn test_evacuation_sent_on_new_links() {
     let mut bench = Bench::in_two_zones();
-    bench.word("c", 7, true);
+    bench.set_evacuation("c", 7, true);
     bench.actions.clear();
     bench.link(PEER, "s2", false);
     assert_eq!(bench.peer_zones(PEER).len(), 1);
@@ -175,25 +187,30 @@
 }
 
 #[test]
-fn test_scheduler_refuses_at_once_what_no_zone_is_left_for() {
+fn test_evacuation_of_all_zones() {
     let mut bench = Bench::in_two_zones();
     bench.submit(1, 5, 4);
     bench.submit(2, 6, 4);
     bench.submit(3, 7, 4);
-    assert_eq!(bench.answers(), [], "the third one waits");
-    bench.word("a", 7, true);
-    bench.word("b", 8, true);
+    assert_eq!(bench.answers(), [], "the third job waits");
+    bench.set_evacuation("a", 7, true);
+    bench.set_evacuation("b", 8, true);
     assert_matches!(bench.answers()[..], [(3, JobOutcome::Refused(_))]);
     bench.submit(4, 8, 1);
     assert_matches!(bench.answers()[1..], [(4, JobOutcome::Refused(_))]);
-    bench.word("b", 9, false);
+    bench.set_evacuation("b", 9, false);
     bench.end_task(task(6, 0), 1, EndKind::Done);
-    assert_eq!(bench.answers().len(), 2, "what runs there ends where it is");
+    assert_eq!(
+        bench.answers().len(),
+        2,
+        "running tasks end at their worker"
+    );
 }
 
-/// A job that takes more than a part of the workers is placed piece by piece; those that take nothing are not counted.
+/// A job that needs a large share of all capacity is placed in parts. Executors in evacuated zones don't
+/// count as capacity.
 #[test]
-fn test_scheduler_judges_a_wide_job_by_the_room_that_is_left() {
+fn test_evacuation_wide_job() {
     let mut policy = Policy::default();
     policy.admission.wide_share = 0.8;
     let mut bench = Bench::with_policy(policy);
@@ -204,7 +221,11 @@
         bench.both_report();
         bench.advance(20);
     }
-    bench.word("a", 7, true);
+    bench.set_evacuation("a", 7, true);
     bench.submit(1, 5, 8);
-    assert_eq!(bench.placed_at(OTHER_EXECUTOR), 4, "half of it, at once");
+    assert_eq!(
+        bench.placed_at(OTHER_EXECUTOR),
+        4,
+        "half of it is placed at once"
+    );
 }
