--- a/lib/tests/runner/test_scheduler/call_ids.rs
+++ b/lib/tests/runner/test_scheduler/call_ids.rs
@@ -1,4 +1,5 @@
-//! The id of a caller's call stands in the logs where the job came in.
+//! Tests of call ids: the log lines at which a job is accepted, joined or refused contain the id of the
+//! caller's call.
 
 use std::rc::Rc;
 
@@ -13,6 +14,7 @@
 use super::Bench;
 use super::task;
 
+/// Submits job 9 with the id of a call.
 fn submit(bench: &mut Bench, caller: u64, queue: &str, call: &str) {
     let request = JobRequest {
         number: JobNumber(9),
@@ -30,8 +32,8 @@
     bench.collect_actions();
 }
 
-/// The kinds of the log lines that name a call.
-fn lines(bench: &Bench, call: &str) -> Vec<Kind> {
+/// Returns the kinds of the log lines that contain the id of a call.
+fn log_kinds(bench: &Bench, call: &str) -> Vec<Kind> {
     let name = format!("request {call}");
     let logged = bench.actions.iter().filter_map(|a| match a {
         Action::Log(event) if event.detail.contains(&name) => Some(event.kind),
@@ -41,20 +43,20 @@
 }
 
 #[test]
-fn test_scheduler_logs_the_call_of_a_job_that_is_taken_joined_or_answered() {
+fn test_call_id_accepted_and_joined_jobs() {
     let mut bench = Bench::ready();
     submit(&mut bench, 1, "q", "first");
     submit(&mut bench, 2, "q", "second");
     bench.end_task(task(9, 0), 1, EndKind::Done);
     submit(&mut bench, 3, "q", "third");
-    assert_eq!(lines(&bench, "first"), [Kind::JobTaken]);
-    assert_eq!(lines(&bench, "second"), [Kind::JobJoined]);
-    assert_eq!(lines(&bench, "third"), [Kind::JobJoined]);
+    assert_eq!(log_kinds(&bench, "first"), [Kind::JobTaken]);
+    assert_eq!(log_kinds(&bench, "second"), [Kind::JobJoined]);
+    assert_eq!(log_kinds(&bench, "third"), [Kind::JobJoined]);
 }
 
 #[test]
-fn test_scheduler_logs_the_call_of_a_job_that_is_refused_at_once() {
+fn test_call_id_refused_job() {
     let mut bench = Bench::ready();
     submit(&mut bench, 1, "elsewhere", "lost");
-    assert_eq!(lines(&bench, "lost"), [Kind::JobRefused]);
+    assert_eq!(log_kinds(&bench, "lost"), [Kind::JobRefused]);
 }
--- a/lib/tests/runner/test_scheduler/preemption.rs
+++ b/lib/tests/runner/test_scheduler/preemption.rs
@@ -1,4 +1,5 @@
-//! Urgent jobs on a full fleet, with executors that may stop runs for them.
+//! Tests of preemption: urgent jobs find no free capacity, and their tasks are placed at executors that may
+//! stop runs for them. Runs are stopped as late as possible, and only if the whole job gains from it.
 
 use std::time::Duration;
 
@@ -17,13 +18,13 @@
 use super::profile;
 use super::task;
 
-/// The estimate of the jobs here, in milliseconds: it leaves time enough for a stop.
+/// The estimate of the jobs here, in milliseconds. It leaves enough time to stop a run.
 const ESTIMATE_MS: u32 = 100;
-/// How long after its arrival such a job can begin and end in time: 0.6 of its work, and 60 ms less the way to the
-/// caller and back.
+/// The time after its arrival within which such a job must start to end in time, in milliseconds: 0.6 of its
+/// work, and 60 ms less the travel time to the caller and back.
 const LATEST_MS: u64 = 108;
 
-/// A scheduler with two executors without room; at the second more may be cleared.
+/// Returns a scheduler with two executors without free capacity, of which the second can preempt more.
 fn full(on: bool, priority: u32) -> Bench {
     let mut policy = Policy::default();
     policy.preemption.on = on;
@@ -41,16 +42,18 @@
     bench.link(EXECUTOR, "e1", true);
     bench.link(OTHER_EXECUTOR, "e2", true);
     for _ in 0..150 {
-        bench.rooms(0, [1000, 2500]);
+        bench.report_capacity(0, [1000, 2500]);
         bench.advance(20);
     }
-    bench.rooms(0, [1000, 2500]);
+    bench.report_capacity(0, [1000, 2500]);
     bench.actions.clear();
     bench
 }
 
 impl Bench {
-    fn rooms(&mut self, free: i64, preemptible: [u32; 2]) {
+    /// Delivers the reports of both executors: their free capacity, and what each can preempt, in thousandths
+    /// of a core.
+    fn report_capacity(&mut self, free: i64, preemptible: [u32; 2]) {
         for (link, preemptible) in [EXECUTOR, OTHER_EXECUTOR].into_iter().zip(preemptible) {
             self.clock_us += 1;
             let report = proto::WorkerReport {
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Tasks that were sent to a link with leave to stop runs for them.
+    /// Returns how many tasks were sent to an executor that may stop runs for them.
     fn preempting(&self, to: LinkId) -> usize {
         let sent = self.actions.iter().filter_map(|a| match a {
             stackcourse_lib::dispatch::scheduler::Action::Send(link, body) if *link == to => {
@@ -88,27 +91,27 @@
         starts.map(|s| s.tasks.len()).sum()
     }
 
-    /// Waits until the last moment at which a stop would still come in time.
+    /// Advances the clock until the last moment at which a stop would still be in time.
     fn wait(&mut self) {
         for _ in 0..LATEST_MS / 10 - 5 {
-            self.rooms(0, [1000, 2500]);
+            self.report_capacity(0, [1000, 2500]);
             self.advance(10);
         }
     }
 }
 
 #[test]
-fn test_scheduler_places_an_urgent_job_where_runs_may_be_stopped() {
+fn test_preemption_placement() {
     let mut bench = full(true, 0);
     bench.submit_estimated(1, 7, 3, ESTIMATE_MS);
-    assert_eq!(bench.starts(), [], "room may become free by itself");
+    assert_eq!(bench.starts(), [], "capacity may still become free");
     bench.wait();
-    assert_eq!(bench.preempting(OTHER_EXECUTOR), 2, "most room first");
+    assert_eq!(bench.preempting(OTHER_EXECUTOR), 2, "most capacity first");
     assert_eq!(bench.preempting(EXECUTOR), 1);
 }
 
 #[test]
-fn test_scheduler_stops_nothing_for_other_jobs_or_while_the_switch_is_off() {
+fn test_preemption_low_priority_or_off() {
     for (on, priority) in [(true, 1), (false, 0)] {
         let mut bench = full(on, priority);
         bench.submit_estimated(1, 7, 3, ESTIMATE_MS);
@@ -117,21 +120,21 @@
     }
 }
 
-/// A stop would take longer than the job can wait.
+/// Stopping a run would take longer than the job can wait.
 #[test]
-fn test_scheduler_stops_nothing_for_a_job_that_would_be_late() {
+fn test_preemption_late_job() {
     let mut bench = full(true, 0);
     bench.submit_estimated(1, 7, 1, 1);
     for _ in 0..5 {
-        bench.rooms(0, [1000, 2500]);
+        bench.report_capacity(0, [1000, 2500]);
         bench.advance(10);
     }
     assert_eq!(bench.starts(), []);
 }
 
-/// A refusal must not lead to the next request with each report.
+/// After an executor has refused, the job must not ask to preempt again with each report.
 #[test]
-fn test_scheduler_asks_once_for_the_room_of_others() {
+fn test_preemption_no_repeated_request() {
     let mut bench = full(true, 0);
     bench.submit_estimated(1, 7, 1, ESTIMATE_MS);
     bench.wait();
@@ -155,24 +158,24 @@
     bench.scheduler.message(bench.now, OTHER_EXECUTOR, body);
     bench.collect_actions();
     bench.advance(2);
-    bench.rooms(0, [1000, 2500]);
+    bench.report_capacity(0, [1000, 2500]);
     assert_eq!(bench.starts().len(), 1);
 }
 
-/// Stops for a part of a job would be in vain.
+/// Runs stopped for a part of a job would be stopped in vain.
 #[test]
-fn test_scheduler_stops_nothing_for_a_job_of_which_a_part_finds_no_room() {
+fn test_preemption_insufficient_capacity() {
     let mut bench = full(true, 0);
     bench.submit_estimated(1, 7, 4, ESTIMATE_MS);
     bench.wait();
     assert_eq!(bench.starts(), []);
 }
 
-/// A run that was stopped is run anew, does not count as failed, and is not stopped again.
+/// A preempted task runs again from its checkpoint, does not count as failed, and is not preempted again.
 #[test]
-fn test_scheduler_runs_a_stopped_task_anew() {
+fn test_preemption_victim_retried() {
     let mut bench = full(true, 2);
-    bench.rooms(4000, [0, 0]);
+    bench.report_capacity(4000, [0, 0]);
     bench.submit_estimated(1, 7, 1, ESTIMATE_MS);
     let stops = |bench: &Bench| -> Vec<u32> {
         let orders = bench.orders();
@@ -208,7 +211,7 @@
     assert_eq!(stops(&bench), [1, 0]);
     let orders = bench.orders();
     let starts = orders.iter().flat_map(|o| o.starts.iter());
-    let last = starts.last().expect("it is run anew");
+    let last = starts.last().expect("the task is started again");
     assert_eq!(last.tasks[0].checkpoint, "half");
     assert_eq!(bench.answers(), Vec::<(u64, JobOutcome)>::new());
 }
--- a/lib/tests/runner/test_scheduler/slow.rs
+++ b/lib/tests/runner/test_scheduler/slow.rs
@@ -1,4 +1,5 @@
-//! Runs that go slowly are moved off a slow worker.
+//! Tests of slow workers: a run that would end late at one is stopped and placed elsewhere, once, if it would
+//! end in time there.
 
 use stackcourse_lib::dispatch::model::EndKind;
 use stackcourse_lib::event::Kind;
@@ -13,16 +14,17 @@
 
 const OTHERS: [LinkId; 2] = [LinkId(21), LinkId(22)];
 
-/// Three executors at their ordinary pace, and a job of one task at the first.
-fn with_a_job() -> Bench {
+/// Returns a scheduler with three executors at their usual pace, and a job of one task that runs at the first
+/// one.
+fn with_running_job() -> Bench {
     let mut bench = Bench::ready();
     for link in OTHERS {
         bench.link(link, &format!("e{}", link.0), true);
     }
     for link in OTHERS {
-        bench.pace(link, 100, 0, Vec::new());
+        bench.report_pace(link, 100, 0, Vec::new());
     }
-    bench.pace(EXECUTOR, 100, 4000, Vec::new());
+    bench.report_pace(EXECUTOR, 100, 4000, Vec::new());
     bench.actions.clear();
     bench.submit_estimated(1, 9, 1, 400);
     assert_eq!(bench.starts(), [(9, 0, 1)]);
@@ -31,7 +33,8 @@
 }
 
 impl Bench {
-    fn pace(&mut self, link: LinkId, percent: u32, free: i64, slow: Vec<proto::SlowRun>) {
+    /// Delivers an executor's report of its worker's pace and slow runs.
+    fn report_pace(&mut self, link: LinkId, percent: u32, free: i64, slow: Vec<proto::SlowRun>) {
         let update = proto::Update {
             profile: Some(profile(Vec::new())),
             slow,
@@ -60,17 +63,20 @@
         self.collect_actions();
     }
 
+    /// Returns how many runs were stopped.
     fn stops(&self) -> usize {
         self.orders().iter().map(|o| o.stops.len()).sum()
     }
 
+    /// Returns whether an event of this kind was logged.
     fn has_logged(&self, kind: Kind) -> bool {
         let mut actions = self.actions.iter();
         actions.any(|a| matches!(a, Action::Log(event) if event.kind == kind))
     }
 }
 
-fn slow(remaining_ms: u32) -> Vec<proto::SlowRun> {
+/// Returns the report of the slow run of job 9.
+fn slow_run(remaining_ms: u32) -> Vec<proto::SlowRun> {
     vec![proto::SlowRun {
         task: Some(task(9, 0).proto(1)),
         remaining_ms,
@@ -78,48 +84,48 @@
 }
 
 #[test]
-fn test_scheduler_moves_a_run_that_would_be_late_off_a_slow_worker() {
-    let mut bench = with_a_job();
-    bench.pace(OTHERS[0], 100, 4000, Vec::new());
-    bench.pace(EXECUTOR, 500, 3000, slow(1900));
+fn test_slow_run_moved() {
+    let mut bench = with_running_job();
+    bench.report_pace(OTHERS[0], 100, 4000, Vec::new());
+    bench.report_pace(EXECUTOR, 500, 3000, slow_run(1900));
     assert_eq!(bench.stops(), 1);
     assert!(bench.has_logged(Kind::WorkerUnhealthy));
     assert!(bench.has_logged(Kind::TaskMoved));
-    assert_eq!(bench.starts(), [], "its end is waited for");
+    assert_eq!(bench.starts(), [], "the run must have ended first");
     bench.actions.clear();
     bench.end_task(task(9, 0), 1, EndKind::Stopped);
     assert_eq!(bench.starts(), [(9, 0, 2)]);
 }
 
 #[test]
-fn test_scheduler_leaves_a_slow_run_that_is_in_time() {
-    let mut bench = with_a_job();
-    bench.pace(OTHERS[0], 100, 4000, Vec::new());
-    bench.pace(EXECUTOR, 500, 3000, slow(600));
+fn test_slow_run_in_time() {
+    let mut bench = with_running_job();
+    bench.report_pace(OTHERS[0], 100, 4000, Vec::new());
+    bench.report_pace(EXECUTOR, 500, 3000, slow_run(600));
     assert_eq!(bench.stops(), 0);
 }
 
 #[test]
-fn test_scheduler_leaves_a_slow_run_when_there_is_no_room_elsewhere() {
-    let mut bench = with_a_job();
-    bench.pace(EXECUTOR, 500, 3000, slow(1900));
+fn test_slow_run_no_capacity_elsewhere() {
+    let mut bench = with_running_job();
+    bench.report_pace(EXECUTOR, 500, 3000, slow_run(1900));
     assert_eq!(bench.stops(), 0);
 }
 
 #[test]
-fn test_scheduler_leaves_a_slow_run_that_would_be_late_elsewhere_too() {
-    let mut bench = with_a_job();
+fn test_slow_run_late_elsewhere() {
+    let mut bench = with_running_job();
     bench.advance(300);
-    bench.pace(OTHERS[0], 100, 4000, Vec::new());
-    bench.pace(EXECUTOR, 500, 3000, slow(1900));
+    bench.report_pace(OTHERS[0], 100, 4000, Vec::new());
+    bench.report_pace(EXECUTOR, 500, 3000, slow_run(1900));
     assert_eq!(bench.stops(), 0);
 }
 
 #[test]
-fn test_scheduler_moves_a_task_once() {
-    let mut bench = with_a_job();
-    bench.pace(OTHERS[0], 100, 4000, Vec::new());
-    bench.pace(EXECUTOR, 500, 3000, slow(1900));
-    bench.pace(EXECUTOR, 500, 3000, slow(1900));
+fn test_slow_run_moved_once() {
+    let mut bench = with_running_job();
+    bench.report_pace(OTHERS[0], 100, 4000, Vec::new());
+    bench.report_pace(EXECUTOR, 500, 3000, slow_run(1900));
+    bench.report_pace(EXECUTOR, 500, 3000, slow_run(1900));
     assert_eq!(bench.stops(), 1);
 }
--- a/lib/tests/runner/test_scheduler/speeds.rs
+++ b/lib/tests/runner/test_scheduler/speeds.rs
@@ -1,4 +1,5 @@
-//! Tasks are placed by when they would end at each worker.
+//! Tests of placement by worker speed: tasks are placed by when they would end at each worker, slow workers
+//! take the tasks that end in time there, and workers that are slower than usual get trial tasks only.
 
 use std::rc::Rc;
 
@@ -22,12 +23,13 @@
 const FAST: LinkId = LinkId(31);
 const SLOW: LinkId = LinkId(32);
 const THIRD: LinkId = LinkId(33);
+/// Free capacity of a full and of an idle worker, in thousandths of a core.
 const FULL: i64 = 0;
-const ROOM: i64 = 4000;
+const IDLE: i64 = 4000;
 const RACK: &str = "rack-1";
 
-/// A scheduler with two workers at speed 1.2, of which one has the data, and one at 0.55.
-fn uneven() -> Bench {
+/// Returns a scheduler with two workers at speed 1.2, of which the first is near the data, and one at 0.55.
+fn with_uneven_speeds() -> Bench {
     let mut policy = Policy::default();
     policy.speeds.on = true;
     policy.speeds.far_factor = 2.0;
@@ -38,23 +40,24 @@
         bench.link(link, name, true);
     }
     for _ in 0..150 {
-        bench.speeds(FULL, ROOM);
+        bench.report_speeds(FULL, IDLE);
         bench.advance(20);
     }
-    bench.speeds(FULL, ROOM);
+    bench.report_speeds(FULL, IDLE);
     bench.actions.clear();
     bench
 }
 
 impl Bench {
-    /// All report; the third worker is full.
-    fn speeds(&mut self, fast: i64, slow: i64) {
-        self.speed(FAST, 83, fast, Vec::new());
-        self.speed(SLOW, 182, slow, Vec::new());
-        self.speed(THIRD, 83, FULL, Vec::new());
+    /// Delivers the reports of all workers. The third one is always full.
+    fn report_speeds(&mut self, fast: i64, slow: i64) {
+        self.report_speed(FAST, 83, fast, Vec::new());
+        self.report_speed(SLOW, 182, slow, Vec::new());
+        self.report_speed(THIRD, 83, FULL, Vec::new());
     }
 
-    fn speed(&mut self, link: LinkId, slowness: u32, free: i64, ends: Vec<proto::TaskEnd>) {
+    /// Delivers the report of one worker. Slowness is in percent.
+    fn report_speed(&mut self, link: LinkId, slowness: u32, free: i64, ends: Vec<proto::TaskEnd>) {
         self.clock_us += 1;
         let mut profile = profile(Vec::new());
         if link == FAST {
@@ -80,6 +83,7 @@
         self.collect_actions();
     }
 
+    /// Submits a job of one task whose data is near a rack; with an empty name, near all workers.
     fn submit_near(&mut self, number: u64, cpu_milli: u32, estimate_ms: u32, rack: &str) {
         let request = JobRequest {
             number: JobNumber(number),
@@ -103,6 +107,7 @@
         self.collect_actions();
     }
 
+    /// Returns the job and the expected time of each start that was sent to a worker.
     fn jobs_at(&self, link: LinkId) -> Vec<(u64, u32)> {
         let sent = self.actions.iter().filter_map(|a| match a {
             Action::Send(to, body) if *to == link => match &**body {
@@ -115,12 +120,14 @@
         starts.map(|s| (s.job, s.estimate_ms)).collect()
     }
 
+    /// Returns how many events of a kind were logged.
     fn logged(&self, kind: Kind) -> usize {
         let is = |a: &&Action| matches!(a, Action::Log(event) if event.kind == kind);
         self.actions.iter().filter(is).count()
     }
 }
 
+/// Returns the report of a completed task.
 fn done(number: u64, job: u64, ran_ms: u64) -> proto::TaskEnd {
     proto::TaskEnd {
         number,
@@ -132,38 +139,43 @@
 }
 
 #[test]
-fn test_scheduler_keeps_a_long_task_off_a_slow_worker_that_has_room() {
-    let mut bench = uneven();
+fn test_speed_long_task_held_back() {
+    let mut bench = with_uneven_speeds();
     bench.submit(1, 7, 1);
     bench.submit_estimated(2, 8, 1, 800);
     for _ in 0..3 {
         bench.advance(100);
-        bench.speeds(FULL, ROOM);
+        bench.report_speeds(FULL, IDLE);
     }
     bench.submit(3, 9, 1);
     let short = [(7, 100), (9, 100)];
-    assert_eq!(bench.jobs_at(SLOW), short, "also the one behind it");
+    assert_eq!(
+        bench.jobs_at(SLOW),
+        short,
+        "the job behind it is placed, too"
+    );
     assert_eq!(bench.logged(Kind::JobHeldBack), 1);
-    bench.speeds(ROOM, ROOM);
+    bench.report_speeds(IDLE, IDLE);
     assert_eq!(bench.jobs_at(FAST), [(8, 800)]);
 }
 
-/// A smaller job behind one that waits for a fast worker would take each piece of room there first.
+/// Guards against a smaller job that takes the free capacity of a fast worker each time before the job that
+/// waits for it.
 #[test]
-fn test_scheduler_keeps_fast_room_for_the_job_that_waits_for_it() {
-    let mut bench = uneven();
-    bench.speeds(900, ROOM);
+fn test_speed_capacity_kept_for_held_back_job() {
+    let mut bench = with_uneven_speeds();
+    bench.report_speeds(900, IDLE);
     bench.submit_near(8, 1000, 800, "");
     bench.submit_near(9, 500, 900, "");
     assert_eq!(bench.starts(), []);
-    bench.speeds(ROOM, ROOM);
+    bench.report_speeds(IDLE, IDLE);
     assert_eq!(bench.jobs_at(FAST), [(8, 800), (9, 900)]);
 }
 
 #[test]
-fn test_scheduler_leaves_fast_workers_to_tasks_that_need_them() {
-    let mut bench = uneven();
-    bench.speeds(ROOM, ROOM);
+fn test_speed_short_task_on_slow_worker() {
+    let mut bench = with_uneven_speeds();
+    bench.report_speeds(IDLE, IDLE);
     bench.submit(1, 7, 1);
     bench.submit_estimated(2, 8, 1, 800);
     assert_eq!(bench.jobs_at(SLOW), [(7, 100)]);
@@ -171,32 +183,32 @@
 }
 
 #[test]
-fn test_scheduler_tries_no_steady_worker_one_task_at_a_time() {
-    let mut bench = uneven();
+fn test_speed_no_trials_on_steady_worker() {
+    let mut bench = with_uneven_speeds();
     bench.submit_estimated(1, 7, 3, 60);
     assert_eq!(bench.starts().len(), 3);
     assert_eq!(bench.logged(Kind::WorkerDegraded), 0);
 }
 
-/// The worker's speed falls to a third of what it was, and the scheduler hears of it.
+/// The worker's speed falls to a third of its usual one, as its reports show.
 #[test]
-fn test_scheduler_tries_a_worker_that_is_slower_than_it_was() {
-    let mut bench = uneven();
-    bench.speed(SLOW, 560, ROOM, Vec::new());
+fn test_speed_trials_on_degraded_worker() {
+    let mut bench = with_uneven_speeds();
+    bench.report_speed(SLOW, 560, IDLE, Vec::new());
     assert_eq!(bench.logged(Kind::WorkerDegraded), 1);
     bench.submit_estimated(1, 7, 3, 60);
-    assert_eq!(bench.starts().len(), 1, "on trial");
-    bench.speed(SLOW, 182, ROOM, Vec::new());
+    assert_eq!(bench.starts().len(), 1, "one trial task");
+    bench.report_speed(SLOW, 182, IDLE, Vec::new());
     assert_eq!(bench.logged(Kind::WorkerSpeedRestored), 1);
     assert_eq!(bench.starts().len(), 3);
 }
 
 #[test]
-fn test_scheduler_learns_the_times_of_a_queue_apart_from_the_workers() {
-    let mut bench = uneven();
+fn test_speed_time_ratio_of_queue() {
+    let mut bench = with_uneven_speeds();
     for job in 1..=60 {
         bench.submit(job, job, 1);
-        bench.speed(SLOW, 182, ROOM, vec![done(job, job, 160)]);
+        bench.report_speed(SLOW, 182, IDLE, vec![done(job, job, 160)]);
     }
     bench.actions.clear();
     bench.submit(99, 99, 1);
@@ -204,24 +216,25 @@
     assert!((85..=115).contains(&estimate), "{estimate} ms");
 }
 
-/// The expected time of a run that is far from its data says so, so that it does not read as one of a slow worker.
+/// The expected time of a run far from its data includes the distance, so that it does not make the worker
+/// look slow.
 #[test]
-fn test_scheduler_expects_more_of_a_run_that_is_far_from_its_data() {
-    let mut bench = uneven();
-    bench.speeds(FULL, ROOM);
+fn test_speed_run_far_from_data() {
+    let mut bench = with_uneven_speeds();
+    bench.report_speeds(FULL, IDLE);
     bench.submit_near(7, 1000, 10, RACK);
     bench.submit_near(8, 1000, 10, "");
     assert_eq!(bench.jobs_at(SLOW), [(7, 20), (8, 10)]);
 }
 
-/// A worker that is gone does not count in the mean speed; one whose report is old gets nothing.
+/// A worker whose report is old gets no tasks, and one that is lost does not count in the mean speed.
 #[test]
-fn test_scheduler_goes_by_no_old_report() {
-    let mut bench = uneven();
-    bench.speeds(ROOM, ROOM);
+fn test_speed_stale_report() {
+    let mut bench = with_uneven_speeds();
+    bench.report_speeds(IDLE, IDLE);
     for _ in 0..4 {
         bench.advance(100);
-        bench.speed(SLOW, 182, ROOM, Vec::new());
+        bench.report_speed(SLOW, 182, IDLE, Vec::new());
     }
     bench.actions.clear();
     bench.submit_estimated(1, 7, 1, 800);
@@ -229,8 +242,8 @@
     bench.scheduler.link_down(bench.now, FAST);
     bench.scheduler.link_down(bench.now, THIRD);
     bench.collect_actions();
-    bench.speed(SLOW, 182, ROOM, Vec::new());
+    bench.report_speed(SLOW, 182, IDLE, Vec::new());
     bench.submit(2, 8, 1);
     let mean = |a: &Action| matches!(a, Action::Log(e) if e.detail.contains("slowness 1.00"));
-    assert!(bench.actions.iter().any(mean), "it is the mean now");
+    assert!(bench.actions.iter().any(mean), "its speed is the mean now");
 }
