--- a/lib/tests/runner/test_scheduler/balance.rs
+++ b/lib/tests/runner/test_scheduler/balance.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns a scheduler with two peers, at which all but one of the submitted jobs wait.
+/// Returns a scheduler that has two peers and at which all but one of the submitted jobs wait.
 fn overloaded(on: bool, waiting: [u64; 2]) -> Bench {
     let mut bench = settled(on);
     bench.send_loads(waiting);
@@ -225,7 +225,7 @@
 }
 
 impl Bench {
-    /// Returns whether a peer was told that its job is refused.
+    /// Returns whether a refusal of the job was reported to a peer.
     fn has_refused(&self, number: u64) -> bool {
         self.actions.iter().any(|a| match a {
             Action::Send(_, body) => match &**body {
@@ -284,7 +284,7 @@
     assert_eq!(bench.outcomes_of(number), [JobOutcome::Completed]);
 }
 
-/// When its caller leaves, the peer is told so, and cancels the job.
+/// When the caller of a job leaves, the peer is notified and cancels the job.
 #[test]
 fn test_balance_caller_left() {
     let mut bench = overloaded(true, [0, 0]);
--- a/lib/tests/runner/test_scheduler/bulkheads.rs
+++ b/lib/tests/runner/test_scheduler/bulkheads.rs
@@ -145,7 +145,7 @@
     fleet.blame("q", 900);
     assert!(
         fleet.placements(300, "q").len() > 3,
-        "blame for fewer than two crashes"
+        "blame below two crashes is not enough"
     );
     fleet.blame("q", 900);
     let inside = fleet.placements(400, "q");
--- a/lib/tests/runner/test_scheduler/claims.rs
+++ b/lib/tests/runner/test_scheduler/claims.rs
@@ -107,7 +107,7 @@
         bench.report(Vec::new());
         bench.advance(20);
     }
-    // The job can't end in time any more, and is rejected without a start.
+    // The job can't end in time any more, and is given up without a start.
     assert_eq!(bench.starts(), []);
     assert_eq!(bench.answers().len(), 1);
 }
@@ -452,7 +452,7 @@
     assert_eq!(bench.starts(), [], "the peer may run it at e2");
 }
 
-/// A link that has just come up tells nothing of the peer's jobs: the first update on it lists them.
+/// The jobs of a peer are unknown until its first update on a new link, which lists them.
 #[test]
 fn test_claim_at_start_first_peer_update() {
     let mut bench = Bench::new();
