--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -196,18 +196,18 @@
 struct Peer {
     name: String,
     incarnation: u64,
-    heard: Mono,
+    last_heard: Mono,
     leaving: bool,
     config: u64,
-    behind: Option<Mono>,
+    behind_since: Option<Mono>,
     /// Since when it has known a record as new as the one that this entry goes by.
-    abreast: Option<Mono>,
+    current_since: Option<Mono>,
     /// Since when it has asked for promises without a break, and when it asked last.
-    asking: Option<(Mono, Mono)>,
+    ask_span: Option<(Mono, Mono)>,
     /// The number of the last `Forward` that came from it.
-    forwards: u64,
+    last_forward: u64,
     /// The last heartbeat that came from it: its number, and when it came.
-    beaten: Option<(u64, Mono)>,
+    last_heartbeat: Option<(u64, Mono)>,
 }
 
 /// The record as it was read last.
@@ -234,7 +234,7 @@
 
 /// What a store operation was for.
 #[derive(Clone, Debug)]
-enum Errand {
+enum PendingOp {
     ReadRecord { sent: Mono },
     ReadRoster { sent: Mono },
     WriteRoster,
@@ -250,17 +250,17 @@
     next: OwnershipRecord,
     roster: Option<Roster>,
     base: u64,
-    reducing: bool,
+    revokes_right: bool,
     old_roster: String,
 }
 
 /// A swap that took place or may take place, so that what was read of the record is out of date.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct UnconfirmedSwap {
     /// The index that it replaces.
     base: u64,
     /// Whether it takes a right from another entry.
-    reducing: bool,
+    revokes_right: bool,
 }
 
 /// A task that was lost with its agent.
@@ -276,49 +276,49 @@
 pub struct Entry {
     setup: EntrySetup,
     /// This entry's incarnation as a member; drawn anew when it joins again.
-    me: u64,
+    incarnation: u64,
     rng: ChaCha8Rng,
     names: Names,
     follower: Follower,
     permitted: HashMap<Arc<str>, Arc<[AgentKey]>>,
     fleet: Fleet,
     peers: BTreeMap<LinkId, Peer>,
-    knew_me: HashSet<u64>,
-    joined: Option<Mono>,
+    acknowledged_by: HashSet<u64>,
+    joined_at: Option<Mono>,
     first_seen: HashMap<u64, Mono>,
     /// Since when the roster has listed each agent.
-    listed: HashMap<u64, Mono>,
+    listed_since: HashMap<u64, Mono>,
     /// Slots of agents that could not be read back, until their tasks have surely ended.
-    unread: HashMap<u64, (Mono, u32)>,
-    last_heard: HashMap<u64, Mono>,
+    unread_slots: HashMap<u64, (Mono, u32)>,
+    disconnected_at: HashMap<u64, Mono>,
     /// Since when each close peer is one: before, its heartbeats were rare.
-    close_since: HashMap<u64, Mono>,
+    neighbour_since: HashMap<u64, Mono>,
     last_live: Vec<u64>,
-    born: Mono,
-    bound_names: HashMap<LaneName, [Arc<str>; 2]>,
+    started_at: Mono,
+    quota_names: HashMap<LaneName, [Arc<str>; 2]>,
     read: Option<ReadRecord>,
-    read_ok: Option<Mono>,
+    last_read: Option<Mono>,
     read_due: Mono,
     reading: bool,
     fetched: Option<(OwnershipRecord, u64)>,
     change: Option<Change>,
     change_due: Mono,
-    doubt: Option<Doubt>,
-    promised_out: Mono,
-    moved: Mono,
+    unconfirmed: Option<UnconfirmedSwap>,
+    promised_until: Mono,
+    live_changed: Mono,
     tenure: Tenure,
     leads: Leads,
     clocks: ClockCheck,
     steps: StepWatch,
     holdings: Holdings,
     incoming: BTreeMap<ShardId, handing::Incoming>,
-    handing: BTreeMap<ShardId, handing::Outgoing>,
+    outgoing: BTreeMap<ShardId, handing::Outgoing>,
     table: JobTable,
-    refused: HashMap<JobId, submit::Refused>,
+    recent_refusals: HashMap<JobId, submit::RecentRefusal>,
     placed: BTreeMap<TaskKey, Placed>,
     /// Tasks that were lost with their agent, which may come back and tell of them.
     lost: BTreeMap<TaskKey, LostTask>,
-    ghosts: Vec<(Mono, LaneName)>,
+    orphans: Vec<(Mono, LaneName)>,
     lanes: Lanes,
     delayed: Vec<(Mono, LaneName, TaskKey)>,
     deadlines: BTreeSet<(Mono, JobKey)>,
@@ -326,30 +326,30 @@
     allocators: Allocators,
     admission: Admission,
     /// The expected time of each service's tasks, in seconds.
-    expected: HashMap<Arc<str>, f64>,
+    expected_times: HashMap<Arc<str>, f64>,
     retries: RetryBudget,
     placer: Placer,
     requests: BTreeMap<u64, requests::Request>,
     /// Requests of peers for shards that are still being sealed.
-    held: Vec<requests::Held>,
-    errands: HashMap<u64, Errand>,
+    held_requests: Vec<requests::HeldRequest>,
+    pending_ops: HashMap<u64, PendingOp>,
     next_tag: u64,
     next_forward: u64,
     /// The last heartbeats sent: their numbers and times.
-    beats: VecDeque<(u64, Mono)>,
-    next_beat: Mono,
-    beats_sent: u32,
+    heartbeats: VecDeque<(u64, Mono)>,
+    next_heartbeat: Mono,
+    heartbeat_rounds: u32,
     plan_due: Mono,
     /// Time at work, tasks finished and failed of all healthy workers, looked at now and then.
     fleet_work: (f64, f64, f64),
     slow_due: Mono,
     /// When refusals were logged last, and how many there were by then.
-    refusals_told: (Mono, u64),
-    part_sent: HashMap<AgentKey, (u64, Arc<[u8]>)>,
+    refusals_logged: (Mono, u64),
+    sent_parts: HashMap<AgentKey, (u64, Arc<[u8]>)>,
     entries_sent: HashMap<LinkId, u64>,
     leaving: bool,
     /// For the randomised runs alone: takes jobs that the horizon has passed.
-    forgetful: bool,
+    skip_horizon: bool,
     counts: EntryCounts,
     actions: Vec<Action>,
 }
@@ -358,70 +358,70 @@
     /// An entry that knows nothing yet.
     pub fn new(setup: EntrySetup) -> Entry {
         Entry {
-            me: setup.incarnation,
+            incarnation: setup.incarnation,
             rng: ChaCha8Rng::seed_from_u64(setup.seed),
             names: Names::default(),
             follower: Follower::default(),
             permitted: HashMap::new(),
             fleet: Fleet::default(),
             peers: BTreeMap::new(),
-            knew_me: HashSet::new(),
-            joined: None,
+            acknowledged_by: HashSet::new(),
+            joined_at: None,
             first_seen: HashMap::new(),
-            listed: HashMap::new(),
-            unread: HashMap::new(),
-            last_heard: HashMap::new(),
-            close_since: HashMap::new(),
+            listed_since: HashMap::new(),
+            unread_slots: HashMap::new(),
+            disconnected_at: HashMap::new(),
+            neighbour_since: HashMap::new(),
             last_live: Vec::new(),
-            born: Mono(0),
-            bound_names: HashMap::new(),
+            started_at: Mono(0),
+            quota_names: HashMap::new(),
             read: None,
-            read_ok: None,
+            last_read: None,
             read_due: Mono(0),
             reading: false,
             fetched: None,
             change: None,
             change_due: Mono(0),
-            doubt: None,
-            promised_out: Mono(0),
-            moved: Mono(0),
+            unconfirmed: None,
+            promised_until: Mono(0),
+            live_changed: Mono(0),
             tenure: Tenure::new(setup.tenure),
             leads: Leads::new(setup.horizon),
             clocks: ClockCheck::new(setup.skew),
             steps: StepWatch::default(),
             holdings: Holdings::default(),
             incoming: BTreeMap::new(),
-            handing: BTreeMap::new(),
+            outgoing: BTreeMap::new(),
             table: JobTable::default(),
-            refused: HashMap::new(),
+            recent_refusals: HashMap::new(),
             placed: BTreeMap::new(),
             lost: BTreeMap::new(),
-            ghosts: Vec::new(),
+            orphans: Vec::new(),
             lanes: Lanes::default(),
             delayed: Vec::new(),
             deadlines: BTreeSet::new(),
             shares: BTreeMap::new(),
             allocators: Allocators::default(),
             admission: Admission::default(),
-            expected: HashMap::new(),
+            expected_times: HashMap::new(),
             retries: RetryBudget::default(),
             placer: Placer::new(setup.policy),
             requests: BTreeMap::new(),
-            held: Vec::new(),
-            errands: HashMap::new(),
+            held_requests: Vec::new(),
+            pending_ops: HashMap::new(),
             next_tag: 0,
             next_forward: 0,
-            beats: VecDeque::new(),
-            next_beat: Mono(0),
-            beats_sent: 0,
+            heartbeats: VecDeque::new(),
+            next_heartbeat: Mono(0),
+            heartbeat_rounds: 0,
             plan_due: Mono(0),
             fleet_work: (0.0, 0.0, 0.0),
             slow_due: Mono(0),
-            refusals_told: (Mono(0), 0),
-            part_sent: HashMap::new(),
+            refusals_logged: (Mono(0), 0),
+            sent_parts: HashMap::new(),
             entries_sent: HashMap::new(),
             leaving: false,
-            forgetful: false,
+            skip_horizon: false,
             counts: EntryCounts::default(),
             actions: Vec::new(),
             setup,
@@ -430,7 +430,7 @@
 
     /// Leaves out one check, for the randomised runs.
     pub fn break_for_test(&mut self, broken: Broken) {
-        self.forgetful = broken == Broken::Horizon;
+        self.skip_horizon = broken == Broken::Horizon;
     }
 
     /// Takes what the entry wants done.
@@ -492,7 +492,7 @@
 
     /// This entry's incarnation as a member.
     pub fn incarnation(&self) -> u64 {
-        self.me
+        self.incarnation
     }
 
     /// The entry's name.
@@ -507,7 +507,8 @@
 
     /// How many peers answer and count this entry as a member.
     pub fn peers(&self, now: Now) -> usize {
-        let mutual = |p: &&Peer| self.knew_me.contains(&p.incarnation) && self.alive(now, p);
+        let mutual =
+            |p: &&Peer| self.acknowledged_by.contains(&p.incarnation) && self.is_alive(now, p);
         self.peers.values().filter(mutual).count()
     }
 
@@ -521,7 +522,7 @@
         let member = self
             .read
             .as_ref()
-            .is_some_and(|r| r.record.member(self.me).is_some());
+            .is_some_and(|r| r.record.member(self.incarnation).is_some());
         let owns = self.holdings.counts().0 > 0;
         self.leaving && self.requests.is_empty() && !member && !owns
     }
@@ -534,16 +535,16 @@
         self.leaving = true;
         self.plan_due = now.mono;
         self.log(Kind::Leaving, self.setup.name.clone());
-        self.beat(now);
-        self.step(now);
+        self.send_heartbeats(now);
+        self.advance(now);
     }
 
     /// Time has passed. To be called every 10 ms or so.
     pub fn tick(&mut self, now: Now) {
-        self.begin(now);
-        if now.mono >= self.next_beat {
-            self.next_beat = now.mono + self.setup.beat;
-            self.beat_due(now);
+        self.observe_time(now);
+        if now.mono >= self.next_heartbeat {
+            self.next_heartbeat = now.mono + self.setup.beat;
+            self.send_due_heartbeats(now);
         }
         if now.mono >= self.slow_due {
             self.slow_due = now.mono + SLOW_TICK;
@@ -551,27 +552,27 @@
         }
         self.end_due_jobs(now);
         self.requeue_delayed(now);
-        self.tend_requests(now);
-        self.tend_handing(now);
-        self.step(now);
+        self.process_requests(now);
+        self.abort_late_handovers(now);
+        self.advance(now);
     }
 
     /// A link is up; `hello` says who is at its other end.
     pub fn link_up(&mut self, now: Now, link: LinkId, hello: &wire::Hello) {
-        self.begin(now);
+        self.observe_time(now);
         if hello.agent {
             self.agent_up(now, link, hello);
         } else {
             self.peer_up(now, link, hello);
         }
-        self.step(now);
+        self.advance(now);
     }
 
     /// A link is down.
     pub fn link_down(&mut self, now: Now, link: LinkId) {
-        self.begin(now);
+        self.observe_time(now);
         if let Some(peer) = self.peers.remove(&link) {
-            self.last_heard.insert(peer.incarnation, now.mono);
+            self.disconnected_at.insert(peer.incarnation, now.mono);
             self.plan_due = now.mono;
             self.peer_down(now, link);
         } else if let Some(key) = self.fleet.link_down(link, now.mono) {
@@ -579,21 +580,21 @@
             self.log(Kind::LinkDown, name.unwrap_or_default());
         }
         self.entries_sent.remove(&link);
-        self.step(now);
+        self.advance(now);
     }
 
     /// A message came in.
     pub fn frame(&mut self, now: Now, link: LinkId, body: Body) {
-        self.begin(now);
+        self.observe_time(now);
         // What still arrives on a link that was replaced may be long out of date.
         if !self.peers.contains_key(&link) && self.fleet.at(link).is_none() {
-            return self.waste("old-link");
+            return self.count_wasted("old-link");
         }
         match body {
             Body::Renew(renew) => self.on_renew(now, link, renew),
             Body::Answer(answer) => self.on_answer(now, link, answer),
             Body::Sealed(sealed) => self.on_sealed(now, link, sealed),
-            Body::Beat(beat) => self.on_beat(now, link, beat),
+            Body::Beat(beat) => self.on_heartbeat(now, link, beat),
             Body::PromiseAsk(ask) => self.on_promise_ask(now, link, ask),
             Body::Promise(promise) => self.on_promise(now, link, promise),
             Body::Forward(forward) => self.on_forward(now, link, forward),
@@ -605,7 +606,7 @@
             Body::Handed(handed) => self.on_handed(now, link, handed),
             _ => {}
         }
-        self.step(now);
+        self.advance(now);
     }
 
     /// A configuration version was read from the store or came from a peer.
@@ -616,7 +617,7 @@
                 self.log(Kind::ConfigInForce, format!("version {version}"));
                 self.permitted.clear();
                 self.send_parts(now);
-                self.step(now);
+                self.advance(now);
             }
             Err(e) => self.log(Kind::ConfigBad, e.to_string()),
         }
@@ -630,9 +631,9 @@
     }
 
     /// What comes before every decision: a look at the clock.
-    fn begin(&mut self, now: Now) {
-        if self.born == Mono(0) {
-            self.born = now.mono;
+    fn observe_time(&mut self, now: Now) {
+        if self.started_at == Mono(0) {
+            self.started_at = now.mono;
         }
         self.watch_clock(now);
         let Some((before, after)) = self.tenure.observe(now.mono) else {
@@ -648,35 +649,35 @@
 
     /// What follows every input: changes of the record, shards that can be served, tasks that can
     /// be placed.
-    fn step(&mut self, now: Now) {
-        self.serve_ready(now);
+    fn advance(&mut self, now: Now) {
+        self.serve_ready_shards(now);
         self.plan_change(now);
-        self.ask_shares(now);
-        self.pump(now);
+        self.request_shares(now);
+        self.place_waiting(now);
     }
 
     fn slow_tick(&mut self, now: Now) {
         self.end_late_requests(now);
-        self.judge_workers(now);
-        self.lose_agents(now);
+        self.update_worker_health(now);
+        self.remove_lost_agents(now);
         self.expire_jobs(now);
         self.holdings.forget();
-        self.begin_moves(now);
-        self.ask_overdue(now);
-        self.release_ghosts(now);
-        self.forget_refused(now);
-        self.forget_clocks(now);
-        self.tell_refusals(now);
+        self.rebalance_shards(now);
+        self.recall_overdue(now);
+        self.release_orphans(now);
+        self.forget_old_refusals(now);
+        self.forget_old_clocks(now);
+        self.log_refusals(now);
     }
 
     /// Logs refusals at most once a second, together.
-    fn tell_refusals(&mut self, now: Now) {
-        let (told, before) = self.refusals_told;
+    fn log_refusals(&mut self, now: Now) {
+        let (told, before) = self.refusals_logged;
         let total: u64 = self.counts.refusals.values().sum();
         if total == before || now.mono < told + Duration::from_secs(1) {
             return;
         }
-        self.refusals_told = (now.mono, total);
+        self.refusals_logged = (now.mono, total);
         self.log(Kind::RequestRefused, format!("{} requests", total - before));
     }
 
@@ -688,19 +689,19 @@
         self.actions.push(Action::Send(link, body));
     }
 
-    fn store(&mut self, errand: Errand, op: StoreOp) {
+    fn store(&mut self, errand: PendingOp, op: StoreOp) {
         self.next_tag += 1;
-        self.errands.insert(self.next_tag, errand);
+        self.pending_ops.insert(self.next_tag, errand);
         self.actions.push(Action::Store(self.next_tag, op));
     }
 
-    fn waste(&mut self, kind: &'static str) {
+    fn count_wasted(&mut self, kind: &'static str) {
         *self.counts.wasted.entry(kind).or_default() += 1;
     }
 
     /// The outcome of a job of which nothing has started: `not_run` only while the store itself
     /// has confirmed that nobody else owns it.
-    fn idle_outcome(&self, now: Now) -> Outcome {
+    fn unstarted_outcome(&self, now: Now) -> Outcome {
         match self.tenure.stand(now.mono) {
             Standing::Confirmed => Outcome::NotRun,
             Standing::Promised | Standing::Lapsed => Outcome::Unknown,
--- a/lib/src/entry/account.rs
+++ b/lib/src/entry/account.rs
@@ -15,25 +15,25 @@
 use crate::quota::SHARE_SPAN;
 
 /// A task whose agent has not spoken this long after the deadline is asked for.
-const OVERDUE: Duration = Duration::from_millis(1_000);
+const RECALL_DELAY: Duration = Duration::from_millis(1_000);
 /// Clocks of two boxes differ in rate by less than one part in this many.
-const CLOCK_RATES: u32 = 50;
+const CLOCK_DRIFT_DIVISOR: u32 = 50;
 /// How fast the expected time of a service follows.
 const EXPECTED_WEIGHT: f64 = 0.02;
 
 impl Entry {
     /// Keeps account of a task at an agent.
     pub(super) fn track(&mut self, now: Now, task: TaskKey, mut placed: Placed) {
-        placed.scale = 1.0 / self.expected(&placed.lane.service);
+        placed.scale = 1.0 / self.expected_time(&placed.lane.service);
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             worker.take(placed.need);
             worker.health.begin(now.mono, placed.scale);
         }
-        self.share_take(&placed.lane);
+        self.take_share(&placed.lane);
         let Some(old) = self.placed.insert(task, placed) else {
             return;
         };
-        self.share_give(&old.lane);
+        self.return_share(&old.lane);
         if let Some(worker) = self.fleet.get_mut(old.agent) {
             worker.give(old.need);
             worker.health.cancel(now.mono, old.at, old.scale);
@@ -55,7 +55,7 @@
         if let Some(worker) = self.fleet.get_mut(agent) {
             worker.give(placed.need);
         }
-        self.share_give(&placed.lane);
+        self.return_share(&placed.lane);
         Some(placed)
     }
 
@@ -96,30 +96,30 @@
                 // Counted twice for a while rather than not at all: the next owner has to tell
                 // the allocator first.
                 let told = now.mono + SHARE_SPAN + RESERVE;
-                self.haunt(placed.until.min(told), placed.lane.clone());
+                self.count_orphan(placed.until.min(told), placed.lane.clone());
             }
         }
     }
 
     /// Asks again for tasks whose deadline has passed without a word of their agents, so that none
     /// counts as running for ever.
-    pub(super) fn ask_overdue(&mut self, now: Now) {
+    pub(super) fn recall_overdue(&mut self, now: Now) {
         let overdue: Vec<(TaskKey, AgentKey, u64, ShardId)> = self
             .placed
             .iter()
-            .filter(|(_, p)| now.mono >= p.until + OVERDUE)
+            .filter(|(_, p)| now.mono >= p.until + RECALL_DELAY)
             .map(|(t, p)| (*t, p.agent, p.attempt, p.shard))
             .collect();
         for (task, agent, attempt, shard) in overdue {
             if let Some(placed) = self.placed.get_mut(&task) {
                 placed.until = now.mono;
             }
-            self.recall(agent, task, attempt, shard);
+            self.send_recall(agent, task, attempt, shard);
         }
     }
 
     /// Marks the tasks at an agent as lost.
-    pub(super) fn lose_tasks(&mut self, now: Now, agent: AgentKey) {
+    pub(super) fn mark_tasks_lost(&mut self, now: Now, agent: AgentKey) {
         let tasks: Vec<(TaskKey, u64)> = self
             .placed
             .iter()
@@ -130,7 +130,7 @@
             let Some(placed) = self.untrack(task, agent, attempt) else {
                 continue;
             };
-            self.haunt(surely_over(placed.at, placed.until), placed.lane.clone());
+            self.count_orphan(latest_end(placed.at, placed.until), placed.lane.clone());
             if let Some(worker) = self.fleet.get(agent) {
                 let lost = LostTask {
                     incarnation: worker.incarnation,
@@ -140,45 +140,45 @@
                 self.lost.insert(task, lost);
             }
             self.log(Kind::TaskLost, format!("{} task {}", task.job, task.task));
-            self.settle_task(now, task, &placed, TaskState::Lost);
+            self.set_task_state(now, task, &placed, TaskState::Lost);
         }
     }
 
     /// Counts a task that may still run, though nobody can tell, against its quotas for a while.
-    pub(super) fn haunt(&mut self, until: Mono, lane: LaneName) {
-        self.share_take(&lane);
-        self.ghosts.push((until, lane));
+    pub(super) fn count_orphan(&mut self, until: Mono, lane: LaneName) {
+        self.take_share(&lane);
+        self.orphans.push((until, lane));
     }
 
-    pub(super) fn release_ghosts(&mut self, now: Now) {
-        let all = std::mem::take(&mut self.ghosts);
+    pub(super) fn release_orphans(&mut self, now: Now) {
+        let all = std::mem::take(&mut self.orphans);
         for (until, lane) in all {
             if now.mono >= until {
-                self.share_give(&lane);
+                self.return_share(&lane);
             } else {
-                self.ghosts.push((until, lane));
+                self.orphans.push((until, lane));
             }
         }
     }
 
     /// The expected time of a service's task, in seconds.
-    fn expected(&self, service: &Arc<str>) -> f64 {
-        let known = self.expected.get(service).copied();
+    fn expected_time(&self, service: &Arc<str>) -> f64 {
+        let known = self.expected_times.get(service).copied();
         known
             .unwrap_or(self.admission.mean().as_secs_f64())
             .max(1e-4)
     }
 
-    pub(super) fn learn(&mut self, service: &Arc<str>, took: Duration) {
+    pub(super) fn record_duration(&mut self, service: &Arc<str>, took: Duration) {
         self.admission.ended(took);
-        let before = self.expected(service);
+        let before = self.expected_time(service);
         let after = before + (took.as_secs_f64() - before) * EXPECTED_WEIGHT;
-        self.expected.insert(service.clone(), after);
+        self.expected_times.insert(service.clone(), after);
     }
 }
 
 /// When a task that was placed at `at` and may run until `until` has surely ended by the clock of
 /// its agent, which may be slower than the own.
-pub(super) fn surely_over(at: Mono, until: Mono) -> Mono {
-    until + until.since(at) / CLOCK_RATES
+pub(super) fn latest_end(at: Mono, until: Mono) -> Mono {
+    until + until.since(at) / CLOCK_DRIFT_DIVISOR
 }
--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/changing.rs
@@ -1,11 +1,11 @@
 //! Changing the ownership record: joining, taking over, enrolling agents, leaving.
 
 use super::Change;
-use super::Doubt;
 use super::Entry;
-use super::Errand;
-use super::links::ASKING_BREAK;
-use super::links::CUT_OFF;
+use super::PendingOp;
+use super::UnconfirmedSwap;
+use super::links::ASKING_TIMEOUT;
+use super::links::CUT_OFF_DELAY;
 use crate::clock::millis;
 use crate::event::Kind;
 use crate::fleet::SILENCE;
@@ -20,29 +20,29 @@
 use crate::store::StoreReply;
 
 /// How long a new member may take to reach its peers before it counts as silent.
-const SETTLING: Duration = Duration::from_secs(3);
+const CONNECT_GRACE: Duration = Duration::from_secs(3);
 /// The least time between two changes of the record by one entry.
-pub(super) const CHANGE_PAUSE: Duration = Duration::from_millis(100);
+pub(super) const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between looks whether the record should change, unless something has happened.
-const PLAN_PAUSE: Duration = Duration::from_millis(50);
+const PLAN_INTERVAL: Duration = Duration::from_millis(50);
 /// How much later each further entry takes over, so that they do not all try at once.
-const RANK_PAUSE: Duration = Duration::from_millis(250);
+const RANK_DELAY: Duration = Duration::from_millis(250);
 
 impl Entry {
     /// Changes the record if there is reason to.
     pub(super) fn plan_change(&mut self, now: Now) {
-        self.read_record(now);
+        self.read_record_if_due(now);
         let busy = self.change.is_some() || now.mono < self.change_due.max(self.plan_due);
-        if busy || !self.read_fresh(now) {
+        if busy || !self.is_read_fresh(now) {
             return;
         }
-        self.plan_due = now.mono + PLAN_PAUSE;
+        self.plan_due = now.mono + PLAN_INTERVAL;
         let Some(read) = self.read.clone() else {
             return;
         };
         let mut next = (*read.record).clone();
         let mut roster = (*read.roster).clone();
-        let reducing = self.wanted(now, &mut next, &mut roster);
+        let revokes_right = self.apply_changes(now, &mut next, &mut roster);
         let new_roster = roster != *read.roster;
         if next == *read.record && !new_roster {
             return;
@@ -51,14 +51,14 @@
         let base = read.index;
         let old_roster = next.roster.clone();
         if new_roster {
-            next.roster = format!("roster/{}-{:016x}", next.seq, self.me);
+            next.roster = format!("roster/{}-{:016x}", next.seq, self.incarnation);
         }
-        self.change_due = now.mono + CHANGE_PAUSE;
+        self.change_due = now.mono + CHANGE_INTERVAL;
         self.change = Some(Change {
             next,
             roster: new_roster.then_some(roster),
             base,
-            reducing,
+            revokes_right,
             old_roster,
         });
         self.write_change();
@@ -76,7 +76,7 @@
                 index: 0,
                 value: value.into(),
             };
-            return self.store(Errand::WriteRoster, op);
+            return self.store(PendingOp::WriteRoster, op);
         }
         self.swap_record();
     }
@@ -90,7 +90,7 @@
             index: change.base,
             value: change.next.value().into(),
         };
-        self.store(Errand::SwapRecord, op);
+        self.store(PendingOp::SwapRecord, op);
     }
 
     pub(super) fn on_roster_written(&mut self, now: Now, reply: StoreReply) {
@@ -98,7 +98,7 @@
             return self.swap_record();
         }
         self.change = None;
-        self.change_due = now.mono + CHANGE_PAUSE * 3;
+        self.change_due = now.mono + CHANGE_INTERVAL * 3;
     }
 
     pub(super) fn on_record_swapped(&mut self, now: Now, reply: StoreReply) {
@@ -109,16 +109,16 @@
         // Until the record has been read again, what is known of it is out of date. A swap that
         // failed settles nothing: an earlier one, whose answer was lost, may be the reason.
         if reply != StoreReply::Swapped(false) {
-            self.doubt = Some(Doubt {
+            self.unconfirmed = Some(UnconfirmedSwap {
                 base: change.base,
-                reducing: change.reducing,
+                revokes_right: change.revokes_right,
             });
         }
         match reply {
             StoreReply::Swapped(true) if change.roster.is_some() => {
                 let key = change.old_roster;
                 if !key.is_empty() {
-                    self.store(Errand::Remove, StoreOp::Remove { key });
+                    self.store(PendingOp::Remove, StoreOp::Remove { key });
                 }
             }
             StoreReply::Swapped(true) => {}
@@ -134,29 +134,29 @@
     }
 
     /// Everything that this entry wants changed. Returns whether it takes a right from another.
-    fn wanted(&mut self, now: Now, next: &mut OwnershipRecord, roster: &mut Roster) -> bool {
+    fn apply_changes(&mut self, now: Now, next: &mut OwnershipRecord, roster: &mut Roster) -> bool {
         self.forget_old(now, next, roster);
-        let member = next.member(self.me).is_some();
+        let member = next.member(self.incarnation).is_some();
         if !member {
-            if !self.leaving && self.knows_time(now, next, roster) {
+            if !self.leaving && self.can_join(now, next, roster) {
                 next.join(self.as_member());
             }
             return false;
         }
-        self.want_handed(next);
-        self.want_enrolled(now, roster);
-        let mut reducing = self.want_cut(now, next);
-        reducing |= self.want_struck(now, roster);
-        let live = self.live(now, next);
+        self.apply_handovers(next);
+        self.enrol_agents(now, roster);
+        let mut revokes_right = self.cut_silent_members(now, next);
+        revokes_right |= self.remove_silent_agents(now, roster);
+        let live = self.live_members(now, next);
         let owners = self.follower.config().limits.owners as usize;
         let may_own: Vec<u64> = live
             .iter()
             .copied()
-            .filter(|inc| *inc != self.me || !self.leaving)
+            .filter(|inc| *inc != self.incarnation || !self.leaving)
             .collect();
         next.settle(&may_own, owners);
-        self.want_gone(next);
-        reducing
+        self.remove_self_if_empty(next);
+        revokes_right
     }
 
     /// Forgets what is too old to matter, by a time of day that the fleet goes by.
@@ -175,7 +175,7 @@
     fn as_member(&self) -> Member {
         Member {
             name: self.setup.name.clone(),
-            incarnation: self.me,
+            incarnation: self.incarnation,
             address: self.setup.address.clone(),
             http: self.setup.http.clone(),
             zone: self.setup.zone.clone(),
@@ -183,15 +183,15 @@
     }
 
     /// The members that can own shards, this one among them.
-    pub(super) fn live(&self, now: Now, record: &OwnershipRecord) -> Vec<u64> {
+    pub(super) fn live_members(&self, now: Now, record: &OwnershipRecord) -> Vec<u64> {
         let peer = |inc: u64| self.peers.values().find(|p| p.incarnation == inc);
         let alive = |inc: u64| {
-            let here = peer(inc).filter(|p| self.alive(now, p));
+            let here = peer(inc).filter(|p| self.is_alive(now, p));
             here.is_some_and(|p| !p.leaving)
         };
         let members = record.members.iter().map(|m| m.incarnation);
         members
-            .filter(|inc| (*inc == self.me && !self.leaving) || alive(*inc))
+            .filter(|inc| (*inc == self.incarnation && !self.leaving) || alive(*inc))
             .collect()
     }
 
@@ -200,17 +200,17 @@
         let lease_ms = millis(self.setup.tenure.lease) * 2;
         Parting {
             until_ms: now.wall_ms + lease_ms,
-            minted_ms: self.taken_up_to_ms(now, self.is_known_to_all()) + lease_ms,
+            minted_ms: self.latest_taken_ms(now, self.is_known_to_all()) + lease_ms,
         }
     }
 
     /// Whether every owner's lead is noted here, and every owner sees what this entry changes.
     fn sees_all_owners(&self, now: Now) -> bool {
-        self.is_known_to_all() || self.ride_left(now).is_zero()
+        self.is_known_to_all() || self.remaining_ride(now).is_zero()
     }
 
     /// Agents that are linked and not in the roster are enrolled.
-    fn want_enrolled(&mut self, now: Now, roster: &mut Roster) {
+    fn enrol_agents(&mut self, now: Now, roster: &mut Roster) {
         let parting = self.parting(now);
         let sees_all = self.sees_all_owners(now);
         let mut names = Vec::new();
@@ -238,17 +238,17 @@
     }
 
     /// Members that have been silent are taken over from.
-    fn want_cut(&mut self, now: Now, next: &mut OwnershipRecord) -> bool {
-        if now.mono < self.promised_out {
+    fn cut_silent_members(&mut self, now: Now, next: &mut OwnershipRecord) -> bool {
+        if now.mono < self.promised_until {
             return false;
         }
-        let live = self.live(now, next);
-        let rank = live.iter().filter(|inc| **inc < self.me).count() as u32;
-        let pause = self.setup.suspect + RANK_PAUSE * rank;
+        let live = self.live_members(now, next);
+        let rank = live.iter().filter(|inc| **inc < self.incarnation).count() as u32;
+        let pause = self.setup.suspect + RANK_DELAY * rank;
         let silent: Vec<(u64, String)> = next
             .members
             .iter()
-            .filter(|m| m.incarnation != self.me && self.silent(now, m, pause))
+            .filter(|m| m.incarnation != self.incarnation && self.is_silent(now, m, pause))
             .map(|m| (m.incarnation, m.name.clone()))
             .collect();
         for (incarnation, name) in &silent {
@@ -258,13 +258,13 @@
         !silent.is_empty()
     }
 
-    fn silent(&self, now: Now, member: &Member, pause: Duration) -> bool {
+    fn is_silent(&self, now: Now, member: &Member, pause: Duration) -> bool {
         let own_earlier = member.name == self.setup.name;
         if own_earlier {
             return true;
         }
         let seen = self.first_seen.get(&member.incarnation);
-        let settled = seen.is_some_and(|at| now.mono >= *at + SETTLING);
+        let settled = seen.is_some_and(|at| now.mono >= *at + CONNECT_GRACE);
         let of = |p: &&super::Peer| p.incarnation == member.incarnation;
         match self.peers.values().find(of) {
             Some(peer) => {
@@ -274,14 +274,14 @@
                     mono: now.mono - extra,
                     ..now
                 };
-                let quiet = !self.alive(before, peer);
-                let asks = peer.asking.is_some_and(|(since, last)| {
-                    now.mono >= since + CUT_OFF * 3 && now.mono < last + ASKING_BREAK
+                let quiet = !self.is_alive(before, peer);
+                let asks = peer.ask_span.is_some_and(|(since, last)| {
+                    now.mono >= since + CUT_OFF_DELAY * 3 && now.mono < last + ASKING_TIMEOUT
                 });
                 quiet || asks
             }
             None => {
-                let heard = self.last_heard.get(&member.incarnation);
+                let heard = self.disconnected_at.get(&member.incarnation);
                 match heard {
                     // Its link was closed and has not come back: most likely the process is gone.
                     Some(at) => now.mono >= *at + pause - self.setup.suspect * 2 / 3,
@@ -293,12 +293,12 @@
 
     /// Agents that have been silent for long are struck, so that a later takeover need not wait
     /// for them. Every owner must know this entry, or may ride on without seeing the change.
-    fn want_struck(&mut self, now: Now, roster: &mut Roster) -> bool {
-        if now.mono < self.promised_out || !self.sees_all_owners(now) {
+    fn remove_silent_agents(&mut self, now: Now, roster: &mut Roster) -> bool {
+        if now.mono < self.promised_until || !self.sees_all_owners(now) {
             return false;
         }
         let strike = self.setup.strike;
-        let listed = |inc: &u64| self.listed.get(inc).copied().unwrap_or(now.mono);
+        let listed = |inc: &u64| self.listed_since.get(inc).copied().unwrap_or(now.mono);
         let silent: Vec<u64> = roster
             .agents
             .iter()
@@ -320,8 +320,8 @@
     }
 
     /// A leaving entry without shards strikes itself.
-    fn want_gone(&mut self, next: &mut OwnershipRecord) {
-        let me = self.me;
+    fn remove_self_if_empty(&mut self, next: &mut OwnershipRecord) {
+        let me = self.incarnation;
         if self.leaving && next.owned(me).is_empty() {
             next.members.retain(|m| m.incarnation != me);
         }
--- a/lib/src/entry/claims.rs
+++ b/lib/src/entry/claims.rs
@@ -1,7 +1,7 @@
 //! Claims: what a once-only request writes to the store before anything of it starts.
 
 use super::Entry;
-use super::Errand;
+use super::PendingOp;
 use crate::job_table::JobKey;
 use crate::job_table::TaskState;
 use crate::outcome::Cause;
@@ -27,9 +27,9 @@
         let op = StoreOp::Swap {
             key: claim_key(id),
             index: 0,
-            value: claim_value(self.me),
+            value: claim_value(self.incarnation),
         };
-        self.store(Errand::WriteClaim(key), op);
+        self.store(PendingOp::WriteClaim(key), op);
     }
 
     pub(super) fn on_claim_written(&mut self, now: Now, key: JobKey, reply: StoreReply) {
@@ -38,10 +38,10 @@
         };
         let id = job.id;
         match reply {
-            StoreReply::Swapped(true) => self.claimed(key),
+            StoreReply::Swapped(true) => self.confirm_claim(key),
             StoreReply::Swapped(false) => {
                 let op = StoreOp::Get { key: claim_key(id) };
-                self.store(Errand::ReadClaim(key), op);
+                self.store(PendingOp::ReadClaim(key), op);
             }
             StoreReply::Value(_) | StoreReply::Lost => {
                 let detail = "the store can't take the claim that a once-only request needs";
@@ -52,11 +52,11 @@
 
     pub(super) fn on_claim_read(&mut self, now: Now, key: JobKey, reply: StoreReply) {
         let mine = match &reply {
-            StoreReply::Value(Some(stored)) => stored.value == claim_value(self.me),
+            StoreReply::Value(Some(stored)) => stored.value == claim_value(self.incarnation),
             _ => false,
         };
         if mine {
-            return self.claimed(key);
+            return self.confirm_claim(key);
         }
         let lost = TaskState::Lost;
         let answered = matches!(reply, StoreReply::Value(Some(_)));
@@ -69,13 +69,13 @@
                     .filter(|t| t.state == TaskState::Queued);
                 queued.for_each(|t| t.state = lost.clone());
             });
-            return self.check_end(now, key);
+            return self.end_if_decided(now, key);
         }
         let detail = "the claim of a once-only request can't be read back";
         self.refuse_claim(now, key, detail);
     }
 
-    fn claimed(&mut self, key: JobKey) {
+    fn confirm_claim(&mut self, key: JobKey) {
         self.table.update(key, |job| {
             job.claiming = false;
             job.claimed = true;
--- a/lib/src/entry/ending.rs
+++ b/lib/src/entry/ending.rs
@@ -1,7 +1,7 @@
 //! How jobs end: by their tasks, by their deadline, and out of memory at the horizon.
 
 use super::Entry;
-use super::Errand;
+use super::PendingOp;
 use super::Placed;
 use crate::clock::millis;
 use crate::fleet::AgentKey;
@@ -13,11 +13,11 @@
 use crate::store::StoreOp;
 
 /// How long after its deadline a job waits for the word of the agents that hold its tasks.
-const LAST_WORD: Duration = Duration::from_millis(500);
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
 
 impl Entry {
     /// Sets the state of a task that was placed, and ends its job if that decides it.
-    pub(super) fn settle_task(
+    pub(super) fn set_task_state(
         &mut self,
         now: Now,
         task: TaskKey,
@@ -38,13 +38,13 @@
                 entry.state = state;
             }
         });
-        self.check_end(now, key);
+        self.end_if_decided(now, key);
     }
 
     /// Takes in the word on a task that had been given up with its agent. The job has ended as
     /// `unknown` or `failed`; one that was `unknown` can be told more when it is asked for again.
     /// Returns whether the task was such a one.
-    pub(super) fn found_again(
+    pub(super) fn resolve_lost_task(
         &mut self,
         agent: AgentKey,
         task: TaskKey,
@@ -75,7 +75,7 @@
     }
 
     /// Ends a job if its tasks decide it: all answered, or one failed or lost.
-    pub(super) fn check_end(&mut self, now: Now, key: JobKey) {
+    pub(super) fn end_if_decided(&mut self, now: Now, key: JobKey) {
         let Some(job) = self.table.get(key) else {
             return;
         };
@@ -88,7 +88,7 @@
         let broken = job.tasks.iter().any(|t| failed(&t.state));
         if whole || broken {
             let detail = "a task may have run, and the agent that would know can't be asked";
-            let cause = if job.lost() && !self.readable(job.shard, job.id) {
+            let cause = if job.lost() && !self.is_accounted_for(job.shard, job.id) {
                 Cause::Unreadable
             } else {
                 Cause::WorkerLost
@@ -117,7 +117,7 @@
         let mut verdict = job.verdict(cause, detail);
         if let Verdict::Other(refusal) = &mut verdict {
             if refusal.outcome == Some(Outcome::NotRun) {
-                refusal.outcome = Some(self.idle_outcome(now));
+                refusal.outcome = Some(self.unstarted_outcome(now));
                 refusal.retry_ms = retry_ms;
             }
             if refusal.outcome == Some(Outcome::NotRun) {
@@ -142,7 +142,7 @@
             std::mem::take(&mut job.waiters)
         });
         for waiter in waiters.unwrap_or_default() {
-            self.tell(waiter, verdict.clone());
+            self.answer_waiter(waiter, verdict.clone());
         }
     }
 
@@ -162,10 +162,10 @@
             }
             if self.holdings.handing(job.shard) {
                 // Its next owner decides, or this one when it has the shard back.
-                self.deadlines.insert((now.mono + LAST_WORD, key));
+                self.deadlines.insert((now.mono + LATE_ANSWER_GRACE, key));
                 continue;
             }
-            let last = job.deadline + LAST_WORD;
+            let last = job.deadline + LATE_ANSWER_GRACE;
             if job.outstanding() && now.mono < last {
                 self.deadlines.insert((last, key));
                 continue;
@@ -187,7 +187,7 @@
             let claimed = removed.is_some_and(|j| j.claimed);
             if claimed {
                 let key = super::claims::claim_key(id);
-                self.store(Errand::Remove, StoreOp::Remove { key });
+                self.store(PendingOp::Remove, StoreOp::Remove { key });
             }
         }
     }
--- a/lib/src/entry/handing.rs
+++ b/lib/src/entry/handing.rs
@@ -2,7 +2,7 @@
 //! shards out: suspend, move, redirect. Requests for a shard that moves wait at their entry.
 
 use super::Entry;
-use super::account::surely_over;
+use super::account::latest_end;
 use crate::clock::micros;
 use crate::event::Kind;
 use crate::job_table::Job;
@@ -19,11 +19,11 @@
 use crate::tenure::Standing;
 
 /// How many bytes of records go into one message.
-const CHUNK: usize = 256 * 1024;
+const CHUNK_BYTES: usize = 256 * 1024;
 /// How long the next owner may take to hold the records.
-const PATIENCE: Duration = Duration::from_secs(3);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long the set of members must have been still before shards are evened out.
-const STILL: Duration = Duration::from_secs(2);
+const STABLE_TIME: Duration = Duration::from_secs(2);
 
 /// A shard whose records are being sent.
 #[derive(Clone, Copy, Debug)]
@@ -39,24 +39,24 @@
     round: u64,
     clear_ms: u64,
     records: Vec<wire::Record>,
-    whole: bool,
-    next: u32,
+    is_complete: bool,
+    next_index: u32,
 }
 
 impl Entry {
     /// Begins to hand over the shards that should be elsewhere.
-    pub(super) fn begin_moves(&mut self, now: Now) {
+    pub(super) fn rebalance_shards(&mut self, now: Now) {
         let Some(read) = self.read.clone() else {
             return;
         };
         if self.tenure.stand(now.mono) != Standing::Confirmed || self.change.is_some() {
             return;
         }
-        let still = now.mono >= self.moved + STILL;
-        let live = self.live(now, &read.record);
+        let still = now.mono >= self.live_changed + STABLE_TIME;
+        let live = self.live_members(now, &read.record);
         if live != self.last_live {
             self.last_live = live.clone();
-            self.moved = now.mono;
+            self.live_changed = now.mono;
             if !self.leaving {
                 return;
             }
@@ -67,8 +67,8 @@
         let owners = self.follower.config().limits.owners as usize;
         let mut moved = 0;
         for (shard, to) in read.record.moves(&live, owners) {
-            if self.holdings.active(shard) && to != self.me {
-                self.hand_over(now, shard, to);
+            if self.holdings.active(shard) && to != self.incarnation {
+                self.start_handover(now, shard, to);
                 moved += 1;
             }
         }
@@ -76,12 +76,12 @@
             self.log(Kind::Rebalance, format!("{moved} shards"));
         }
         if self.leaving && live.is_empty() {
-            self.release_idle();
+            self.release_idle_shards();
         }
     }
 
     /// A leaving entry without peers gives its shards back once no job of theirs is open.
-    fn release_idle(&mut self) {
+    fn release_idle_shards(&mut self) {
         let open = self
             .table
             .iter()
@@ -97,7 +97,7 @@
         }
     }
 
-    fn hand_over(&mut self, now: Now, shard: ShardId, to: u64) {
+    fn start_handover(&mut self, now: Now, shard: ShardId, to: u64) {
         let Some(held) = self.holdings.get(shard).cloned() else {
             return;
         };
@@ -109,7 +109,7 @@
         self.next_tag += 1;
         let round = self.next_tag;
         let since = now.mono;
-        self.handing.insert(shard, Outgoing { round, since });
+        self.outgoing.insert(shard, Outgoing { round, since });
         let mut part = wire::Handover {
             shard: shard.0,
             epoch: held.epoch.0 + 1,
@@ -119,12 +119,12 @@
         };
         let mut bytes = 0;
         for id in self.table.of_shard(shard) {
-            let Some(record) = self.wire_record(now, id) else {
+            let Some(record) = self.record_to_wire(now, id) else {
                 continue;
             };
-            bytes += record_bytes(&record);
+            bytes += record_size(&record);
             part.records.push(record);
-            if bytes > CHUNK {
+            if bytes > CHUNK_BYTES {
                 let next = wire::Handover {
                     records: Vec::new(),
                     index: part.index + 1,
@@ -139,7 +139,7 @@
         self.send(link, Body::Handover(part));
     }
 
-    fn wire_record(&self, now: Now, id: JobId) -> Option<wire::Record> {
+    fn record_to_wire(&self, now: Now, id: JobId) -> Option<wire::Record> {
         let job = self.table.get(self.table.find(id)?)?;
         let mut record = wire::Record {
             job: Some(id.wire()),
@@ -162,15 +162,15 @@
                 record.outcome = refusal.outcome.map_or(0, Outcome::code);
                 record.cause = refusal.cause.name().to_owned();
                 record.detail = refusal.detail.clone();
-                let tasks = job.tasks.iter().map(|t| self.wire_task(t));
+                let tasks = job.tasks.iter().map(|t| self.task_to_wire(t));
                 record.tasks = tasks.collect();
             }
-            None => record.tasks = job.tasks.iter().map(|t| self.wire_task(t)).collect(),
+            None => record.tasks = job.tasks.iter().map(|t| self.task_to_wire(t)).collect(),
         }
         Some(record)
     }
 
-    fn wire_task(&self, task: &Task) -> wire::RecordTask {
+    fn task_to_wire(&self, task: &Task) -> wire::RecordTask {
         let mut record = wire::RecordTask {
             payload: task.payload.clone(),
             ..Default::default()
@@ -203,21 +203,21 @@
                 round: part.round,
                 clear_ms: part.clear_ms,
                 records: Vec::new(),
-                whole: false,
-                next: 0,
+                is_complete: false,
+                next_index: 0,
             };
             self.incoming.insert(shard, fresh);
         }
         let Some(incoming) = self.incoming.get_mut(&shard) else {
             return;
         };
-        if incoming.round != part.round || incoming.next != part.index {
+        if incoming.round != part.round || incoming.next_index != part.index {
             return;
         }
-        incoming.next += 1;
+        incoming.next_index += 1;
         incoming.records.extend(part.records);
         if part.last {
-            incoming.whole = true;
+            incoming.is_complete = true;
             let handed = wire::Handed {
                 shard: part.shard,
                 epoch: part.epoch,
@@ -229,7 +229,7 @@
 
     pub(super) fn on_handed(&mut self, _now: Now, _link: LinkId, handed: wire::Handed) {
         let shard = ShardId(handed.shard);
-        let expected = self.handing.get(&shard).map(|o| o.round);
+        let expected = self.outgoing.get(&shard).map(|o| o.round);
         let Some(held) = self.holdings.get(shard) else {
             return;
         };
@@ -243,7 +243,7 @@
     }
 
     /// Puts the shards whose next owner holds their records into the next record.
-    pub(super) fn want_handed(&mut self, next: &mut OwnershipRecord) {
+    pub(super) fn apply_handovers(&mut self, next: &mut OwnershipRecord) {
         let handed: Vec<(ShardId, Epoch, u64)> = self
             .holdings
             .iter()
@@ -254,7 +254,7 @@
             .collect();
         for (shard, epoch, to) in handed {
             let slot = next.slot(shard);
-            let ours = slot.owner == self.me && slot.epoch == epoch.0;
+            let ours = slot.owner == self.incarnation && slot.epoch == epoch.0;
             if ours && (to == 0 || next.member(to).is_some()) {
                 next.hand(shard, to);
             }
@@ -263,25 +263,25 @@
 
     /// Goes on serving shards whose next owner does not answer. Once the record may have been
     /// changed for it, there is no way back until the record has been read.
-    pub(super) fn tend_handing(&mut self, now: Now) {
-        if self.change.is_some() || self.doubt.is_some() {
+    pub(super) fn abort_late_handovers(&mut self, now: Now) {
+        if self.change.is_some() || self.unconfirmed.is_some() {
             return;
         }
         let late: Vec<ShardId> = self
-            .handing
+            .outgoing
             .iter()
-            .filter(|(_, o)| now.mono >= o.since + PATIENCE)
+            .filter(|(_, o)| now.mono >= o.since + HANDOVER_TIMEOUT)
             .map(|(s, _)| *s)
             .collect();
         for shard in late {
-            self.handing.remove(&shard);
+            self.outgoing.remove(&shard);
             self.holdings.set_phase(shard, Phase::Active);
-            self.take_back(now, shard);
+            self.resume_shard(now, shard);
         }
     }
 
     /// Goes on with the jobs of a shard that was to be handed over.
-    fn take_back(&mut self, now: Now, shard: ShardId) {
+    fn resume_shard(&mut self, now: Now, shard: ShardId) {
         for id in self.table.of_shard(shard) {
             let Some(key) = self.table.find(id) else {
                 continue;
@@ -290,16 +290,16 @@
             if self.table.get(key).is_some_and(open) {
                 self.enqueue(key);
             }
-            self.check_end(now, key);
+            self.end_if_decided(now, key);
         }
     }
 
     /// Serves a shard whose records were handed over under this epoch. Returns whether they were.
-    pub(super) fn receive_handed(&mut self, now: Now, shard: ShardId, epoch: Epoch) -> bool {
+    pub(super) fn receive_shard(&mut self, now: Now, shard: ShardId, epoch: Epoch) -> bool {
         let whole = self
             .incoming
             .get(&shard)
-            .is_some_and(|i| i.whole && i.epoch == epoch);
+            .is_some_and(|i| i.is_complete && i.epoch == epoch);
         if !whole {
             return false;
         }
@@ -332,11 +332,11 @@
             team: self.names.get(&record.team),
             service: self.names.get(&record.service),
         };
-        let ended = ended_of(&record);
+        let ended = verdict_from_record(&record);
         let tasks: Vec<Task> = record
             .tasks
             .iter()
-            .map(|t| self.read_task(now, t))
+            .map(|t| self.task_from_wire(now, t))
             .collect();
         let submitted = ended.is_none() && record.tasks.iter().any(|t| !t.payload.is_empty());
         let deadline = now.mono + Duration::from_micros(record.left_us);
@@ -360,12 +360,12 @@
             self.deadlines.insert((deadline, key));
             self.enqueue(key);
         }
-        self.receive_placed(now, key);
-        self.check_end(now, key);
+        self.track_received_tasks(now, key);
+        self.end_if_decided(now, key);
     }
 
     /// Takes account of the tasks of a received job that may be running.
-    fn receive_placed(&mut self, now: Now, key: JobKey) {
+    fn track_received_tasks(&mut self, now: Now, key: JobKey) {
         let Some(job) = self.table.get(key) else {
             return;
         };
@@ -381,16 +381,16 @@
                 TaskState::Placed { agent, attempt, .. } => {
                     self.adopt_running(now, task, agent, attempt);
                     if open {
-                        self.recall(agent, task, attempt, shard);
+                        self.send_recall(agent, task, attempt, shard);
                     }
                 }
-                TaskState::Lost => self.haunt(surely_over(now.mono, deadline), lane.clone()),
+                TaskState::Lost => self.count_orphan(latest_end(now.mono, deadline), lane.clone()),
                 _ => {}
             }
         }
     }
 
-    fn read_task(&self, now: Now, task: &wire::RecordTask) -> Task {
+    fn task_from_wire(&self, now: Now, task: &wire::RecordTask) -> Task {
         let agent = self.fleet.of(task.incarnation);
         let state = match (task.status(), agent) {
             (wire::Status::Ok, _) => TaskState::Answered(task.body.clone()),
@@ -411,7 +411,7 @@
     }
 }
 
-fn ended_of(record: &wire::Record) -> Option<Verdict> {
+fn verdict_from_record(record: &wire::Record) -> Option<Verdict> {
     let outcome = Outcome::from_code(record.outcome)?;
     if outcome == Outcome::Complete {
         let body = record.tasks.first().map(|t| t.body.clone());
@@ -425,7 +425,7 @@
     )))
 }
 
-fn record_bytes(record: &wire::Record) -> usize {
+fn record_size(record: &wire::Record) -> usize {
     let task = |t: &wire::RecordTask| t.body.len() + t.payload.len() + 64;
     record.tasks.iter().map(task).sum::<usize>() + 128
 }
--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -12,27 +12,27 @@
 use crate::tenure::Standing;
 
 /// A peer that is behind by a configuration version for this long is sent it.
-const BEHIND: Duration = Duration::from_millis(1_000);
+const CONFIG_LAG: Duration = Duration::from_millis(1_000);
 /// A peer that asks for promises for this long, while this entry reaches the store, is cut off.
-pub(super) const CUT_OFF: Duration = Duration::from_millis(1_000);
+pub(super) const CUT_OFF_DELAY: Duration = Duration::from_millis(1_000);
 /// How many members watch over each that owns shards.
-const WATCHERS: usize = 3;
+const WATCHER_COUNT: usize = 3;
 /// Every so many heartbeats go to all peers, the others to the close ones only.
-const SLOW_BEATS: u32 = 16;
+const SLOW_HEARTBEAT_RATIO: u32 = 16;
 /// How many of the last heartbeats are remembered.
-const BEATS_KEPT: usize = 512;
+const KEPT_HEARTBEATS: usize = 512;
 /// A peer that has not asked for a promise for this long reaches the store again.
-pub(super) const ASKING_BREAK: Duration = Duration::from_millis(1_000);
+pub(super) const ASKING_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Entry {
     /// When this process was first given the time.
-    pub(super) fn born(&self) -> Mono {
-        self.born
+    pub(super) fn started_at(&self) -> Mono {
+        self.started_at
     }
 
     pub(super) fn agent_up(&mut self, now: Now, link: LinkId, hello: &wire::Hello) {
         let key = self.fleet.link_up(hello, link, now.mono);
-        self.replace_older(now, key);
+        self.remove_older_incarnations(now, key);
         self.plan_due = now.mono;
         let enrolled = self
             .read
@@ -43,16 +43,16 @@
         }
         self.log(Kind::LinkUp, format!("agent {}", hello.name));
         self.permitted.clear();
-        self.part_sent.remove(&key);
-        if self.owns() {
+        self.sent_parts.remove(&key);
+        if self.is_owner() {
             self.send_part(key);
         }
-        self.seal_at(key);
-        self.recall_at(key);
+        self.send_open_seals(key);
+        self.recall_all(key);
     }
 
     /// An agent that has started anew took its name over: the earlier incarnation is lost.
-    fn replace_older(&mut self, now: Now, key: AgentKey) {
+    fn remove_older_incarnations(&mut self, now: Now, key: AgentKey) {
         let Some(name) = self.fleet.get(key).map(|w| w.name.clone()) else {
             return;
         };
@@ -63,14 +63,14 @@
             .map(|(k, _)| k)
             .collect();
         for old in older {
-            self.lose_tasks(now, old);
+            self.mark_tasks_lost(now, old);
             self.fleet.remove(old);
-            self.part_sent.remove(&old);
+            self.sent_parts.remove(&old);
         }
     }
 
     /// Asks a returned agent what became of the tasks that were placed there before.
-    fn recall_at(&mut self, key: AgentKey) {
+    fn recall_all(&mut self, key: AgentKey) {
         let incarnation = self.fleet.get(key).map(|w| w.incarnation);
         let placed = self.placed.iter().filter(|(_, p)| p.agent == key);
         let placed = placed.map(|(t, p)| (*t, p.attempt, p.shard));
@@ -79,18 +79,24 @@
         let lost = lost.map(|(t, l)| (*t, l.attempt, l.shard));
         let tasks: Vec<(TaskKey, u64, ShardId)> = placed.chain(lost).collect();
         for (task, attempt, shard) in tasks {
-            self.recall(key, task, attempt, shard);
+            self.send_recall(key, task, attempt, shard);
         }
     }
 
-    pub(super) fn recall(&mut self, agent: AgentKey, task: TaskKey, attempt: u64, shard: ShardId) {
+    pub(super) fn send_recall(
+        &mut self,
+        agent: AgentKey,
+        task: TaskKey,
+        attempt: u64,
+        shard: ShardId,
+    ) {
         let Some(link) = self.fleet.get(agent).and_then(|w| w.link) else {
             return;
         };
         let Some(epoch) = self.holdings.get(shard).map(|h| h.epoch) else {
             return;
         };
-        self.waste("recall");
+        self.count_wasted("recall");
         let recall = wire::Recall {
             job: Some(task.job.wire()),
             task: task.task,
@@ -140,8 +146,8 @@
             tenure: self.tenure.number(),
             remain_us: micros(remain),
             enrolled,
-            entries: self.new_entries(link),
-            standby: !self.owns(),
+            entries: self.unsent_entries(link),
+            standby: !self.is_owner(),
             clock_ms: now.wall_ms,
             proven: self.clocks.is_proven(),
         };
@@ -150,7 +156,7 @@
     }
 
     /// The addresses of all entries, if the agent has not been told of this record's yet.
-    fn new_entries(&mut self, link: LinkId) -> Vec<String> {
+    fn unsent_entries(&mut self, link: LinkId) -> Vec<String> {
         let Some(read) = &self.read else {
             return Vec::new();
         };
@@ -174,7 +180,7 @@
         let Some(link) = worker.link else {
             return;
         };
-        let sent = self.part_sent.get(&key);
+        let sent = self.sent_parts.get(&key);
         if sent.is_some_and(|(v, _)| *v >= version) {
             return;
         }
@@ -186,7 +192,7 @@
         } else {
             bytes::Bytes::copy_from_slice(&json)
         };
-        self.part_sent.insert(key, (version, json));
+        self.sent_parts.insert(key, (version, json));
         let part = wire::Part {
             version,
             json: body,
@@ -196,7 +202,7 @@
     }
 
     pub(super) fn send_parts(&mut self, _now: Now) {
-        if !self.owns() {
+        if !self.is_owner() {
             return;
         }
         let keys: Vec<AgentKey> = self.fleet.iter().map(|(k, _)| k).collect();
@@ -213,18 +219,21 @@
         if !behind {
             return;
         }
-        let sent = self.part_sent.get(&key).is_some_and(|(v, _)| *v >= version);
+        let sent = self
+            .sent_parts
+            .get(&key)
+            .is_some_and(|(v, _)| *v >= version);
         if sent {
-            self.part_sent.remove(&key);
+            self.sent_parts.remove(&key);
         }
-        if sent || self.owns() {
+        if sent || self.is_owner() {
             self.send_part(key);
         }
     }
 
     /// Whether this entry owns shards. The others are on standby: they hold links to the agents, and
     /// leave heartbeats and configuration parts to those that own some.
-    pub(super) fn owns(&self) -> bool {
+    pub(super) fn is_owner(&self) -> bool {
         self.holdings.counts().0 > 0
     }
 
@@ -243,48 +252,48 @@
         let peer = Peer {
             name: hello.name.clone(),
             incarnation: hello.incarnation,
-            heard: now.mono,
+            last_heard: now.mono,
             leaving: false,
             config: 0,
-            behind: None,
-            abreast: None,
-            asking: None,
-            forwards: 0,
-            beaten: None,
+            behind_since: None,
+            current_since: None,
+            ask_span: None,
+            last_forward: 0,
+            last_heartbeat: None,
         };
         self.peers.insert(link, peer);
-        self.beat(now);
+        self.send_heartbeats(now);
         self.reroute(now);
     }
 
     pub(super) fn peer_down(&mut self, now: Now, link: LinkId) {
         self.log(Kind::LinkDown, "entry");
-        self.park_at(now, link);
+        self.park_requests_at(now, link);
     }
 
     /// Sends a heartbeat to the peers that are due one.
-    pub(super) fn beat_due(&mut self, now: Now) {
-        let slow = self.beats_sent.is_multiple_of(SLOW_BEATS);
-        self.beats_sent += 1;
-        let due = |inc: u64| slow || self.close_since.contains_key(&inc);
+    pub(super) fn send_due_heartbeats(&mut self, now: Now) {
+        let slow = self.heartbeat_rounds.is_multiple_of(SLOW_HEARTBEAT_RATIO);
+        self.heartbeat_rounds += 1;
+        let due = |inc: u64| slow || self.neighbour_since.contains_key(&inc);
         let links = self.peers.iter().filter(|(_, p)| due(p.incarnation));
         let links: Vec<LinkId> = links.map(|(l, _)| *l).collect();
-        self.beat_to(now, &links);
+        self.send_heartbeats_to(now, &links);
         self.ask_promises(now);
-        self.pass_config(now);
+        self.send_config_to_peers(now);
     }
 
     /// Sends a heartbeat to every peer, because something has changed that they need to know.
-    pub(super) fn beat(&mut self, now: Now) {
+    pub(super) fn send_heartbeats(&mut self, now: Now) {
         let links: Vec<LinkId> = self.peers.keys().copied().collect();
-        self.beat_to(now, &links);
+        self.send_heartbeats_to(now, &links);
     }
 
-    pub(super) fn beat_to(&mut self, now: Now, links: &[LinkId]) {
-        let seq = self.beats.back().map_or(1, |(seq, _)| seq + 1);
-        self.beats.push_back((seq, now.mono));
-        if self.beats.len() > BEATS_KEPT {
-            self.beats.pop_front();
+    pub(super) fn send_heartbeats_to(&mut self, now: Now, links: &[LinkId]) {
+        let seq = self.heartbeats.back().map_or(1, |(seq, _)| seq + 1);
+        self.heartbeats.push_back((seq, now.mono));
+        if self.heartbeats.len() > KEPT_HEARTBEATS {
+            self.heartbeats.pop_front();
         }
         for link in links {
             let Some(peer) = self.peers.get(link) else {
@@ -298,10 +307,10 @@
                 record: read.map_or(0, |r| r.record.seq),
                 leaving: self.leaving,
                 config: self.follower.version(),
-                incarnation: self.me,
+                incarnation: self.incarnation,
                 ..Default::default()
             };
-            self.tell_clocks(now, peer, &mut beat);
+            self.fill_clock_fields(now, peer, &mut beat);
             self.send(*link, Body::Beat(beat));
         }
     }
@@ -311,79 +320,79 @@
     ///
     /// The members stand in a ring by incarnation; each that owns shards is watched by the next few.
     /// The others hear from it now and then, and notice a closed link.
-    fn close_peers(&self) -> Vec<u64> {
+    fn ring_neighbours(&self) -> Vec<u64> {
         let Some(read) = &self.read else {
             return Vec::new();
         };
         let mut ring: Vec<u64> = read.record.members.iter().map(|m| m.incarnation).collect();
         ring.sort_unstable();
         let count = ring.len();
-        let Some(place) = ring.iter().position(|inc| *inc == self.me) else {
+        let Some(place) = ring.iter().position(|inc| *inc == self.incarnation) else {
             return ring;
         };
-        let after = (1..=WATCHERS).map(|i| ring[(place + i) % count]);
-        let before = (1..=WATCHERS).map(|i| ring[(place + count - i % count) % count]);
+        let after = (1..=WATCHER_COUNT).map(|i| ring[(place + i) % count]);
+        let before = (1..=WATCHER_COUNT).map(|i| ring[(place + count - i % count) % count]);
         let owns = |inc: &u64| read.record.shards.iter().any(|s| s.owner == *inc);
-        let after = after.filter(|_| owns(&self.me));
+        let after = after.filter(|_| owns(&self.incarnation));
         let mut close: Vec<u64> = after.chain(before.filter(owns)).collect();
-        close.retain(|inc| *inc != self.me);
+        close.retain(|inc| *inc != self.incarnation);
         close
     }
 
     /// Notes which peers are close from now on.
-    pub(super) fn note_close(&mut self, now: Now) {
-        let close = self.close_peers();
-        self.close_since.retain(|inc, _| close.contains(inc));
+    pub(super) fn update_neighbours(&mut self, now: Now) {
+        let close = self.ring_neighbours();
+        self.neighbour_since.retain(|inc, _| close.contains(inc));
         for incarnation in close {
-            self.close_since.entry(incarnation).or_insert(now.mono);
+            self.neighbour_since.entry(incarnation).or_insert(now.mono);
         }
     }
 
     /// Whether a peer answers, as far as its heartbeats are expected.
-    pub(super) fn alive(&self, now: Now, peer: &Peer) -> bool {
-        match self.close_since.get(&peer.incarnation) {
-            Some(since) => now.mono < peer.heard.max(*since) + self.setup.suspect,
-            None => now.mono < peer.heard + self.setup.beat * SLOW_BEATS * 2,
+    pub(super) fn is_alive(&self, now: Now, peer: &Peer) -> bool {
+        match self.neighbour_since.get(&peer.incarnation) {
+            Some(since) => now.mono < peer.last_heard.max(*since) + self.setup.suspect,
+            None => now.mono < peer.last_heard + self.setup.beat * SLOW_HEARTBEAT_RATIO * 2,
         }
     }
 
-    pub(super) fn on_beat(&mut self, now: Now, link: LinkId, beat: wire::Beat) {
-        let me = self.me;
+    pub(super) fn on_heartbeat(&mut self, now: Now, link: LinkId, beat: wire::Beat) {
+        let me = self.incarnation;
         let version = self.follower.version();
         let seq = self.read.as_ref().map_or(0, |r| r.record.seq);
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
-        peer.heard = now.mono;
-        let first = peer.beaten.is_none();
-        peer.beaten = Some((beat.seq, now.mono));
+        peer.last_heard = now.mono;
+        let first = peer.last_heartbeat.is_none();
+        peer.last_heartbeat = Some((beat.seq, now.mono));
         peer.leaving = beat.leaving;
         peer.config = beat.config;
         if peer.incarnation != beat.incarnation {
             peer.incarnation = beat.incarnation;
-            peer.asking = None;
+            peer.ask_span = None;
         }
-        peer.abreast = match beat.record < seq {
+        peer.current_since = match beat.record < seq {
             true => None,
-            false => peer.abreast.or(Some(now.mono)),
+            false => peer.current_since.or(Some(now.mono)),
         };
         if beat.knows == me {
-            self.knew_me.insert(beat.incarnation);
+            self.acknowledged_by.insert(beat.incarnation);
         }
-        peer.behind = match beat.config < version {
-            true => peer.behind.or(Some(now.mono)),
+        peer.behind_since = match beat.config < version {
+            true => peer.behind_since.or(Some(now.mono)),
             false => None,
         };
         if beat.record > seq {
             self.read_due = now.mono;
         }
-        self.hear_clocks(now, link, &beat, first);
+        self.handle_clock_fields(now, link, &beat, first);
     }
 
     /// Sends the configuration in force to peers that have been behind for a while: the store may
     /// have gone away before they could read it.
-    fn pass_config(&mut self, now: Now) {
-        let late = |p: &Peer| p.behind.is_some_and(|at| now.mono >= at + BEHIND);
+    fn send_config_to_peers(&mut self, now: Now) {
+        let late = |p: &Peer| p.behind_since.is_some_and(|at| now.mono >= at + CONFIG_LAG);
         let links: Vec<LinkId> = self
             .peers
             .iter()
@@ -392,7 +401,7 @@
             .collect();
         for link in links {
             if let Some(peer) = self.peers.get_mut(&link) {
-                peer.behind = Some(now.mono);
+                peer.behind_since = Some(now.mono);
             }
             let part = wire::Part {
                 version: self.follower.version(),
@@ -425,27 +434,27 @@
     }
 
     pub(super) fn on_promise_ask(&mut self, now: Now, link: LinkId, ask: wire::PromiseAsk) {
-        let reach = self.read_fresh(now);
+        let reach = self.is_read_fresh(now);
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
         let asker = peer.incarnation;
         let unbroken = peer
-            .asking
-            .filter(|(_, last)| reach && now.mono < *last + ASKING_BREAK);
+            .ask_span
+            .filter(|(_, last)| reach && now.mono < *last + ASKING_TIMEOUT);
         let since = unbroken.map_or(now.mono, |(since, _)| since);
-        peer.asking = Some((since, now.mono));
-        let cut_off = reach && now.mono >= since + CUT_OFF;
+        peer.ask_span = Some((since, now.mono));
+        let cut_off = reach && now.mono >= since + CUT_OFF_DELAY;
         let member = self
             .read
             .as_ref()
             .is_some_and(|r| r.record.member(asker).is_some());
-        let changing = self.change.as_ref().is_some_and(|c| c.reducing);
-        let reducing = changing || self.doubt.is_some_and(|d| d.reducing);
-        let given = member && !reducing && !cut_off;
+        let changing = self.change.as_ref().is_some_and(|c| c.revokes_right);
+        let revokes_right = changing || self.unconfirmed.is_some_and(|d| d.revokes_right);
+        let given = member && !revokes_right && !cut_off;
         let span = self.setup.tenure.promise;
         if given {
-            self.promised_out = self.promised_out.max(now.mono + span + span / 10);
+            self.promised_until = self.promised_until.max(now.mono + span + span / 10);
         }
         let promise = wire::Promise {
             seq: ask.seq,
@@ -459,7 +468,7 @@
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
-        peer.heard = now.mono;
+        peer.last_heard = now.mono;
         let member = peer.incarnation;
         self.tenure.promise(member, promise.seq, promise.given);
     }
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placing.rs
@@ -20,59 +20,59 @@
 use crate::tenure::Standing;
 
 /// The longest pause before a task that came back unstarted is sent again without budget.
-const LONGEST_PAUSE_MS: u64 = 50;
+const MAX_RETRY_DELAY_MS: u64 = 50;
 
 /// What became of the first task of a lane.
-enum Front {
+enum PlaceResult {
     /// It was sent.
     Sent,
     /// No worker that serves the lane's service has room.
     NoRoom,
     /// The lane has nothing to send, or its share is used up.
-    Passed,
+    Skipped,
 }
 
 impl Entry {
     /// Sends waiting tasks for as long as one can be sent.
-    pub(super) fn pump(&mut self, now: Now) {
+    pub(super) fn place_waiting(&mut self, now: Now) {
         if self.lanes.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
             return;
         }
         let config = self.follower.config().clone();
         let mut full: HashSet<Arc<str>> = HashSet::new();
-        let mut passed: HashSet<LaneName> = HashSet::new();
+        let mut skipped: HashSet<LaneName> = HashSet::new();
         // Each pass sends at most one task of each lane, the team furthest behind first.
         let mut sent = true;
         while sent {
             sent = false;
             for lane in self.lanes.order() {
-                if full.contains(&lane.service) || passed.contains(&lane) {
+                if full.contains(&lane.service) || skipped.contains(&lane) {
                     continue;
                 }
-                match self.send_front(now, &lane, &config) {
-                    Front::Sent => sent = true,
-                    Front::NoRoom => {
+                match self.place_first(now, &lane, &config) {
+                    PlaceResult::Sent => sent = true,
+                    PlaceResult::NoRoom => {
                         full.insert(lane.service);
                     }
-                    Front::Passed => {
-                        passed.insert(lane);
+                    PlaceResult::Skipped => {
+                        skipped.insert(lane);
                     }
                 }
             }
         }
     }
 
-    fn send_front(&mut self, now: Now, lane: &LaneName, config: &Configuration) -> Front {
+    fn place_first(&mut self, now: Now, lane: &LaneName, config: &Configuration) -> PlaceResult {
         let Some((task, key)) = self.first_waiting(now, lane) else {
-            return Front::Passed;
+            return PlaceResult::Skipped;
         };
         let Some(service) = config.services.get(&*lane.service) else {
             self.lanes.skip(lane);
             self.end_job(now, key, Cause::NoService, "the service was removed", 0);
-            return Front::Sent;
+            return PlaceResult::Sent;
         };
-        if !self.share_open(now, lane) {
-            return Front::Passed;
+        if !self.has_share(now, lane) {
+            return PlaceResult::Skipped;
         }
         let permitted = self.permitted(&lane.service, service);
         let scene = Scene {
@@ -82,7 +82,7 @@
             need: service.task_room(),
         };
         let Some(agent) = self.placer.pick(&scene, &mut self.rng) else {
-            return Front::NoRoom;
+            return PlaceResult::NoRoom;
         };
         let site_permits = self
             .fleet
@@ -91,11 +91,11 @@
         assert!(site_permits, "invariant: work runs only where it may");
         let weight = config.teams.get(&*lane.team).map_or(1, |t| t.weight);
         self.lanes.pop(lane, weight);
-        self.place(now, task, key, agent);
-        Front::Sent
+        self.send_start(now, task, key, agent);
+        PlaceResult::Sent
     }
 
-    /// The first task of a lane that still has to be sent; those before it are passed over.
+    /// The first task of a lane that still has to be sent; those before it are skipped over.
     fn first_waiting(&mut self, now: Now, lane: &LaneName) -> Option<(TaskKey, JobKey)> {
         loop {
             let task = self.lanes.front(lane)?;
@@ -115,7 +115,7 @@
     }
 
     /// Sends a task to an agent.
-    fn place(&mut self, now: Now, task: TaskKey, key: JobKey, agent: AgentKey) {
+    fn send_start(&mut self, now: Now, task: TaskKey, key: JobKey, agent: AgentKey) {
         self.send_part(agent);
         let Some(shard) = self.table.get(key).map(|j| j.shard) else {
             return;
@@ -204,39 +204,39 @@
         };
         let status = answer.status();
         if status != wire::Status::Running {
-            self.take_answer(now, agent, task, &answer);
+            self.handle_answer(now, agent, task, &answer);
         }
         if let (Some(load), Some(worker)) = (&answer.load, self.fleet.get_mut(agent)) {
             worker.report(load);
         }
     }
 
-    fn take_answer(&mut self, now: Now, agent: AgentKey, task: TaskKey, answer: &wire::Answer) {
+    fn handle_answer(&mut self, now: Now, agent: AgentKey, task: TaskKey, answer: &wire::Answer) {
         let Some(placed) = self.untrack(task, agent, answer.attempt) else {
-            if self.found_again(agent, task, answer) {
+            if self.resolve_lost_task(agent, task, answer) {
                 return;
             }
-            self.waste("late-answer");
+            self.count_wasted("late-answer");
             return self.log(Kind::LateAnswer, format!("{} task {}", task.job, task.task));
         };
         match answer.status() {
             wire::Status::Ok => {
-                self.ended(now, &placed, false, answer.took_us);
+                self.record_end(now, &placed, false, answer.took_us);
                 let state = TaskState::Answered(answer.body.clone());
-                self.settle_task(now, task, &placed, state);
+                self.set_task_state(now, task, &placed, state);
             }
             wire::Status::Failed => {
-                self.ended(now, &placed, true, answer.took_us);
+                self.record_end(now, &placed, true, answer.took_us);
                 let state = TaskState::Failed(answer.body.clone());
-                self.settle_task(now, task, &placed, state);
+                self.set_task_state(now, task, &placed, state);
             }
-            _ => self.came_back(now, task, &placed, answer.refusal()),
+            _ => self.retry_task(now, task, &placed, answer.refusal()),
         }
     }
 
     /// A task came back unstarted: it waits again, within the budget for repeats.
-    fn came_back(&mut self, now: Now, task: TaskKey, placed: &Placed, why: wire::Refusal) {
-        self.waste(returned_kind(why));
+    fn retry_task(&mut self, now: Now, task: TaskKey, placed: &Placed, why: wire::Refusal) {
+        self.count_wasted(returned_kind(why));
         let broken = why == wire::Refusal::Backend;
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             let (at, scale) = (placed.at, placed.scale);
@@ -249,7 +249,7 @@
         if why == wire::Refusal::Fenced {
             self.log(Kind::StaleStart, format!("{} task {}", task.job, task.task));
         }
-        self.settle_task(now, task, placed, TaskState::Queued);
+        self.set_task_state(now, task, placed, TaskState::Queued);
         let Some(key) = self.table.find(task.job) else {
             return;
         };
@@ -263,7 +263,7 @@
         if why != wire::Refusal::Fenced && self.retries.take(now.mono) {
             return self.lanes.push_front(&placed.lane, task);
         }
-        let pause = rand::Rng::random_range(&mut self.rng, 5..LONGEST_PAUSE_MS);
+        let pause = rand::Rng::random_range(&mut self.rng, 5..MAX_RETRY_DELAY_MS);
         let due = now.mono + Duration::from_millis(pause);
         self.delayed.push((due, placed.lane.clone(), task));
     }
--- a/lib/src/entry/record.rs
+++ b/lib/src/entry/record.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use super::Entry;
-use super::Errand;
+use super::PendingOp;
 use super::ReadRecord;
-use super::changing::CHANGE_PAUSE;
+use super::changing::CHANGE_INTERVAL;
 use crate::event::Kind;
 use crate::ownership::OwnershipRecord;
 use crate::ownership::RECORD_KEY;
@@ -20,30 +20,30 @@
 impl Entry {
     /// A store operation has ended.
     pub fn store_done(&mut self, now: Now, tag: u64, reply: StoreReply) {
-        self.begin(now);
-        let Some(errand) = self.errands.remove(&tag) else {
+        self.observe_time(now);
+        let Some(errand) = self.pending_ops.remove(&tag) else {
             return;
         };
         match errand {
-            Errand::ReadRecord { sent } => self.on_record_read(now, sent, reply),
-            Errand::ReadRoster { sent } => self.on_roster_read(now, sent, reply),
-            Errand::WriteRoster => self.on_roster_written(now, reply),
-            Errand::SwapRecord => self.on_record_swapped(now, reply),
-            Errand::WriteClaim(key) => self.on_claim_written(now, key, reply),
-            Errand::ReadClaim(key) => self.on_claim_read(now, key, reply),
-            Errand::Remove => {}
+            PendingOp::ReadRecord { sent } => self.on_record_read(now, sent, reply),
+            PendingOp::ReadRoster { sent } => self.on_roster_read(now, sent, reply),
+            PendingOp::WriteRoster => self.on_roster_written(now, reply),
+            PendingOp::SwapRecord => self.on_record_swapped(now, reply),
+            PendingOp::WriteClaim(key) => self.on_claim_written(now, key, reply),
+            PendingOp::ReadClaim(key) => self.on_claim_read(now, key, reply),
+            PendingOp::Remove => {}
         }
-        self.step(now);
+        self.advance(now);
     }
 
     /// Whether the store has answered a read of the record lately.
-    pub(super) fn read_fresh(&self, now: Now) -> bool {
+    pub(super) fn is_read_fresh(&self, now: Now) -> bool {
         let bound = self.setup.confirm * 2 + self.setup.confirm / 2;
-        self.read_ok.is_some_and(|at| now.mono < at + bound)
+        self.last_read.is_some_and(|at| now.mono < at + bound)
     }
 
     /// Reads the record when it is time.
-    pub(super) fn read_record(&mut self, now: Now) {
+    pub(super) fn read_record_if_due(&mut self, now: Now) {
         if self.reading || now.mono < self.read_due {
             return;
         }
@@ -52,18 +52,18 @@
         let op = StoreOp::Get {
             key: RECORD_KEY.to_owned(),
         };
-        self.store(Errand::ReadRecord { sent: now.mono }, op);
+        self.store(PendingOp::ReadRecord { sent: now.mono }, op);
     }
 
     fn on_record_read(&mut self, now: Now, sent: Mono, reply: StoreReply) {
         self.reading = false;
         let StoreReply::Value(value) = reply else {
-            return self.note_away(now);
+            return self.note_failed_read(now);
         };
-        if !self.read_fresh(now) && self.read_ok.is_some() {
+        if !self.is_read_fresh(now) && self.last_read.is_some() {
             self.log(Kind::StoreRecovered, String::new());
         }
-        self.read_ok = Some(sent);
+        self.last_read = Some(sent);
         let Some(Stored { value, index }) = value else {
             return self.on_record_absent(now);
         };
@@ -73,8 +73,8 @@
         }
     }
 
-    fn note_away(&mut self, now: Now) {
-        let just = self.read_ok.map(|at| now.mono.since(at));
+    fn note_failed_read(&mut self, now: Now) {
+        let just = self.last_read.map(|at| now.mono.since(at));
         if just.is_some_and(|age| age < self.setup.confirm * 3) {
             self.log(Kind::StoreUnavailable, String::new());
         }
@@ -101,15 +101,15 @@
             .filter(|r| r.record.roster == record.roster);
         if let Some(known) = known {
             let roster = known.roster.clone();
-            return self.adopt(now, sent, record, index, roster);
+            return self.adopt_record(now, sent, record, index, roster);
         }
         if record.roster.is_empty() {
-            return self.adopt(now, sent, record, index, Arc::new(Roster::default()));
+            return self.adopt_record(now, sent, record, index, Arc::new(Roster::default()));
         }
         let key = record.roster.clone();
         self.fetched = Some((record, index));
         self.reading = true;
-        self.store(Errand::ReadRoster { sent }, StoreOp::Get { key });
+        self.store(PendingOp::ReadRoster { sent }, StoreOp::Get { key });
     }
 
     fn on_roster_read(&mut self, now: Now, sent: Mono, reply: StoreReply) {
@@ -119,17 +119,17 @@
         };
         let StoreReply::Value(Some(stored)) = reply else {
             // A newer record may have replaced it meanwhile: read again.
-            self.read_due = now.mono + CHANGE_PAUSE;
+            self.read_due = now.mono + CHANGE_INTERVAL;
             return;
         };
         match serde_json::from_slice::<Roster>(&stored.value) {
-            Ok(roster) => self.adopt(now, sent, record, index, Arc::new(roster)),
+            Ok(roster) => self.adopt_record(now, sent, record, index, Arc::new(roster)),
             Err(e) => self.log(Kind::BadRecord, e.to_string()),
         }
     }
 
     /// Takes in the record as it stood when the read was sent or later.
-    fn adopt(
+    fn adopt_record(
         &mut self,
         now: Now,
         sent: Mono,
@@ -141,58 +141,58 @@
         if index < before {
             return;
         }
-        if self.doubt.is_some_and(|d| index != d.base) {
-            self.doubt = None;
+        if self.unconfirmed.is_some_and(|d| index != d.base) {
+            self.unconfirmed = None;
         }
-        let changed = index != before || self.joined.is_none();
+        let changed = index != before || self.joined_at.is_none();
         let record = Arc::new(record);
         self.read = Some(ReadRecord {
             record: record.clone(),
             roster: roster.clone(),
             index,
         });
-        if record.member(self.me).is_some() {
+        if record.member(self.incarnation).is_some() {
             let others = record.members.iter().map(|m| m.incarnation);
-            let others = others.filter(|inc| *inc != self.me).collect();
+            let others = others.filter(|inc| *inc != self.incarnation).collect();
             self.tenure.confirm(sent, others);
-            self.begin(now);
-            if self.joined.is_none() {
-                self.joined = Some(now.mono);
+            self.observe_time(now);
+            if self.joined_at.is_none() {
+                self.joined_at = Some(now.mono);
                 self.log(Kind::Joined, self.setup.name.clone());
             }
-        } else if self.joined.is_some() {
-            self.dropped(now);
+        } else if self.joined_at.is_some() {
+            self.handle_removal(now);
         }
         if changed {
             self.plan_due = now.mono;
-            self.note_members(now, &record);
-            self.note_close(now);
-            self.note_roster(now, &roster);
+            self.update_members(now, &record);
+            self.update_neighbours(now);
+            self.apply_roster(now, &roster);
             self.compare_holdings(now, &record, &roster);
             self.drop_allocators();
             self.reroute(now);
-            self.beat(now);
+            self.send_heartbeats(now);
         }
     }
 
     /// Another entry took this one for dead. It joins anew under another incarnation, because the
     /// members that are told apart by it must know that its earlier right is over.
-    fn dropped(&mut self, now: Now) {
+    fn handle_removal(&mut self, now: Now) {
         if self.leaving {
-            self.joined = None;
+            self.joined_at = None;
             self.tenure.drop_right();
-            self.begin(now);
+            self.observe_time(now);
             return;
         }
         self.log(Kind::Dropped, self.setup.name.clone());
         self.tenure.drop_right();
-        self.begin(now);
-        self.joined = None;
-        self.me = rand::Rng::random(&mut self.rng);
-        self.knew_me.clear();
+        self.observe_time(now);
+        self.joined_at = None;
+        self.incarnation = rand::Rng::random(&mut self.rng);
+        self.acknowledged_by.clear();
     }
 
-    fn note_members(&mut self, now: Now, record: &OwnershipRecord) {
+    fn update_members(&mut self, now: Now, record: &OwnershipRecord) {
         let present: BTreeSet<u64> = record.members.iter().map(|m| m.incarnation).collect();
         self.first_seen.retain(|inc, _| present.contains(inc));
         for inc in present {
@@ -200,10 +200,12 @@
         }
     }
 
-    fn note_roster(&mut self, now: Now, roster: &Roster) {
-        self.listed.retain(|inc, _| roster.lists(*inc));
+    fn apply_roster(&mut self, now: Now, roster: &Roster) {
+        self.listed_since.retain(|inc, _| roster.lists(*inc));
         for agent in &roster.agents {
-            self.listed.entry(agent.incarnation).or_insert(now.mono);
+            self.listed_since
+                .entry(agent.incarnation)
+                .or_insert(now.mono);
         }
         for (_, worker) in self.fleet.iter_mut() {
             worker.enrolled = roster.lists(worker.incarnation);
@@ -212,7 +214,7 @@
 
     /// Compares what the record gives this entry with what it serves.
     fn compare_holdings(&mut self, now: Now, record: &OwnershipRecord, roster: &Roster) {
-        let owned = record.owned(self.me);
+        let owned = record.owned(self.incarnation);
         let gone: Vec<ShardId> = self
             .holdings
             .iter()
@@ -220,23 +222,23 @@
             .map(|(s, _)| *s)
             .collect();
         for shard in gone {
-            self.lose_shard(now, shard);
+            self.release_shard(now, shard);
         }
-        let was_owner = self.owns();
+        let was_owner = self.is_owner();
         let mut claims = Vec::new();
         let mut handed = Vec::new();
         for (shard, epoch) in owned {
             if self.holdings.get(shard).is_some() {
                 continue;
             }
-            if self.receive_handed(now, shard, epoch) {
+            if self.receive_shard(now, shard, epoch) {
                 handed.push((shard, epoch));
             } else {
                 claims.push((shard, epoch));
             }
         }
-        self.wake_agents(&handed);
-        if !was_owner && self.owns() {
+        self.announce_received(&handed);
+        if !was_owner && self.is_owner() {
             self.send_parts(now);
         }
         self.incoming.retain(|s, i| {
@@ -244,27 +246,27 @@
             slot.epoch < i.epoch.0
         });
         if !claims.is_empty() {
-            self.open_round(now, claims, record, roster);
+            self.start_takeover(now, claims, record, roster);
         }
     }
 
     /// Lets go of a shard that another entry owns now.
-    fn lose_shard(&mut self, now: Now, shard: ShardId) {
+    fn release_shard(&mut self, now: Now, shard: ShardId) {
         let was = self.holdings.get(shard).map(|h| h.phase);
         if matches!(was, Some(Phase::Handed(_))) {
             self.counts.handovers += 1;
         }
         self.holdings.release(shard);
-        self.handing.remove(&shard);
+        self.outgoing.remove(&shard);
         self.untrack_shard(now, shard);
-        self.refused.retain(|_, r| r.shard != shard);
+        self.recent_refusals.retain(|_, r| r.shard != shard);
         self.lost.retain(|_, l| l.shard != shard);
         for id in self.table.of_shard(shard) {
             let Some(job) = self.table.remove(id) else {
                 continue;
             };
             for waiter in job.waiters {
-                self.turn_away(now, waiter);
+                self.redirect_waiter(now, waiter);
             }
         }
     }
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -13,13 +13,13 @@
 use crate::tenure::Standing;
 
 /// How much longer than its deadline a request waits for the owner's word.
-const LATE: Duration = Duration::from_millis(2_000);
+const OWNER_ANSWER_GRACE: Duration = Duration::from_millis(2_000);
 /// How long a request that was turned away waits for a newer record.
-const TURNED_AWAY: Duration = Duration::from_millis(100);
+const REDIRECT_DELAY: Duration = Duration::from_millis(100);
 /// When to come back after a request for which there is no owner.
 const NO_OWNER_RETRY_MS: u64 = 2_000;
 /// Without an answer from the store for this long, no takeover is expected.
-const STORE_AWAY: Duration = Duration::from_millis(1_500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// What a caller asks.
 #[derive(Clone, Debug)]
@@ -56,15 +56,15 @@
     route: Route,
     arrived: Mono,
     deadline: Mono,
-    parked: Mono,
+    parked_at: Mono,
     /// Not to be sent on before this time: a peer has just turned it away.
-    pause: Mono,
+    not_before: Mono,
 }
 
 /// A request for a shard that this entry owns, and either does not serve yet, or can't judge by
 /// the job's mint time yet.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldRequest {
     shard: ShardId,
     waiter: Waiter,
     submission: Submission,
@@ -75,7 +75,7 @@
     /// A caller's request, numbered by the daemon. It is answered by exactly one
     /// [`super::Action::Respond`].
     pub fn submit(&mut self, now: Now, id: u64, submission: Submission) {
-        self.begin(now);
+        self.observe_time(now);
         self.counts.requests += 1;
         let limits = self.follower.config().limits;
         let named = !submission.left.is_zero();
@@ -85,15 +85,15 @@
         let request = Request {
             route: Route::Parked,
             arrived: now.mono,
-            parked: now.mono,
-            pause: Mono(0),
+            parked_at: now.mono,
+            not_before: Mono(0),
             deadline: now.mono + left.min(longest),
             submission,
         };
         let before = self.requests.insert(id, request);
         assert!(before.is_none(), "invariant: a request has one number");
-        self.route(now, id);
-        self.step(now);
+        self.route_request(now, id);
+        self.advance(now);
     }
 
     /// The caller has gone. Its job goes on; the answer is kept for its resubmission.
@@ -107,22 +107,22 @@
     }
 
     /// Sends a parked request to where its job is decided, if that is possible now.
-    fn route(&mut self, now: Now, id: u64) {
+    fn route_request(&mut self, now: Now, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if request.route != Route::Parked || now.mono < request.pause {
+        if request.route != Route::Parked || now.mono < request.not_before {
             return;
         }
         let Some(shard) = self.shard_of(request.submission.job) else {
-            return self.give_up_hopeless(now, id, false);
+            return self.give_up_if_hopeless(now, id, false);
         };
         if self.holdings.active(shard) && self.tenure.stand(now.mono) != Standing::Lapsed {
-            return self.route_here(now, id);
+            return self.route_locally(now, id);
         }
         match self.owner_link(now, shard) {
-            Some(link) => self.route_to(now, id, link),
-            None => self.give_up_hopeless(now, id, true),
+            Some(link) => self.forward_to(now, id, link),
+            None => self.give_up_if_hopeless(now, id, true),
         }
     }
 
@@ -130,21 +130,21 @@
     fn owner_link(&self, now: Now, shard: ShardId) -> Option<LinkId> {
         let owner = self.read.as_ref()?.record.slot(shard).owner;
         let (link, peer) = self.peers.iter().find(|(_, p)| p.incarnation == owner)?;
-        self.alive(now, peer).then_some(*link)
+        self.is_alive(now, peer).then_some(*link)
     }
 
-    fn route_here(&mut self, now: Now, id: u64) {
+    fn route_locally(&mut self, now: Now, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.route = Route::Own;
         let mut submission = request.submission.clone();
         submission.left = now.mono.until(request.deadline);
-        self.decide(now, Waiter::Local(id), submission);
+        self.decide_request(now, Waiter::Local(id), submission);
     }
 
-    fn route_to(&mut self, now: Now, id: u64, link: LinkId) {
-        let Some((beat, beaten)) = self.peers.get(&link).and_then(|p| p.beaten) else {
+    fn forward_to(&mut self, now: Now, id: u64, link: LinkId) {
+        let Some((beat, beaten)) = self.peers.get(&link).and_then(|p| p.last_heartbeat) else {
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
@@ -171,22 +171,22 @@
 
     /// Ends a request at once when nothing can be expected to give its job an owner: the store is
     /// away, so nobody can take over. Whether the job ran is not known here.
-    fn give_up_hopeless(&mut self, now: Now, id: u64, known: bool) {
-        let age = self.read_ok.map(|at| now.mono.since(at));
-        let away = age.is_some_and(|age| age > STORE_AWAY);
-        if away || (!known && self.store_never_answered(now)) {
-            self.no_owner(
+    fn give_up_if_hopeless(&mut self, now: Now, id: u64, known: bool) {
+        let age = self.last_read.map(|at| now.mono.since(at));
+        let away = age.is_some_and(|age| age > STORE_TIMEOUT);
+        if away || (!known && self.has_store_never_answered(now)) {
+            self.end_without_owner(
                 id,
                 "the store does not answer, so nobody can take the job over",
             );
         }
     }
 
-    fn store_never_answered(&self, now: Now) -> bool {
-        self.read_ok.is_none() && now.mono > self.born() + STORE_AWAY
+    fn has_store_never_answered(&self, now: Now) -> bool {
+        self.last_read.is_none() && now.mono > self.started_at() + STORE_TIMEOUT
     }
 
-    fn no_owner(&mut self, id: u64, detail: &str) {
+    fn end_without_owner(&mut self, id: u64, detail: &str) {
         let refusal = Refusal::new(Outcome::Unknown, Cause::NoOwner, detail);
         self.respond(id, Verdict::Other(refusal.retry(NO_OWNER_RETRY_MS)));
     }
@@ -203,20 +203,20 @@
     }
 
     /// Answers whoever waits.
-    pub(super) fn tell(&mut self, waiter: Waiter, verdict: Verdict) {
+    pub(super) fn answer_waiter(&mut self, waiter: Waiter, verdict: Verdict) {
         match waiter {
             Waiter::Local(id) => self.respond(id, verdict),
             Waiter::Peer(link, request) => {
-                let reply = wire_reply(request, verdict);
+                let reply = reply_from_verdict(request, verdict);
                 self.send(link, Body::Reply(reply));
             }
         }
     }
 
     /// Sends whoever waits elsewhere: this entry does not own the job any more.
-    pub(super) fn turn_away(&mut self, now: Now, waiter: Waiter) {
+    pub(super) fn redirect_waiter(&mut self, now: Now, waiter: Waiter) {
         match waiter {
-            Waiter::Local(id) => self.park(now, id),
+            Waiter::Local(id) => self.park_request(now, id),
             Waiter::Peer(link, request) => {
                 let reply = wire::Reply {
                     request,
@@ -228,10 +228,10 @@
         }
     }
 
-    fn park(&mut self, now: Now, id: u64) {
+    fn park_request(&mut self, now: Now, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             if request.route != Route::Parked {
-                request.parked = now.mono;
+                request.parked_at = now.mono;
             }
             request.route = Route::Parked;
         }
@@ -244,16 +244,16 @@
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
-        if forward.seq <= peer.forwards {
-            return self.waste("repeated-forward");
+        if forward.seq <= peer.last_forward {
+            return self.count_wasted("repeated-forward");
         }
-        peer.forwards = forward.seq;
+        peer.last_forward = forward.seq;
         let waiter = Waiter::Peer(link, forward.request);
         // A message that was under way for longer than the deadline starts nothing any more: its
         // caller has been answered.
-        let left = self.forward_left(now, &forward);
+        let left = self.remaining_time(now, &forward);
         if left.is_zero() {
-            return self.waste("late-forward");
+            return self.count_wasted("late-forward");
         }
         let submission = Submission {
             job,
@@ -266,19 +266,19 @@
         let shard = self.shard_of(job);
         match shard.and_then(|s| Some((s, self.holdings.get(s)?.phase))) {
             Some((_, Phase::Active)) if self.tenure.stand(now.mono) != Standing::Lapsed => {
-                self.decide(now, waiter, submission);
+                self.decide_request(now, waiter, submission);
             }
-            Some((_, Phase::Sealing)) => self.hold(now, waiter, submission),
-            _ => self.turn_away(now, waiter),
+            Some((_, Phase::Sealing)) => self.hold_request(now, waiter, submission),
+            _ => self.redirect_waiter(now, waiter),
         }
     }
 
     /// Keeps a request until its job can be decided on.
-    pub(super) fn hold(&mut self, now: Now, waiter: Waiter, submission: Submission) {
+    pub(super) fn hold_request(&mut self, now: Now, waiter: Waiter, submission: Submission) {
         let Some(shard) = self.shard_of(submission.job) else {
-            return self.turn_away(now, waiter);
+            return self.redirect_waiter(now, waiter);
         };
-        self.held.push(Held {
+        self.held_requests.push(HeldRequest {
             shard,
             waiter,
             deadline: now.mono + submission.left,
@@ -288,30 +288,33 @@
 
     /// Decides on the requests that were held for shards which are served now, and sends those
     /// away whose shard went elsewhere. Those of peers that are too late are ended by these.
-    pub(super) fn tend_held(&mut self, now: Now) {
-        for held in std::mem::take(&mut self.held) {
+    pub(super) fn process_held_requests(&mut self, now: Now) {
+        for held in std::mem::take(&mut self.held_requests) {
             if now.mono >= held.deadline {
                 if let Waiter::Local(id) = held.waiter {
-                    self.no_owner(id, "the job could not be decided on before its deadline");
+                    self.end_without_owner(
+                        id,
+                        "the job could not be decided on before its deadline",
+                    );
                 }
                 continue;
             }
             match self.holdings.get(held.shard).map(|h| h.phase) {
-                Some(Phase::Sealing) => self.held.push(held),
+                Some(Phase::Sealing) => self.held_requests.push(held),
                 Some(Phase::Active) if self.tenure.stand(now.mono) != Standing::Lapsed => {
                     let mut submission = held.submission;
                     submission.left = now.mono.until(held.deadline);
-                    self.decide(now, held.waiter, submission);
+                    self.decide_request(now, held.waiter, submission);
                 }
-                _ => self.turn_away(now, held.waiter),
+                _ => self.redirect_waiter(now, held.waiter),
             }
         }
     }
 
     /// The time left to a forwarded request, counted from a heartbeat of this entry's own.
-    fn forward_left(&self, now: Now, forward: &wire::Forward) -> Duration {
+    fn remaining_time(&self, now: Now, forward: &wire::Forward) -> Duration {
         let sent = self
-            .beats
+            .heartbeats
             .iter()
             .rev()
             .find(|(seq, _)| *seq == forward.beat);
@@ -328,23 +331,23 @@
         let id = reply.request;
         let there = |r: &Request| r.route == Route::Link(link);
         if !self.requests.get(&id).is_some_and(there) {
-            return self.waste("late-reply");
+            return self.count_wasted("late-reply");
         }
         if reply.elsewhere {
-            self.waste("elsewhere");
-            self.park(now, id);
+            self.count_wasted("elsewhere");
+            self.park_request(now, id);
             if let Some(request) = self.requests.get_mut(&id) {
-                request.pause = now.mono + TURNED_AWAY;
+                request.not_before = now.mono + REDIRECT_DELAY;
             }
             self.read_due = now.mono;
             return;
         }
-        let verdict = verdict_of(reply);
+        let verdict = verdict_from_reply(reply);
         self.respond(id, verdict);
     }
 
     /// Requests that were with a peer whose link is down look for the owner anew.
-    pub(super) fn park_at(&mut self, now: Now, link: LinkId) {
+    pub(super) fn park_requests_at(&mut self, now: Now, link: LinkId) {
         let stranded: Vec<u64> = self
             .requests
             .iter()
@@ -352,7 +355,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in stranded {
-            self.park(now, id);
+            self.park_request(now, id);
         }
     }
 
@@ -361,19 +364,19 @@
         let moved: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, r)| self.misrouted(r))
+            .filter(|(_, r)| self.is_misrouted(r))
             .map(|(id, _)| *id)
             .collect();
         for id in moved {
-            self.park(now, id);
+            self.park_request(now, id);
         }
         for request in self.requests.values_mut() {
-            request.pause = Mono(0);
+            request.not_before = Mono(0);
         }
         self.route_parked(now);
     }
 
-    fn misrouted(&self, request: &Request) -> bool {
+    fn is_misrouted(&self, request: &Request) -> bool {
         let Route::Link(link) = request.route else {
             return false;
         };
@@ -393,13 +396,13 @@
             .map(|(id, _)| *id)
             .collect();
         for id in parked {
-            self.route(now, id);
+            self.route_request(now, id);
         }
     }
 
     /// Looks after requests that wait for an owner.
-    pub(super) fn tend_requests(&mut self, now: Now) {
-        self.tend_held(now);
+    pub(super) fn process_requests(&mut self, now: Now) {
+        self.process_held_requests(now);
         self.route_parked(now);
     }
 
@@ -408,24 +411,24 @@
         let over: Vec<(u64, &'static str)> = self
             .requests
             .iter()
-            .filter_map(|(id, r)| Some((*id, self.over(now, r)?)))
+            .filter_map(|(id, r)| Some((*id, self.timeout_detail(now, r)?)))
             .collect();
         for (id, detail) in over {
-            self.no_owner(id, detail);
+            self.end_without_owner(id, detail);
         }
     }
 
-    fn over(&self, now: Now, request: &Request) -> Option<&'static str> {
-        let late = now.mono >= request.deadline + LATE;
+    fn timeout_detail(&self, now: Now, request: &Request) -> Option<&'static str> {
+        let late = now.mono >= request.deadline + OWNER_ANSWER_GRACE;
         match request.route {
-            Route::Parked if now.mono >= request.parked + self.setup.park => {
+            Route::Parked if now.mono >= request.parked_at + self.setup.park => {
                 Some("no entry could take the job over in time")
             }
             Route::Parked if now.mono >= request.deadline => {
                 Some("no entry could take the job over before its deadline")
             }
             Route::Link(_) if late => Some("the job's owner did not answer"),
-            Route::Own if late && now.mono >= request.arrived + LATE => {
+            Route::Own if late && now.mono >= request.arrived + OWNER_ANSWER_GRACE => {
                 Some("the job did not end in time")
             }
             _ => None,
@@ -433,7 +436,7 @@
     }
 }
 
-fn wire_reply(request: u64, verdict: Verdict) -> wire::Reply {
+fn reply_from_verdict(request: u64, verdict: Verdict) -> wire::Reply {
     match verdict {
         Verdict::Complete(body) => wire::Reply {
             request,
@@ -452,7 +455,7 @@
     }
 }
 
-fn verdict_of(reply: wire::Reply) -> Verdict {
+fn verdict_from_reply(reply: wire::Reply) -> Verdict {
     let outcome = Outcome::from_code(reply.outcome);
     if outcome == Some(Outcome::Complete) {
         return Verdict::Complete(reply.body);
--- a/lib/src/entry/sealing.rs
+++ b/lib/src/entry/sealing.rs
@@ -25,7 +25,7 @@
 
 impl Entry {
     /// Seals shards that the record has just given to this entry.
-    pub(super) fn open_round(
+    pub(super) fn start_takeover(
         &mut self,
         now: Now,
         claims: Vec<(ShardId, Epoch)>,
@@ -42,13 +42,13 @@
         } else {
             lease + lease / 20
         };
-        let known = cuts.iter().all(|inc| self.knew_me.contains(inc));
+        let known = cuts.iter().all(|inc| self.acknowledged_by.contains(inc));
         let settled = if cuts.is_empty() {
             SEAL_WAIT
         } else if known {
             lapse
         } else {
-            self.ride_left(now)
+            self.remaining_ride(now)
         };
         let agents = roster.agents.iter().map(|a| a.incarnation).collect();
         let opening = Opening {
@@ -62,28 +62,28 @@
         let id = self.holdings.open(now.mono, opening);
         let keys: Vec<AgentKey> = self.fleet.iter().map(|(k, _)| k).collect();
         for key in keys {
-            self.seal_round(key, id);
+            self.send_seal(key, id);
         }
     }
 
     /// How long an owner that does not know this entry may still be riding on promises.
-    pub(super) fn ride_left(&self, now: Now) -> Duration {
+    pub(super) fn remaining_ride(&self, now: Now) -> Duration {
         let ride = self.setup.tenure.ride;
-        let joined = self.joined.unwrap_or(now.mono);
+        let joined = self.joined_at.unwrap_or(now.mono);
         now.mono.until(joined + ride + ride / 20)
     }
 
     /// Seals at an agent whatever waits for it.
-    pub(super) fn seal_at(&mut self, key: AgentKey) {
+    pub(super) fn send_open_seals(&mut self, key: AgentKey) {
         let Some(incarnation) = self.fleet.get(key).map(|w| w.incarnation) else {
             return;
         };
         for id in self.holdings.unanswered(incarnation) {
-            self.seal_round(key, id);
+            self.send_seal(key, id);
         }
     }
 
-    fn seal_round(&mut self, key: AgentKey, id: RoundId) {
+    fn send_seal(&mut self, key: AgentKey, id: RoundId) {
         let Some(link) = self.fleet.get(key).and_then(|w| w.link) else {
             return;
         };
@@ -100,7 +100,7 @@
 
     /// Tells the agents of shards that were handed over: they fence the former owner off, and know
     /// that this entry sends work from now on.
-    pub(super) fn wake_agents(&mut self, handed: &[(ShardId, Epoch)]) {
+    pub(super) fn announce_received(&mut self, handed: &[(ShardId, Epoch)]) {
         if handed.is_empty() {
             return;
         }
@@ -126,16 +126,16 @@
             worker.heard = now.mono;
         }
         for started in &sealed.started {
-            self.take_evidence(now, agent, started);
+            self.record_started_task(now, agent, started);
         }
         if sealed.last {
-            self.unread.remove(&incarnation);
+            self.unread_slots.remove(&incarnation);
             self.holdings.answered(RoundId(sealed.round), incarnation);
         }
     }
 
     /// Takes in what an agent tells of one task that it has started.
-    fn take_evidence(&mut self, now: Now, agent: AgentKey, started: &wire::Started) {
+    fn record_started_task(&mut self, now: Now, agent: AgentKey, started: &wire::Started) {
         let Some(id) = JobId::from_wire(started.job) else {
             return;
         };
@@ -147,7 +147,7 @@
         }
         let key = match self.table.find(id) {
             Some(key) => key,
-            None => self.evidence_job(now, id, shard, started),
+            None => self.insert_reported_job(now, id, shard, started),
         };
         let state = match started.status() {
             wire::Status::Ok => TaskState::Answered(started.body.clone()),
@@ -181,11 +181,11 @@
         if running {
             self.adopt_running(now, task, agent, started.attempt);
         }
-        self.check_end(now, key);
+        self.end_if_decided(now, key);
     }
 
     /// The record of a job that is known from an agent alone.
-    fn evidence_job(
+    fn insert_reported_job(
         &mut self,
         now: Now,
         id: JobId,
@@ -224,15 +224,15 @@
     }
 
     /// Serves the shards whose rounds are done.
-    pub(super) fn serve_ready(&mut self, now: Now) {
+    pub(super) fn serve_ready_shards(&mut self, now: Now) {
         if self.tenure.stand(now.mono) == Standing::Lapsed {
             return;
         }
         for id in self.holdings.ready(now.mono) {
             let began = self.holdings.round(id).map_or(now.mono, |r| r.began);
-            self.note_unread(now, id);
+            self.reserve_unread_slots(now, id);
             let known = self.holdings.round(id).is_some_and(|r| r.known);
-            let clear_ms = self.taken_up_to_ms(now, known);
+            let clear_ms = self.latest_taken_ms(now, known);
             let (shards, lost) = self.holdings.serve(id, clear_ms);
             if shards.is_empty() {
                 continue;
@@ -245,12 +245,12 @@
                 self.log(Kind::ReadbackIncomplete, format!("{lost} agents"));
             }
             self.route_parked(now);
-            self.tend_held(now);
+            self.process_held_requests(now);
         }
     }
 
     /// Keeps room in the quotas for tasks that may still run at agents that were not read back.
-    fn note_unread(&mut self, now: Now, id: RoundId) {
+    fn reserve_unread_slots(&mut self, now: Now, id: RoundId) {
         let longest = self.follower.config().limits.longest_ms;
         let Some(read) = &self.read else {
             return;
@@ -260,13 +260,15 @@
         for agent in &read.roster.agents {
             if pending.contains(&agent.incarnation) {
                 let until = now.mono + Duration::from_millis(longest);
-                self.unread.insert(agent.incarnation, (until, agent.slots));
+                self.unread_slots
+                    .insert(agent.incarnation, (until, agent.slots));
             }
         }
         for gone in &read.roster.gone {
             let left = (gone.until_ms + longest).saturating_sub(now.wall_ms);
             let until = now.mono + Duration::from_millis(left);
-            self.unread.insert(gone.incarnation, (until, gone.slots));
+            self.unread_slots
+                .insert(gone.incarnation, (until, gone.slots));
         }
     }
 }
--- a/lib/src/entry/shares.rs
+++ b/lib/src/entry/shares.rs
@@ -13,48 +13,48 @@
 use crate::tenure::Standing;
 
 /// How much more than is waiting a holder asks for, so that the next burst finds a share.
-const SLACK: u32 = 4;
+const SHARE_SLACK: u32 = 4;
 
 impl Entry {
     /// Whether the lane's team and service both have room for one more task.
-    pub(super) fn share_open(&mut self, now: Now, lane: &LaneName) -> bool {
-        let [team, service] = self.bounds(lane);
-        self.bound_open(now, team) && self.bound_open(now, service)
+    pub(super) fn has_share(&mut self, now: Now, lane: &LaneName) -> bool {
+        let [team, service] = self.quota_names(lane);
+        self.has_quota_share(now, team) && self.has_quota_share(now, service)
     }
 
-    fn bound_open(&mut self, now: Now, name: Arc<str>) -> bool {
-        if self.quota_of(&name).is_none() {
+    fn has_quota_share(&mut self, now: Now, name: Arc<str>) -> bool {
+        if self.quota(&name).is_none() {
             return true;
         }
         self.shares.entry(name).or_default().open(now.mono)
     }
 
-    pub(super) fn share_take(&mut self, lane: &LaneName) {
-        for name in self.bounds(lane) {
+    pub(super) fn take_share(&mut self, lane: &LaneName) {
+        for name in self.quota_names(lane) {
             self.shares.entry(name).or_default().take();
         }
     }
 
-    pub(super) fn share_give(&mut self, lane: &LaneName) {
-        for name in self.bounds(lane) {
+    pub(super) fn return_share(&mut self, lane: &LaneName) {
+        for name in self.quota_names(lane) {
             self.shares.entry(name).or_default().give();
         }
     }
 
     /// The names under which a lane's tasks are counted.
-    fn bounds(&mut self, lane: &LaneName) -> [Arc<str>; 2] {
-        if let Some(known) = self.bound_names.get(lane) {
+    fn quota_names(&mut self, lane: &LaneName) -> [Arc<str>; 2] {
+        if let Some(known) = self.quota_names.get(lane) {
             return known.clone();
         }
         let team = self.names.get(&format!("team/{}", lane.team));
         let service = self.names.get(&format!("service/{}", lane.service));
         let both = [team, service];
-        self.bound_names.insert(lane.clone(), both.clone());
+        self.quota_names.insert(lane.clone(), both.clone());
         both
     }
 
     /// The bound that goes with a name; `None` when there is none.
-    fn quota_of(&self, name: &str) -> Option<u32> {
+    fn quota(&self, name: &str) -> Option<u32> {
         let config = self.follower.config();
         let (kind, rest) = name.split_once('/')?;
         match kind {
@@ -75,7 +75,7 @@
     }
 
     /// Asks for the shares that are due.
-    pub(super) fn ask_shares(&mut self, now: Now) {
+    pub(super) fn request_shares(&mut self, now: Now) {
         if self.shares.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
             return;
         }
@@ -83,16 +83,16 @@
             .shares
             .iter()
             .filter(|(name, share)| {
-                self.quota_of(name).is_some() && share.due(now.mono, self.waiting_for(name))
+                self.quota(name).is_some() && share.due(now.mono, self.waiting_for(name))
             })
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            self.ask_share(now, name);
+            self.request_share(now, name);
         }
     }
 
-    fn ask_share(&mut self, now: Now, name: Arc<str>) {
+    fn request_share(&mut self, now: Now, name: Arc<str>) {
         let waiting = self.waiting_for(&name) as u32;
         let Some(share) = self.shares.get_mut(&name) else {
             return;
@@ -102,24 +102,28 @@
         if idle {
             share.release();
         }
-        let want = if idle { 0 } else { used + waiting + SLACK };
+        let want = if idle {
+            0
+        } else {
+            used + waiting + SHARE_SLACK
+        };
         let have = share.have(now.mono);
         let seq = share.ask(now.mono);
         let ask = ShareAsk {
-            holder: self.me,
+            holder: self.incarnation,
             seq,
             used,
             want,
             have,
         };
-        if self.in_charge(&name) {
-            let amount = self.allot(now, &name, ask);
+        if self.is_allocator(&name) {
+            let amount = self.allocate_share(now, &name, ask);
             if let Some(share) = self.shares.get_mut(&name) {
                 share.granted(seq, amount, SHARE_SPAN);
             }
             return;
         }
-        let Some(link) = self.charge_link(&name) else {
+        let Some(link) = self.allocator_link(&name) else {
             return;
         };
         let ask = wire::ShareAsk {
@@ -133,7 +137,7 @@
     }
 
     /// Whether this entry gives out the shares of a name.
-    fn in_charge(&self, name: &str) -> bool {
+    fn is_allocator(&self, name: &str) -> bool {
         let Some(read) = &self.read else {
             return false;
         };
@@ -141,7 +145,7 @@
         self.holdings.active(shard)
     }
 
-    fn charge_link(&self, name: &str) -> Option<LinkId> {
+    fn allocator_link(&self, name: &str) -> Option<LinkId> {
         let read = self.read.as_ref()?;
         let shard = ShardId::of_name(name, read.record.count());
         let owner = read.record.slot(shard).owner;
@@ -149,16 +153,16 @@
         found.map(|(link, _)| *link)
     }
 
-    fn allot(&mut self, now: Now, name: &Arc<str>, ask: ShareAsk) -> u32 {
-        self.unread.retain(|_, (until, _)| now.mono < *until);
-        let unread: u32 = self.unread.values().map(|(_, slots)| *slots).sum();
-        let quota = self.quota_of(name).unwrap_or(0).saturating_sub(unread);
+    fn allocate_share(&mut self, now: Now, name: &Arc<str>, ask: ShareAsk) -> u32 {
+        self.unread_slots.retain(|_, (until, _)| now.mono < *until);
+        let unread: u32 = self.unread_slots.values().map(|(_, slots)| *slots).sum();
+        let quota = self.quota(name).unwrap_or(0).saturating_sub(unread);
         let Some(read) = &self.read else {
             return 0;
         };
         let shard = ShardId::of_name(name, read.record.count());
         let first = read.record.slot(shard).epoch <= 1;
-        let known = self.knows_record_everywhere(now);
+        let known = self.is_record_known_everywhere(now);
         let allocator = self.allocators.of(name, now.mono, first);
         allocator.set_known(known);
         allocator.ask(now.mono, quota, ask)
@@ -166,11 +170,11 @@
 
     /// Whether all other members have known for a while of the record that this entry goes by, so
     /// that they ask for shares where it says.
-    fn knows_record_everywhere(&self, now: Now) -> bool {
+    fn is_record_known_everywhere(&self, now: Now) -> bool {
         let knows = |member: &u64| {
             let mut peers = self.peers.values();
             let peer = peers.find(|p| p.incarnation == *member);
-            let since = peer.and_then(|p| p.abreast);
+            let since = peer.and_then(|p| p.current_since);
             since.is_some_and(|at| now.mono >= at + ASK_EVERY * 2)
         };
         self.tenure.others().iter().all(knows)
@@ -181,7 +185,7 @@
         let Some(holder) = self.peers.get(&link).map(|p| p.incarnation) else {
             return;
         };
-        if !self.in_charge(&name) || self.tenure.stand(now.mono) == Standing::Lapsed {
+        if !self.is_allocator(&name) || self.tenure.stand(now.mono) == Standing::Lapsed {
             return;
         }
         let request = ShareAsk {
@@ -191,7 +195,7 @@
             want: ask.want,
             have: ask.have,
         };
-        let amount = self.allot(now, &name, request);
+        let amount = self.allocate_share(now, &name, request);
         let share = wire::Share {
             team: ask.team,
             seq: ask.seq,
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -30,15 +30,15 @@
 
 /// A job that was refused and has no record otherwise.
 #[derive(Clone, Debug)]
-pub(super) struct Refused {
+pub(super) struct RecentRefusal {
     pub(super) shard: ShardId,
     digest: u64,
-    again: Mono,
+    retry_at: Mono,
     refusal: Refusal,
 }
 
 /// A job that has passed every check.
-struct Plan {
+struct CheckedJob {
     lane: LaneName,
     need: Room,
     repeat: Repeat,
@@ -50,28 +50,28 @@
 
 impl Entry {
     /// Decides on a request for a job that this entry owns.
-    pub(super) fn decide(&mut self, now: Now, waiter: Waiter, submission: Submission) {
+    pub(super) fn decide_request(&mut self, now: Now, waiter: Waiter, submission: Submission) {
         if submission.peek {
-            let verdict = self.look(now, submission.job);
-            return self.tell(waiter, verdict);
+            let verdict = self.look_up(now, submission.job);
+            return self.answer_waiter(waiter, verdict);
         }
         let digest = body_digest(&submission.service, &submission.body);
         if let Some(key) = self.table.find(submission.job)
-            && self.join(now, waiter, key, digest)
+            && self.join_existing(now, waiter, key, digest)
         {
             return;
         }
-        if let Some(refusal) = self.refused_lately(now, submission.job, digest) {
-            return self.tell(waiter, Verdict::Other(refusal));
+        if let Some(refusal) = self.recent_refusal(now, submission.job, digest) {
+            return self.answer_waiter(waiter, Verdict::Other(refusal));
         }
-        if self.awaits_lead(now, &submission) {
-            return self.hold(now, waiter, submission);
+        if self.is_awaiting_lead(now, &submission) {
+            return self.hold_request(now, waiter, submission);
         }
-        match self.plan(now, &submission, digest) {
-            Ok(plan) => self.take_in(now, waiter, submission.job, plan),
+        match self.check_job(now, &submission, digest) {
+            Ok(plan) => self.accept_job(now, waiter, submission.job, plan),
             Err(refusal) => {
-                self.note_refusal(now, &submission, digest, &refusal);
-                self.tell(waiter, Verdict::Other(refusal));
+                self.remember_refusal(now, &submission, digest, &refusal);
+                self.answer_waiter(waiter, Verdict::Other(refusal));
             }
         }
     }
@@ -79,40 +79,40 @@
     /// Remembers a `not_run` for as long as its caller was asked to stay away. Without it a
     /// copy of the request that is under way at the same time could start the job while the
     /// refusal travels.
-    fn note_refusal(&mut self, now: Now, s: &Submission, digest: u64, refusal: &Refusal) {
+    fn remember_refusal(&mut self, now: Now, s: &Submission, digest: u64, refusal: &Refusal) {
         let stays = refusal.outcome == Some(Outcome::NotRun) && refusal.retry_ms > 0;
         let Some(shard) = self.shard_of(s.job).filter(|_| stays) else {
             return;
         };
-        let again = now.mono + Duration::from_millis(refusal.retry_ms);
+        let retry_at = now.mono + Duration::from_millis(refusal.retry_ms);
         if let Some(key) = self.table.find(s.job) {
-            self.table.update(key, |job| job.again = again);
+            self.table.update(key, |job| job.again = retry_at);
             return;
         }
-        let refused = Refused {
+        let refused = RecentRefusal {
             shard,
             digest,
-            again,
+            retry_at,
             refusal: refusal.clone(),
         };
-        self.refused.insert(s.job, refused);
+        self.recent_refusals.insert(s.job, refused);
     }
 
     /// The refusal that a job got a moment ago, if its caller was asked to stay away for longer.
-    fn refused_lately(&self, now: Now, job: JobId, digest: u64) -> Option<Refusal> {
-        let refused = self.refused.get(&job)?;
-        let wait_ms = millis(now.mono.until(refused.again));
+    fn recent_refusal(&self, now: Now, job: JobId, digest: u64) -> Option<Refusal> {
+        let refused = self.recent_refusals.get(&job)?;
+        let wait_ms = millis(now.mono.until(refused.retry_at));
         let same = refused.digest == digest && wait_ms > 0;
         same.then(|| refused.refusal.clone().retry(wait_ms))
     }
 
     /// Forgets refusals whose callers may come back.
-    pub(super) fn forget_refused(&mut self, now: Now) {
-        self.refused.retain(|_, r| now.mono < r.again);
+    pub(super) fn forget_old_refusals(&mut self, now: Now) {
+        self.recent_refusals.retain(|_, r| now.mono < r.retry_at);
     }
 
     /// What is known of a job, without starting anything.
-    fn look(&self, now: Now, job: JobId) -> Verdict {
+    fn look_up(&self, now: Now, job: JobId) -> Verdict {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         if let Some(job) = known {
             if job.told_more() {
@@ -127,10 +127,12 @@
                 })
             });
         }
-        let whole = self.shard_of(job).is_some_and(|s| self.readable(s, job));
-        let fresh = !self.expired(now, job);
+        let whole = self
+            .shard_of(job)
+            .is_some_and(|s| self.is_accounted_for(s, job));
+        let fresh = !self.is_expired(now, job);
         let outcome = if whole && fresh {
-            self.idle_outcome(now)
+            self.unstarted_outcome(now)
         } else {
             Outcome::Unknown
         };
@@ -142,14 +144,14 @@
     }
 
     /// Joins a request to the job of the same id. Returns false if the job has to be taken in.
-    fn join(&mut self, now: Now, waiter: Waiter, key: JobKey, digest: u64) -> bool {
+    fn join_existing(&mut self, now: Now, waiter: Waiter, key: JobKey, digest: u64) -> bool {
         let Some(job) = self.table.get(key) else {
             return false;
         };
         if job.digest != digest {
             let detail = "this id belongs to another body or service; that job is not affected";
             let refusal = Refusal::new(Outcome::NotRun, Cause::Reused, detail);
-            self.tell(waiter, Verdict::Other(refusal));
+            self.answer_waiter(waiter, Verdict::Other(refusal));
             return true;
         }
         match &job.ended {
@@ -159,13 +161,13 @@
                     return false;
                 }
                 let again = r.clone().retry(wait_ms);
-                self.tell(waiter, Verdict::Other(again));
+                self.answer_waiter(waiter, Verdict::Other(again));
                 true
             }
             Some(_) if job.told_more() => false,
             Some(verdict) => {
                 let verdict = verdict.clone();
-                self.tell(waiter, verdict);
+                self.answer_waiter(waiter, verdict);
                 true
             }
             None if job.submitted => {
@@ -176,13 +178,13 @@
         }
     }
 
-    fn expired(&self, now: Now, job: JobId) -> bool {
+    fn is_expired(&self, now: Now, job: JobId) -> bool {
         let past = job.minted_ms() + millis(self.setup.horizon) <= now.wall_ms;
-        past && !self.forgetful
+        past && !self.skip_horizon
     }
 
     /// Whether all that may have started of a job is known here.
-    pub(super) fn readable(&self, shard: ShardId, job: JobId) -> bool {
+    pub(super) fn is_accounted_for(&self, shard: ShardId, job: JobId) -> bool {
         let Some(held) = self.holdings.get(shard) else {
             return false;
         };
@@ -190,9 +192,9 @@
     }
 
     /// Checks everything that can be wrong with a job before it is taken in.
-    fn plan(&mut self, now: Now, s: &Submission, digest: u64) -> Result<Plan, Refusal> {
+    fn check_job(&mut self, now: Now, s: &Submission, digest: u64) -> Result<CheckedJob, Refusal> {
         let shard = self.check_id(now, s.job)?;
-        let idle = self.outcome_untouched(now, shard, s.job);
+        let idle = self.refusal_outcome(now, shard, s.job);
         let refuse = |cause, detail: String| Refusal::new(idle, cause, detail);
         let body = JobBody::parse(&s.body).map_err(|e| refuse(Cause::Invalid, e.to_string()))?;
         let config = self.follower.config().clone();
@@ -225,9 +227,9 @@
             let refusal = refuse(Cause::NoWorker, detail.into());
             return Err(refusal.retry(NO_WORKER_RETRY_MS));
         }
-        self.check_crowd(&lane, slots, body.tasks.len(), left)
+        self.check_load(&lane, slots, body.tasks.len(), left)
             .map_err(|(cause, detail, retry)| refuse(cause, detail).retry(retry))?;
-        Ok(Plan {
+        Ok(CheckedJob {
             lane,
             need: service.task_room(),
             repeat: service.repeat,
@@ -243,15 +245,15 @@
         let Some(shard) = self.shard_of(job) else {
             return Err(unknown(Cause::NoOwner, "the ownership record is not known"));
         };
-        if self.expired(now, job) {
+        if self.is_expired(now, job) {
             let detail = "the id was minted longer ago than the horizon; what became of the job \
                           is not remembered";
             return Err(unknown(Cause::Expired, detail));
         }
         let minted_ms = job.minted_ms();
-        if minted_ms > self.latest_ms(now) {
+        if minted_ms > self.latest_mint_ms(now) {
             let known = self.is_known_to_all();
-            let sure = minted_ms > self.taken_up_to_ms(now, known);
+            let sure = minted_ms > self.latest_taken_ms(now, known);
             let outcome = if sure {
                 Outcome::NotRun
             } else {
@@ -267,13 +269,13 @@
     }
 
     /// The outcome to tell when a job is refused that nothing is known of.
-    fn outcome_untouched(&self, now: Now, shard: ShardId, job: JobId) -> Outcome {
+    fn refusal_outcome(&self, now: Now, shard: ShardId, job: JobId) -> Outcome {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         let touched = known.is_some_and(|j| j.ran() || j.outstanding() || j.lost());
-        if touched || !self.readable(shard, job) {
+        if touched || !self.is_accounted_for(shard, job) {
             return Outcome::Unknown;
         }
-        self.idle_outcome(now)
+        self.unstarted_outcome(now)
     }
 
     /// The slots of the workers that may take the service's tasks now.
@@ -298,7 +300,7 @@
         keys
     }
 
-    fn check_crowd(
+    fn check_load(
         &mut self,
         lane: &LaneName,
         slots: usize,
@@ -339,11 +341,11 @@
     }
 
     /// Takes a job in: makes its record, or completes one that is known from agents alone.
-    fn take_in(&mut self, now: Now, waiter: Waiter, id: JobId, plan: Plan) {
-        let readable = self.readable(plan.shard, id);
+    fn accept_job(&mut self, now: Now, waiter: Waiter, id: JobId, plan: CheckedJob) {
+        let readable = self.is_accounted_for(plan.shard, id);
         let repeat = plan.repeat;
         let key = match self.table.find(id) {
-            Some(key) => self.resume(now, key, waiter, plan, readable),
+            Some(key) => self.fill_record(now, key, waiter, plan, readable),
             None => self.table.insert(new_job(now, id, waiter, plan, readable)),
         };
         let Some(job) = self.table.get(key) else {
@@ -351,7 +353,7 @@
         };
         self.deadlines.insert((job.deadline, key));
         if job.lost() || job.tasks.iter().all(|t| t.state != TaskState::Queued) {
-            return self.check_end(now, key);
+            return self.end_if_decided(now, key);
         }
         if repeat == Repeat::Never && !job.claimed {
             return self.write_claim(key);
@@ -360,12 +362,12 @@
     }
 
     /// Fills in a record that has no bodies: one known from agents, or one that did not run.
-    fn resume(
+    fn fill_record(
         &mut self,
         now: Now,
         key: JobKey,
         waiter: Waiter,
-        plan: Plan,
+        plan: CheckedJob,
         readable: bool,
     ) -> JobKey {
         self.table.update(key, |job| {
@@ -406,7 +408,7 @@
     }
 }
 
-fn new_job(now: Now, id: JobId, waiter: Waiter, plan: Plan, readable: bool) -> Job {
+fn new_job(now: Now, id: JobId, waiter: Waiter, plan: CheckedJob, readable: bool) -> Job {
     let state = if readable {
         TaskState::Queued
     } else {
--- a/lib/src/entry/watching.rs
+++ b/lib/src/entry/watching.rs
@@ -10,26 +10,26 @@
 use crate::prelude::*;
 
 /// How many peers' tasks must have ended before a worker is judged against them.
-const LEAST_TASKS: f64 = 4.0;
+const MIN_PEER_TASKS: f64 = 4.0;
 /// Tasks at the expected time that are added to the peers' own.
-const PEER_PRIOR: f64 = 3.0;
+const PRIOR_PEER_TASKS: f64 = 3.0;
 
 impl Entry {
-    pub(super) fn ended(&mut self, now: Now, placed: &Placed, failed: bool, took_us: u64) {
+    pub(super) fn record_end(&mut self, now: Now, placed: &Placed, failed: bool, took_us: u64) {
         self.counts.answers += 1;
-        let peers = self.peers_of(placed.agent);
+        let peers = self.peers_mean_of(placed.agent);
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             worker
                 .health
                 .end(now.mono, placed.at, placed.scale, failed, peers);
         }
         if !failed && took_us > 0 {
-            self.learn(&placed.lane.service, Duration::from_micros(took_us));
+            self.record_duration(&placed.lane.service, Duration::from_micros(took_us));
         }
     }
 
     /// Gives up on agents that have been out of reach for too long: their tasks are lost.
-    pub(super) fn lose_agents(&mut self, now: Now) {
+    pub(super) fn remove_lost_agents(&mut self, now: Now) {
         let grace = self.setup.grace;
         let lost: Vec<AgentKey> = self
             .fleet
@@ -41,17 +41,17 @@
             .map(|(key, _)| key)
             .collect();
         for key in lost {
-            self.lose_tasks(now, key);
+            self.mark_tasks_lost(now, key);
             if self.fleet.get(key).is_some_and(|w| w.link.is_none()) {
                 self.fleet.remove(key);
-                self.part_sent.remove(&key);
+                self.sent_parts.remove(&key);
                 self.permitted.clear();
             }
         }
     }
 
     /// Looks for workers that fall far behind their peers, and for those that have recovered.
-    pub(super) fn judge_workers(&mut self, now: Now) {
+    pub(super) fn update_worker_health(&mut self, now: Now) {
         let all = self.fleet_sums(now);
         self.fleet_work = all;
         let count = self.fleet.iter().count();
@@ -83,7 +83,7 @@
     }
 
     /// The mean of a worker's peers; `None` while too few of their tasks have ended.
-    fn peers_of(&self, agent: AgentKey) -> Option<Peers> {
+    fn peers_mean_of(&self, agent: AgentKey) -> Option<Peers> {
         // Only trials are judged by it, and a worker on trial is not part of the sums.
         let sick = self.fleet.get(agent)?.health.sick();
         sick.then(|| peers_mean(self.fleet_work))?
@@ -97,11 +97,11 @@
 }
 
 fn peers_mean((time, done, failed): (f64, f64, f64)) -> Option<Peers> {
-    if done < LEAST_TASKS {
+    if done < MIN_PEER_TASKS {
         return None;
     }
     Some(Peers {
-        mean: (time + PEER_PRIOR) / (done + PEER_PRIOR),
+        mean: (time + PRIOR_PEER_TASKS) / (done + PRIOR_PEER_TASKS),
         failures: failed / done,
     })
 }
