--- a/lib/daemon/src/entry_actor.rs
+++ b/lib/daemon/src/entry_actor.rs
@@ -54,7 +54,7 @@
 
     /// Does what the state machine wants done.
     fn flush(&mut self, ctx: &mut Context<EntryActor>) {
-        for action in self.entry.actions() {
+        for action in self.entry.take_actions() {
             match action {
                 Action::Send(link, body) => {
                     if let Some(sender) = self.links.get(&link) {
@@ -81,7 +81,7 @@
     }
 
     fn store_done(&mut self, ctx: &mut Context<EntryActor>, tag: u64, reply: StoreReply) {
-        self.entry.store_done(self.ticker.now(), tag, reply);
+        self.entry.handle_store_reply(self.ticker.now(), tag, reply);
         self.flush(ctx);
     }
 }
@@ -117,7 +117,7 @@
                 self.names.insert(link, hello.name.clone());
                 self.entry.link_up(now, link, &hello);
             }
-            LinkEvent::Frame(link, body) => self.entry.frame(now, link, body),
+            LinkEvent::Frame(link, body) => self.entry.handle_message(now, link, body),
             LinkEvent::Down(link) => {
                 self.links.remove(&link);
                 self.names.remove(&link);
@@ -189,7 +189,7 @@
     fn handle(&mut self, msg: ConfigRead, ctx: &mut Context<EntryActor>) -> u64 {
         if msg.version > 0 {
             self.entry
-                .configure(self.ticker.now(), msg.version, msg.value);
+                .apply_config(self.ticker.now(), msg.version, msg.value);
             self.flush(ctx);
         }
         self.entry.follower().next()
@@ -205,7 +205,7 @@
     type Result = ();
 
     fn handle(&mut self, msg: BoxesRead, _: &mut Context<EntryActor>) {
-        self.entry.boxes(&msg.0.leaving);
+        self.entry.set_leaving_boxes(&msg.0.leaving);
     }
 }
 
--- a/lib/daemon/src/metrics.rs
+++ b/lib/daemon/src/metrics.rs
@@ -81,8 +81,8 @@
 pub fn of_entry(entry: &Entry) -> String {
     let sheet = Sheet::new();
     let counts = entry.counts();
-    let (owned, served) = entry.shards();
-    let (jobs, bytes, waiting) = entry.load();
+    let (owned, served) = entry.shard_counts();
+    let (jobs, bytes, waiting) = entry.job_counts();
     let outcome = |o: Outcome| (o.word(), counts.outcomes[o.code() as usize]);
     let outcomes = [
         outcome(Outcome::Complete),
@@ -104,7 +104,7 @@
     sheet.counters("refusals_total", "Refusals by cause.", "cause", &refusals);
     let wasted: Vec<(&str, u64)> = counts.wasted.iter().map(|(k, v)| (*k, *v)).collect();
     sheet.counters("wasted_total", "Wasted messages by kind.", "kind", &wasted);
-    let waited = [("all", counts.waited_us)];
+    let waited = [("all", counts.queue_time_us)];
     let help = "Time that started tasks had waited here, in microseconds.";
     sheet.counters("waited_microseconds_total", help, "tasks", &waited);
     let gauges = [
@@ -113,16 +113,16 @@
         ("jobs_held", jobs as i64),
         ("bytes_held", bytes as i64),
         ("tasks_waiting", waiting as i64),
-        ("tasks_placed", entry.outstanding() as i64),
-        ("requests_open", entry.busy_requests() as i64),
+        ("tasks_placed", entry.placed_tasks() as i64),
+        ("requests_open", entry.open_requests() as i64),
         ("config_version", entry.follower().version() as i64),
         ("leaving", i64::from(entry.is_leaving())),
     ];
     sheet.gauges("state", "What the entry holds now.", "of", &gauges);
-    let shares = entry.shares_held();
+    let shares = entry.held_shares();
     let held: Vec<(&str, i64)> = shares.iter().map(|(n, s)| (&**n, i64::from(*s))).collect();
     sheet.gauges("share", "Shares of quotas held now.", "name", &held);
-    sheet.clocks(entry.clock_gaps_ms());
+    sheet.clocks(entry.clock_offsets_ms());
     sheet.traffic();
     sheet.text()
 }
--- a/lib/daemon/src/settings.rs
+++ b/lib/daemon/src/settings.rs
@@ -171,22 +171,28 @@
     span(
         &mut f,
         "confirm_ms",
-        &mut setup.confirm,
+        &mut setup.read_interval,
         50..=30_000,
         findings,
     );
-    span(&mut f, "beat_ms", &mut setup.beat, 50..=10_000, findings);
+    span(
+        &mut f,
+        "beat_ms",
+        &mut setup.heartbeat_interval,
+        50..=10_000,
+        findings,
+    );
     span(
         &mut f,
         "suspect_ms",
-        &mut setup.suspect,
+        &mut setup.suspect_timeout,
         200..=60_000,
         findings,
     );
     span(
         &mut f,
         "strike_ms",
-        &mut setup.strike,
+        &mut setup.removal_timeout,
         5_000..=3_600_000,
         findings,
     );
@@ -198,10 +204,28 @@
         60_000..=86_400_000,
         findings,
     );
-    span(&mut f, "ahead_ms", &mut setup.ahead, 0..=600_000, findings);
+    span(
+        &mut f,
+        "ahead_ms",
+        &mut setup.max_ahead,
+        0..=600_000,
+        findings,
+    );
     span(&mut f, "skew_ms", &mut setup.skew, 0..=60_000, findings);
-    span(&mut f, "wait_ms", &mut setup.wait, 10..=600_000, findings);
-    span(&mut f, "park_ms", &mut setup.park, 100..=600_000, findings);
+    span(
+        &mut f,
+        "wait_ms",
+        &mut setup.max_wait,
+        10..=600_000,
+        findings,
+    );
+    span(
+        &mut f,
+        "park_ms",
+        &mut setup.owner_timeout,
+        100..=600_000,
+        findings,
+    );
     let budget = setup.budget as u64;
     setup.budget = f.number("budget_bytes", budget, 1 << 20..=1 << 40, findings) as usize;
     setup.policy = f.word("policy", &POLICIES, findings);
@@ -229,15 +253,15 @@
 
 /// Spans that only work together.
 fn check_spans(setup: &EntrySetup, findings: &mut Findings) {
-    if setup.confirm * 2 > setup.tenure.lease {
+    if setup.read_interval * 2 > setup.tenure.lease {
         let message = "must be at most half of `lease_ms`, or the right lapses between reads";
         findings.add("/confirm_ms", message);
     }
-    if setup.beat * 3 > setup.suspect {
+    if setup.heartbeat_interval * 3 > setup.suspect_timeout {
         let message = "must be at most a third of `suspect_ms`, or healthy peers are suspected";
         findings.add("/beat_ms", message);
     }
-    if setup.beat * 3 > setup.tenure.promise {
+    if setup.heartbeat_interval * 3 > setup.tenure.promise {
         let message = "must be at most a third of `promise_ms`, or promises lapse between beats";
         findings.add("/beat_ms", message);
     }
--- a/lib/daemon/src/status.rs
+++ b/lib/daemon/src/status.rs
@@ -64,8 +64,8 @@
             Standing::Promised => "promised",
             Standing::Lapsed => "lapsed",
         };
-        let (owned, served) = entry.shards();
-        let (jobs, _, waiting) = entry.load();
+        let (owned, served) = entry.shard_counts();
+        let (jobs, _, waiting) = entry.job_counts();
         let mut agents: Vec<AgentStatus> = entry
             .fleet()
             .iter()
@@ -85,14 +85,14 @@
             name: entry.name().to_owned(),
             right: right.to_owned(),
             leaving: entry.is_leaving(),
-            drained: entry.drained(),
+            drained: entry.is_drained(),
             config: entry.follower().version(),
             owned,
             served,
-            peers: entry.peers(now),
+            peers: entry.reachable_peers(now),
             jobs,
             waiting,
-            running: entry.outstanding(),
+            running: entry.placed_tasks(),
             agents,
         }
     }
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -1,7 +1,7 @@
 //! The entry's state machine: takes jobs, owns shards, places tasks, collects answers.
 //!
 //! Inputs are the methods that take the time; what is to be done comes out of
-//! [`Entry::actions`]. The parts:
+//! [`Entry::take_actions`]. The parts:
 //!
 //! - `requests`: callers' requests on their way to the owner of their job,
 //! - `submit`: what the owner does with a job; `claims`: what once-only requests need first,
@@ -91,25 +91,25 @@
     /// Spans of the right to act.
     pub tenure: TenureSetup,
     /// Time between reads of the ownership record.
-    pub confirm: Duration,
+    pub read_interval: Duration,
     /// Time between heartbeats to peers.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// A peer silent for this long is taken over from.
-    pub suspect: Duration,
+    pub suspect_timeout: Duration,
     /// An agent silent for this long is struck from the roster.
-    pub strike: Duration,
+    pub removal_timeout: Duration,
     /// A job that waits for a lost agent ends without it after this long.
     pub grace: Duration,
     /// Jobs minted longer ago are refused.
     pub horizon: Duration,
     /// Jobs minted further ahead are refused.
-    pub ahead: Duration,
+    pub max_ahead: Duration,
     /// The bound on the difference between two boxes' wall clocks.
     pub skew: Duration,
     /// The longest wait for a slot that is taken in.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// How long a request waits for its job to get an owner.
-    pub park: Duration,
+    pub owner_timeout: Duration,
     /// How many bytes of job bodies and answers may be held.
     pub budget: usize,
     /// How workers are chosen.
@@ -133,16 +133,16 @@
                 ride: Duration::from_secs(300),
                 promise: Duration::from_millis(1_500),
             },
-            confirm: Duration::from_millis(400),
-            beat: Duration::from_millis(300),
-            suspect: Duration::from_millis(1_500),
-            strike: Duration::from_secs(30),
+            read_interval: Duration::from_millis(400),
+            heartbeat_interval: Duration::from_millis(300),
+            suspect_timeout: Duration::from_millis(1_500),
+            removal_timeout: Duration::from_secs(30),
             grace: Duration::from_secs(3),
             horizon: Duration::from_secs(900),
-            ahead: Duration::from_secs(5),
+            max_ahead: Duration::from_secs(5),
             skew: Duration::from_millis(500),
-            wait: Duration::from_millis(1_000),
-            park: Duration::from_secs(8),
+            max_wait: Duration::from_millis(1_000),
+            owner_timeout: Duration::from_secs(8),
             budget: 256 << 20,
             policy: Policy::default(),
             seed: incarnation,
@@ -159,7 +159,7 @@
     Respond(u64, Verdict),
     /// Carry on a time of day that is so many milliseconds later.
     ShiftClock(i64),
-    /// Carry out a store operation; its end is reported by [`Entry::store_done`] with the tag.
+    /// Carry out a store operation; its end is reported by [`Entry::handle_store_reply`] with the tag.
     Store(u64, StoreOp),
     /// Log an event.
     Log(Event),
@@ -188,7 +188,7 @@
     pub handovers: u64,
     /// Time from the arrival of a job to the start of its task, in microseconds, summed over all
     /// starts.
-    pub waited_us: u64,
+    pub queue_time_us: u64,
 }
 
 /// A peer entry at the other end of a link.
@@ -434,7 +434,7 @@
     }
 
     /// Takes what the entry wants done.
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
@@ -459,23 +459,23 @@
     }
 
     /// How many shards are owned, and how many of them served.
-    pub fn shards(&self) -> (usize, usize) {
+    pub fn shard_counts(&self) -> (usize, usize) {
         self.holdings.counts()
     }
 
     /// Jobs held, their bytes, and tasks waiting.
-    pub fn load(&self) -> (usize, usize, usize) {
+    pub fn job_counts(&self) -> (usize, usize, usize) {
         let (jobs, bytes) = self.table.size();
         (jobs, bytes, self.lanes.len())
     }
 
     /// Tasks placed at agents.
-    pub fn outstanding(&self) -> usize {
+    pub fn placed_tasks(&self) -> usize {
         self.placed.len()
     }
 
     /// Tasks of a team placed at agents.
-    pub fn outstanding_of(&self, team: &str) -> usize {
+    pub fn placed_tasks_of(&self, team: &str) -> usize {
         let of = |p: &&Placed| *p.lane.team == *team;
         self.placed.values().filter(of).count()
     }
@@ -506,7 +506,7 @@
     }
 
     /// How many peers answer and count this entry as a member.
-    pub fn peers(&self, now: Now) -> usize {
+    pub fn reachable_peers(&self, now: Now) -> usize {
         let mutual =
             |p: &&Peer| self.acknowledged_by.contains(&p.incarnation) && self.is_alive(now, p);
         self.peers.values().filter(mutual).count()
@@ -518,7 +518,7 @@
     }
 
     /// Whether a leaving entry has nothing left to finish.
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         let member = self
             .read
             .as_ref()
@@ -543,7 +543,7 @@
     pub fn tick(&mut self, now: Now) {
         self.observe_time(now);
         if now.mono >= self.next_heartbeat {
-            self.next_heartbeat = now.mono + self.setup.beat;
+            self.next_heartbeat = now.mono + self.setup.heartbeat_interval;
             self.send_due_heartbeats(now);
         }
         if now.mono >= self.slow_due {
@@ -584,7 +584,7 @@
     }
 
     /// A message came in.
-    pub fn frame(&mut self, now: Now, link: LinkId, body: Body) {
+    pub fn handle_message(&mut self, now: Now, link: LinkId, body: Body) {
         self.observe_time(now);
         // What still arrives on a link that was replaced may be long out of date.
         if !self.peers.contains_key(&link) && self.fleet.at(link).is_none() {
@@ -599,7 +599,7 @@
             Body::Promise(promise) => self.on_promise(now, link, promise),
             Body::Forward(forward) => self.on_forward(now, link, forward),
             Body::Reply(reply) => self.on_reply(now, link, reply),
-            Body::Part(part) => self.configure(now, part.version, part.json),
+            Body::Part(part) => self.apply_config(now, part.version, part.json),
             Body::ShareAsk(ask) => self.on_share_ask(now, link, ask),
             Body::Share(share) => self.on_share(now, share),
             Body::Handover(handover) => self.on_handover(now, link, handover),
@@ -610,7 +610,7 @@
     }
 
     /// A configuration version was read from the store or came from a peer.
-    pub fn configure(&mut self, now: Now, version: u64, value: Bytes) {
+    pub fn apply_config(&mut self, now: Now, version: u64, value: Bytes) {
         match self.follower.offer(version, value) {
             Ok(false) => {}
             Ok(true) => {
@@ -624,7 +624,7 @@
     }
 
     /// The platform's list of boxes was read: `leaving` are the names of agents whose boxes leave.
-    pub fn boxes(&mut self, leaving: &HashSet<String>) {
+    pub fn set_leaving_boxes(&mut self, leaving: &HashSet<String>) {
         for (_, worker) in self.fleet.iter_mut() {
             worker.parting = leaving.contains(&*worker.name);
         }
@@ -715,7 +715,7 @@
 
     /// The allowance for clocks when a job's mint time is compared with a box's time.
     fn clock_allowance_ms(&self) -> u64 {
-        millis(self.setup.ahead) + 2 * millis(self.setup.skew)
+        millis(self.setup.max_ahead) + 2 * millis(self.setup.skew)
     }
 
     fn count_refusal(&mut self, cause: Cause) {
--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/changing.rs
@@ -168,7 +168,7 @@
         let slack = millis(self.setup.skew) * 2;
         let old = millis(self.setup.tenure.ride + lease * 2) + slack;
         next.forget_cuts(now.wall_ms.saturating_sub(old));
-        let horizon = millis(self.setup.horizon) + millis(self.setup.ahead) + slack;
+        let horizon = millis(self.setup.horizon) + millis(self.setup.max_ahead) + slack;
         roster.forget(now.wall_ms.saturating_sub(horizon));
     }
 
@@ -244,7 +244,7 @@
         }
         let live = self.live_members(now, next);
         let rank = live.iter().filter(|inc| **inc < self.incarnation).count() as u32;
-        let pause = self.setup.suspect + RANK_DELAY * rank;
+        let pause = self.setup.suspect_timeout + RANK_DELAY * rank;
         let silent: Vec<(u64, String)> = next
             .members
             .iter()
@@ -269,7 +269,7 @@
         match self.peers.values().find(of) {
             Some(peer) => {
                 // The rank's pause comes on top of the silence that is expected of it.
-                let extra = pause.saturating_sub(self.setup.suspect);
+                let extra = pause.saturating_sub(self.setup.suspect_timeout);
                 let before = Now {
                     mono: now.mono - extra,
                     ..now
@@ -284,7 +284,7 @@
                 let heard = self.disconnected_at.get(&member.incarnation);
                 match heard {
                     // Its link was closed and has not come back: most likely the process is gone.
-                    Some(at) => now.mono >= *at + pause - self.setup.suspect * 2 / 3,
+                    Some(at) => now.mono >= *at + pause - self.setup.suspect_timeout * 2 / 3,
                     None => settled,
                 }
             }
@@ -297,7 +297,7 @@
         if now.mono < self.promised_until || !self.sees_all_owners(now) {
             return false;
         }
-        let strike = self.setup.strike;
+        let strike = self.setup.removal_timeout;
         let listed = |inc: &u64| self.listed_since.get(inc).copied().unwrap_or(now.mono);
         let silent: Vec<u64> = roster
             .agents
--- a/lib/src/entry/clocks.rs
+++ b/lib/src/entry/clocks.rs
@@ -31,14 +31,14 @@
 
     /// How far the box's clock is ahead of the time that this entry carries on, and how far the
     /// clock of the process that differs most is, in milliseconds.
-    pub fn clock_gaps_ms(&self) -> [i64; 2] {
+    pub fn clock_offsets_ms(&self) -> [i64; 2] {
         [self.steps.told_ms(), self.clocks.widest_ms()]
     }
 
     /// The latest mint time of an id that is taken now, in Unix milliseconds.
     pub(super) fn latest_mint_ms(&self, now: Now) -> u64 {
         let lead_ms = self.leads.in_force_ms(self.tenure.others());
-        now.wall_ms + lead_ms + millis(self.setup.ahead)
+        now.wall_ms + lead_ms + millis(self.setup.max_ahead)
     }
 
     /// The latest mint time, in Unix milliseconds, of ids that any entry may have taken by now;
@@ -67,7 +67,7 @@
     /// Whether the id can be taken as soon as all members have noted the lead.
     pub(super) fn is_awaiting_lead(&self, now: Now, submission: &Submission) -> bool {
         let minted_ms = submission.job.minted_ms();
-        let told_ms = now.wall_ms + self.leads.lead_ms() + millis(self.setup.ahead);
+        let told_ms = now.wall_ms + self.leads.lead_ms() + millis(self.setup.max_ahead);
         let within = minted_ms > self.latest_mint_ms(now) && minted_ms <= told_ms;
         within && self.leads.is_being_noted(now) && !submission.left.is_zero()
     }
--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -18,7 +18,7 @@
 /// How many members watch over each that owns shards.
 const WATCHER_COUNT: usize = 3;
 /// Every so many heartbeats go to all peers, the others to the close ones only.
-const SLOW_HEARTBEAT_RATIO: u32 = 16;
+const SLOW_RATIO: u32 = 16;
 /// How many of the last heartbeats are remembered.
 const KEPT_HEARTBEATS: usize = 512;
 /// A peer that has not asked for a promise for this long reaches the store again.
@@ -273,7 +273,7 @@
 
     /// Sends a heartbeat to the peers that are due one.
     pub(super) fn send_due_heartbeats(&mut self, now: Now) {
-        let slow = self.heartbeat_rounds.is_multiple_of(SLOW_HEARTBEAT_RATIO);
+        let slow = self.heartbeat_rounds.is_multiple_of(SLOW_RATIO);
         self.heartbeat_rounds += 1;
         let due = |inc: u64| slow || self.neighbour_since.contains_key(&inc);
         let links = self.peers.iter().filter(|(_, p)| due(p.incarnation));
@@ -351,8 +351,8 @@
     /// Whether a peer answers, as far as its heartbeats are expected.
     pub(super) fn is_alive(&self, now: Now, peer: &Peer) -> bool {
         match self.neighbour_since.get(&peer.incarnation) {
-            Some(since) => now.mono < peer.last_heard.max(*since) + self.setup.suspect,
-            None => now.mono < peer.last_heard + self.setup.beat * SLOW_HEARTBEAT_RATIO * 2,
+            Some(since) => now.mono < peer.last_heard.max(*since) + self.setup.suspect_timeout,
+            None => now.mono < peer.last_heard + self.setup.heartbeat_interval * SLOW_RATIO * 2,
         }
     }
 
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placing.rs
@@ -177,7 +177,7 @@
         self.retries.started();
         self.counts.starts += 1;
         let arrived = self.table.get(key).map_or(now.mono, |j| j.arrived);
-        self.counts.waited_us += micros(now.mono.since(arrived));
+        self.counts.queue_time_us += micros(now.mono.since(arrived));
         let Some(link) = self.fleet.get(agent).and_then(|w| w.link) else {
             return;
         };
--- a/lib/src/entry/record.rs
+++ b/lib/src/entry/record.rs
@@ -19,7 +19,7 @@
 
 impl Entry {
     /// A store operation has ended.
-    pub fn store_done(&mut self, now: Now, tag: u64, reply: StoreReply) {
+    pub fn handle_store_reply(&mut self, now: Now, tag: u64, reply: StoreReply) {
         self.observe_time(now);
         let Some(errand) = self.pending_ops.remove(&tag) else {
             return;
@@ -38,7 +38,7 @@
 
     /// Whether the store has answered a read of the record lately.
     pub(super) fn is_read_fresh(&self, now: Now) -> bool {
-        let bound = self.setup.confirm * 2 + self.setup.confirm / 2;
+        let bound = self.setup.read_interval * 2 + self.setup.read_interval / 2;
         self.last_read.is_some_and(|at| now.mono < at + bound)
     }
 
@@ -48,7 +48,7 @@
             return;
         }
         self.reading = true;
-        self.read_due = now.mono + self.setup.confirm;
+        self.read_due = now.mono + self.setup.read_interval;
         let op = StoreOp::Get {
             key: RECORD_KEY.to_owned(),
         };
@@ -75,7 +75,7 @@
 
     fn note_failed_read(&mut self, now: Now) {
         let just = self.last_read.map(|at| now.mono.since(at));
-        if just.is_some_and(|age| age < self.setup.confirm * 3) {
+        if just.is_some_and(|age| age < self.setup.read_interval * 3) {
             self.log(Kind::StoreUnavailable, String::new());
         }
     }
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether requests are under way.
-    pub fn busy_requests(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -421,7 +421,7 @@
     fn timeout_detail(&self, now: Now, request: &Request) -> Option<&'static str> {
         let late = now.mono >= request.deadline + OWNER_ANSWER_GRACE;
         match request.route {
-            Route::Parked if now.mono >= request.parked_at + self.setup.park => {
+            Route::Parked if now.mono >= request.parked_at + self.setup.owner_timeout => {
                 Some("no entry could take the job over in time")
             }
             Route::Parked if now.mono >= request.deadline => {
--- a/lib/src/entry/shares.rs
+++ b/lib/src/entry/shares.rs
@@ -228,7 +228,7 @@
 
 impl Entry {
     /// The shares held, by name.
-    pub fn shares_held(&self) -> Vec<(Arc<str>, u32)> {
+    pub fn held_shares(&self) -> Vec<(Arc<str>, u32)> {
         let held = |(n, s): (&Arc<str>, &crate::quota::Share)| (n.clone(), s.used());
         self.shares.iter().map(held).collect()
     }
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -321,7 +321,7 @@
             team_quota: quota,
             queue: config.limits.queue as usize,
             longest: match config.limits.favour {
-                Favour::Time => self.setup.wait,
+                Favour::Time => self.setup.max_wait,
                 Favour::Messages => left,
             },
         };
--- a/lib/testutils/src/world.rs
+++ b/lib/testutils/src/world.rs
@@ -256,7 +256,7 @@
             let mut setup = EntrySetup::new(&format!("e{proc}"), incarnation);
             setup.horizon = HORIZON;
             setup.tenure.ride = Duration::from_secs(15);
-            setup.strike = Duration::from_secs(8);
+            setup.removal_timeout = Duration::from_secs(8);
             setup.shards = 8;
             let mut entry = Entry::new(setup);
             entry.break_for_test(self.broken);
@@ -354,7 +354,7 @@
     /// Whether a leaving process has nothing left to do.
     pub fn drained(&self, proc: Proc) -> bool {
         match &self.procs[proc].machine {
-            Some(Machine::Entry(e)) => e.drained(),
+            Some(Machine::Entry(e)) => e.is_drained(),
             Some(Machine::Agent(a)) => a.drained(),
             None => true,
         }
@@ -401,7 +401,7 @@
         let (version, value) = self.config.clone();
         if let Some(Machine::Entry(e)) = &mut self.procs[proc].machine {
             let before = e.follower().version();
-            e.configure(now, version, value);
+            e.apply_config(now, version, value);
             assert!(e.follower().version() >= before);
         }
         self.flush(proc);
@@ -502,7 +502,7 @@
         let now = self.clock(proc);
         self.steps += 1;
         match &mut self.procs[proc].machine {
-            Some(Machine::Entry(e)) => e.frame(now, id, body),
+            Some(Machine::Entry(e)) => e.handle_message(now, id, body),
             Some(Machine::Agent(a)) => a.frame(now, id, body),
             None => {}
         }
@@ -608,7 +608,7 @@
         let late = self.rng.random_bool(0.0005);
         let mut stall = false;
         let actions: Vec<Deferred> = match &mut self.procs[proc].machine {
-            Some(Machine::Entry(e)) => e.actions().into_iter().map(Deferred::Entry).collect(),
+            Some(Machine::Entry(e)) => e.take_actions().into_iter().map(Deferred::Entry).collect(),
             Some(Machine::Agent(a)) => a.actions().into_iter().map(Deferred::Agent).collect(),
             None => return,
         };
@@ -831,7 +831,7 @@
         let now = self.clock(proc);
         self.steps += 1;
         if let Some(Machine::Entry(e)) = &mut self.procs[proc].machine {
-            e.store_done(now, tag, reply);
+            e.handle_store_reply(now, tag, reply);
         }
         self.flush(proc);
     }
@@ -845,7 +845,7 @@
     pub fn set_boxes(&mut self, leaving: &std::collections::HashSet<String>) {
         for proc in 0..self.entries {
             if let Some(Machine::Entry(e)) = &mut self.procs[proc].machine {
-                e.boxes(leaving);
+                e.set_leaving_boxes(leaving);
             }
         }
     }
