--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -1,16 +1,17 @@
-//! The entry's state machine: takes jobs, owns shards, places tasks, collects answers.
+//! The entry's state machine: accepts jobs, owns shards, places tasks and collects answers.
 //!
-//! Inputs are the methods that take the time; what is to be done comes out of
-//! [`Entry::take_actions`]. The parts:
+//! Its inputs are the methods that take the current time; its output is the list of actions that
+//! [`Entry::take_actions`] returns. It does no I/O and reads no clock of its own. The submodules:
 //!
-//! - `requests`: callers' requests on their way to the owner of their job,
-//! - `submit`: what the owner does with a job; `claims`: what once-only requests need first,
-//! - `placing`: tasks to workers, and their answers; `account`: what runs where; `ending`: how jobs
-//!   end; `watching`: workers that fall behind or are lost,
-//! - `record`: reading the ownership record; `changing`: changing it; `sealing`: takeover,
-//! - `handing`: handing shards over to another entry,
-//! - `links`: agents and peers, heartbeats, rights and promises; `clocks`: the time of day,
-//! - `shares`: quotas.
+//! - `requests`: routes callers' requests to the owner of their job,
+//! - `submit`: decides on a job at its owner; `claims`: writes the claim of a once-only job,
+//! - `placing`: sends tasks to workers and handles their answers; `account`: tracks which task is
+//!   where; `ending`: ends jobs; `watching`: watches the workers' health,
+//! - `record`: reads the ownership record; `changing`: changes it; `sealing`: takes shards over,
+//! - `handing`: hands shards over to another entry,
+//! - `links`: exchanges heartbeats, grants and promises with agents and peers; `clocks`: compares
+//!   the time of day,
+//! - `shares`: holds and gives out shares of quotas.
 
 mod account;
 mod changing;
@@ -73,53 +74,53 @@
 
 pub use requests::Submission;
 
-/// The entry's settings that concern decisions.
+/// The settings that the entry's decisions depend on.
 #[derive(Clone, Debug)]
 pub struct EntrySetup {
     /// The entry's name, unique among entries.
     pub name: String,
-    /// Drawn at random when the process starts.
+    /// The entry's incarnation, a random number drawn when the process starts.
     pub incarnation: u64,
     /// The availability zone of the box.
     pub zone: String,
-    /// Where peers and agents reach it, as ip:port.
+    /// The address for peers and agents, as ip:port.
     pub address: String,
-    /// Where callers reach it, as ip:port.
+    /// The address for callers, as ip:port.
     pub http: String,
-    /// How many shards a new ownership record gets.
+    /// The number of shards in a new ownership record.
     pub shards: u32,
-    /// Spans of the right to act.
+    /// The durations of the right to act.
     pub tenure: TenureSetup,
-    /// Time between reads of the ownership record.
+    /// The time between reads of the ownership record (`confirm_ms`).
     pub read_interval: Duration,
-    /// Time between heartbeats to peers.
+    /// The time between heartbeats to peers (`beat_ms`).
     pub heartbeat_interval: Duration,
-    /// A peer silent for this long is taken over from.
+    /// The silence after which a peer's shards are taken over (`suspect_ms`).
     pub suspect_timeout: Duration,
-    /// An agent silent for this long is struck from the roster.
+    /// The silence after which an agent is removed from the roster (`strike_ms`).
     pub removal_timeout: Duration,
-    /// A job that waits for a lost agent ends without it after this long.
+    /// How long after the loss of an agent its tasks are given up (`grace_ms`).
     pub grace: Duration,
-    /// Jobs minted longer ago are refused.
+    /// The greatest age, by mint time, at which a job is accepted (`horizon_ms`).
     pub horizon: Duration,
-    /// Jobs minted further ahead are refused.
+    /// How far in the future a job's mint time may lie (`ahead_ms`).
     pub max_ahead: Duration,
-    /// The bound on the difference between two boxes' wall clocks.
+    /// The assumed bound on the difference between the wall clocks of two boxes (`skew_ms`).
     pub skew: Duration,
-    /// The longest wait for a slot that is taken in.
+    /// The longest expected wait for a slot with which a job is still accepted (`wait_ms`).
     pub max_wait: Duration,
-    /// How long a request waits for its job to get an owner.
+    /// How long a request waits for its job to have a reachable owner (`park_ms`).
     pub owner_timeout: Duration,
-    /// How many bytes of job bodies and answers may be held.
+    /// The most bytes of job bodies and answers that are held (`budget_bytes`).
     pub budget: usize,
-    /// How workers are chosen.
+    /// The policy by which workers are chosen.
     pub policy: Policy,
-    /// Seed of the random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
 impl EntrySetup {
-    /// The defaults, for an entry of this name and incarnation.
+    /// Returns the default settings for an entry of this name and incarnation.
     pub fn new(name: &str, incarnation: u64) -> EntrySetup {
         EntrySetup {
             name: name.to_owned(),
@@ -150,67 +151,68 @@
     }
 }
 
-/// What the entry wants done.
+/// An action that the entry requests from its host.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message on a link.
+    /// Sends a message on a link.
     Send(LinkId, Body),
-    /// Answer a caller's request.
+    /// Answers the caller's request of this number.
     Respond(u64, Verdict),
-    /// Carry on a time of day that is so many milliseconds later.
+    /// Shifts the process's time of day by this many milliseconds.
     ShiftClock(i64),
-    /// Carry out a store operation; its end is reported by [`Entry::handle_store_reply`] with the tag.
+    /// Runs a store operation; [`Entry::handle_store_reply`] takes its result with the same tag.
     Store(u64, StoreOp),
-    /// Log an event.
+    /// Logs an event.
     Log(Event),
 }
 
-/// Counters of the entry's decisions, for metrics.
+/// Counts the entry's decisions, for metrics.
 #[derive(Clone, Debug, Default)]
 pub struct EntryCounts {
-    /// Starts sent to agents.
+    /// Task starts sent to agents.
     pub starts: u64,
-    /// Tasks answered or failed at their back end.
+    /// Tasks that were answered or failed at their backend server.
     pub answers: u64,
-    /// Requests taken in from callers.
+    /// Requests received from callers.
     pub requests: u64,
-    /// Requests passed on to another entry.
+    /// Requests forwarded to another entry.
     pub forwards: u64,
-    /// Jobs ended, by outcome's number.
+    /// Jobs ended, by the outcome's code.
     pub outcomes: [u64; 5],
-    /// Refusals by cause.
+    /// Answers other than a complete job, by cause.
     pub refusals: BTreeMap<&'static str, u64>,
-    /// Wasted messages by kind.
+    /// Messages of retries, recalls and late arrivals, by kind.
     pub wasted: BTreeMap<&'static str, u64>,
-    /// Takeover rounds served.
+    /// Takeover rounds after which shards were served.
     pub takeovers: u64,
-    /// Shards handed over.
+    /// Shards handed over to another entry.
     pub handovers: u64,
-    /// Time from the arrival of a job to the start of its task, in microseconds, summed over all
-    /// starts.
+    /// The time from a job's arrival to the start of a task, in microseconds, summed over all starts.
     pub queue_time_us: u64,
 }
 
-/// A peer entry at the other end of a link.
+/// The peer entry at the other end of a link.
 #[derive(Debug)]
 struct Peer {
     name: String,
     incarnation: u64,
     last_heard: Mono,
     leaving: bool,
+    /// The version of the configuration in force there.
     config: u64,
+    /// Since when its configuration has been older than this entry's.
     behind_since: Option<Mono>,
-    /// Since when it has known a record as new as the one that this entry goes by.
+    /// Since when it has known an ownership record at least as new as this entry's.
     current_since: Option<Mono>,
-    /// Since when it has asked for promises without a break, and when it asked last.
+    /// When it began to ask for promises without a break, and when it last asked.
     ask_span: Option<(Mono, Mono)>,
-    /// The number of the last `Forward` that came from it.
+    /// The number of the last `Forward` received from it.
     last_forward: u64,
-    /// The last heartbeat that came from it: its number, and when it came.
+    /// The number of the last heartbeat received from it, and its time of arrival.
     last_heartbeat: Option<(u64, Mono)>,
 }
 
-/// The record as it was read last.
+/// The ownership record and its roster as last read, with the record's index in the store.
 #[derive(Clone, Debug)]
 struct ReadRecord {
     record: Arc<OwnershipRecord>,
@@ -218,7 +220,7 @@
     index: u64,
 }
 
-/// A task at an agent, whether or not its job still waits for it.
+/// A task that was sent to an agent, whether or not its job still waits for it.
 #[derive(Clone, Debug)]
 struct Placed {
     agent: AgentKey,
@@ -228,11 +230,11 @@
     at: Mono,
     until: Mono,
     shard: ShardId,
-    /// 1 over the expected time of such a task, in seconds.
+    /// The reciprocal of the expected duration of such a task, in 1/s.
     scale: f64,
 }
 
-/// What a store operation was for.
+/// The purpose of a store operation whose result is outstanding.
 #[derive(Clone, Debug)]
 enum PendingOp {
     ReadRecord { sent: Mono },
@@ -244,26 +246,30 @@
     Remove,
 }
 
-/// A change of the record under way.
+/// A change of the ownership record that is being written.
 #[derive(Clone, Debug)]
 struct Change {
     next: OwnershipRecord,
     roster: Option<Roster>,
+    /// The store index of the record that it replaces.
     base: u64,
+    /// Whether it takes a right from another entry.
     revokes_right: bool,
+    /// The key of the roster that it replaces.
     old_roster: String,
 }
 
-/// A swap that took place or may take place, so that what was read of the record is out of date.
+/// A swap of the record that succeeded or may still succeed. Until the record is read again, the
+/// copy at hand may be stale.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedSwap {
-    /// The index that it replaces.
+    /// The store index of the record that it replaces.
     base: u64,
     /// Whether it takes a right from another entry.
     revokes_right: bool,
 }
 
-/// A task that was lost with its agent.
+/// A task that was given up with its agent.
 #[derive(Clone, Copy, Debug)]
 struct LostTask {
     incarnation: u64,
@@ -271,40 +277,51 @@
     shard: ShardId,
 }
 
-/// The entry.
+/// The state machine of one entry process.
 #[derive(Debug)]
 pub struct Entry {
     setup: EntrySetup,
-    /// This entry's incarnation as a member; drawn anew when it joins again.
+    /// This entry's incarnation as a member; a new one is drawn when it rejoins.
     incarnation: u64,
     rng: ChaCha8Rng,
     names: Names,
     follower: Follower,
+    /// The agents at which each service's tasks may run; a cache.
     permitted: HashMap<Arc<str>, Arc<[AgentKey]>>,
     fleet: Fleet,
     peers: BTreeMap<LinkId, Peer>,
+    /// Incarnations of peers that have reported that they know this entry as a member.
     acknowledged_by: HashSet<u64>,
     joined_at: Option<Mono>,
+    /// When each member was first seen in the record.
     first_seen: HashMap<u64, Mono>,
     /// Since when the roster has listed each agent.
     listed_since: HashMap<u64, Mono>,
-    /// Slots of agents that could not be read back, until their tasks have surely ended.
+    /// Slots of agents that could not be read back, each with the time by which their tasks have ended.
     unread_slots: HashMap<u64, (Mono, u32)>,
+    /// When the link to each peer last went down.
     disconnected_at: HashMap<u64, Mono>,
-    /// Since when each close peer is one: before, its heartbeats were rare.
+    /// Since when each ring neighbour has been one; before, it sent heartbeats at the slow rate.
     neighbour_since: HashMap<u64, Mono>,
+    /// The live members as last seen.
     last_live: Vec<u64>,
     started_at: Mono,
+    /// The names of the quotas that each lane's tasks count against; a cache.
     quota_names: HashMap<LaneName, [Arc<str>; 2]>,
+    /// The record as last read.
     read: Option<ReadRecord>,
+    /// When the last successful read of the record was sent.
     last_read: Option<Mono>,
     read_due: Mono,
     reading: bool,
+    /// A record that was read and whose roster is being read, with its index.
     fetched: Option<(OwnershipRecord, u64)>,
     change: Option<Change>,
     change_due: Mono,
     unconfirmed: Option<UnconfirmedSwap>,
+    /// Until when this entry has promised its peers to take nothing over.
     promised_until: Mono,
+    /// When the set of live members last changed.
     live_changed: Mono,
     tenure: Tenure,
     leads: Leads,
@@ -316,46 +333,51 @@
     table: JobTable,
     recent_refusals: HashMap<JobId, submit::RecentRefusal>,
     placed: BTreeMap<TaskKey, Placed>,
-    /// Tasks that were lost with their agent, which may come back and tell of them.
+    /// Tasks that were given up with their agent; the agent reports them if it reconnects.
     lost: BTreeMap<TaskKey, LostTask>,
+    /// Tasks that may still run out of this entry's sight, each with the time until which it counts
+    /// against its quotas.
     orphans: Vec<(Mono, LaneName)>,
     lanes: Lanes,
+    /// Tasks that return to their lane at the given time.
     delayed: Vec<(Mono, LaneName, TaskKey)>,
     deadlines: BTreeSet<(Mono, JobKey)>,
     shares: BTreeMap<Arc<str>, Share>,
     allocators: Allocators,
     admission: Admission,
-    /// The expected time of each service's tasks, in seconds.
+    /// The expected duration of each service's tasks, in seconds.
     expected_times: HashMap<Arc<str>, f64>,
     retries: RetryBudget,
     placer: Placer,
     requests: BTreeMap<u64, requests::Request>,
-    /// Requests of peers for shards that are still being sealed.
+    /// Requests that wait for their shard to be served or for a lead to take effect.
     held_requests: Vec<requests::HeldRequest>,
     pending_ops: HashMap<u64, PendingOp>,
     next_tag: u64,
     next_forward: u64,
-    /// The last heartbeats sent: their numbers and times.
+    /// The numbers and times of the last heartbeats sent.
     heartbeats: VecDeque<(u64, Mono)>,
     next_heartbeat: Mono,
     heartbeat_rounds: u32,
     plan_due: Mono,
-    /// Time at work, tasks finished and failed of all healthy workers, looked at now and then.
+    /// The work time, finished tasks and failed tasks of all healthy workers at the last slow tick.
     fleet_work: (f64, f64, f64),
     slow_due: Mono,
-    /// When refusals were logged last, and how many there were by then.
+    /// When refusals were last logged, and their total at that time.
     refusals_logged: (Mono, u64),
+    /// The version and content of the configuration part last sent to each agent.
     sent_parts: HashMap<AgentKey, (u64, Arc<[u8]>)>,
+    /// The number of the record whose addresses were last sent on each link.
     entries_sent: HashMap<LinkId, u64>,
     leaving: bool,
-    /// For the randomised runs alone: takes jobs that the horizon has passed.
+    /// Accepts jobs older than the horizon; set in randomised test runs only.
     skip_horizon: bool,
     counts: EntryCounts,
     actions: Vec<Action>,
 }
 
 impl Entry {
-    /// An entry that knows nothing yet.
+    /// Creates an entry that has read no record and has no links.
     pub fn new(setup: EntrySetup) -> Entry {
         Entry {
             incarnation: setup.incarnation,
@@ -428,96 +450,96 @@
         }
     }
 
-    /// Leaves out one check, for the randomised runs.
+    /// Disables one check, for randomised test runs.
     pub fn break_for_test(&mut self, broken: Broken) {
         self.skip_horizon = broken == Broken::Horizon;
     }
 
-    /// Takes what the entry wants done.
+    /// Takes the actions requested since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The counters so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> &EntryCounts {
         &self.counts
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Arc<Configuration> {
         self.follower.config()
     }
 
-    /// The follower of the configuration.
+    /// Returns the follower of the configuration.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
-    /// The workers.
+    /// Returns the workers as this entry knows them.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// How many shards are owned, and how many of them served.
+    /// Returns the number of shards owned, and of those served.
     pub fn shard_counts(&self) -> (usize, usize) {
         self.holdings.counts()
     }
 
-    /// Jobs held, their bytes, and tasks waiting.
+    /// Returns the number of jobs held, their bytes, and the number of tasks waiting.
     pub fn job_counts(&self) -> (usize, usize, usize) {
         let (jobs, bytes) = self.table.size();
         (jobs, bytes, self.lanes.len())
     }
 
-    /// Tasks placed at agents.
+    /// Returns the number of tasks placed at agents.
     pub fn placed_tasks(&self) -> usize {
         self.placed.len()
     }
 
-    /// Tasks of a team placed at agents.
+    /// Returns the number of a team's tasks placed at agents.
     pub fn placed_tasks_of(&self, team: &str) -> usize {
         let of = |p: &&Placed| *p.lane.team == *team;
         self.placed.values().filter(of).count()
     }
 
-    /// What carries the right to act.
+    /// Returns what this entry's right to act rests on.
     pub fn standing(&self, now: Now) -> Standing {
         self.tenure.stand(now.mono)
     }
 
-    /// The members of the record that was read last.
+    /// Returns the ownership record as last read.
     pub fn record(&self) -> Option<&Arc<OwnershipRecord>> {
         self.read.as_ref().map(|r| &r.record)
     }
 
-    /// This entry's incarnation as a member.
+    /// Returns this entry's incarnation as a member.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The entry's name.
+    /// Returns the entry's name.
     pub fn name(&self) -> &str {
         &self.setup.name
     }
 
-    /// Where peers and agents reach the entry.
+    /// Returns the address for peers and agents.
     pub fn address(&self) -> &str {
         &self.setup.address
     }
 
-    /// How many peers answer and count this entry as a member.
+    /// Returns the number of peers that answer and know this entry as a member.
     pub fn reachable_peers(&self, now: Now) -> usize {
         let mutual =
             |p: &&Peer| self.acknowledged_by.contains(&p.incarnation) && self.is_alive(now, p);
         self.peers.values().filter(mutual).count()
     }
 
-    /// Whether the process was asked to leave.
+    /// Returns whether the process was asked to leave.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether a leaving entry has nothing left to finish.
+    /// Returns whether the entry is leaving and has nothing left to finish.
     pub fn is_drained(&self) -> bool {
         let member = self
             .read
@@ -527,7 +549,7 @@
         self.leaving && self.requests.is_empty() && !member && !owns
     }
 
-    /// The process is to leave: its shards go to its peers, its callers get their answers.
+    /// Starts the shutdown: hands the shards over to peers and finishes the open requests.
     pub fn leave(&mut self, now: Now) {
         if self.leaving {
             return;
@@ -539,7 +561,7 @@
         self.advance(now);
     }
 
-    /// Time has passed. To be called every 10 ms or so.
+    /// Runs the periodic work. The host calls it about every 10 ms.
     pub fn tick(&mut self, now: Now) {
         self.observe_time(now);
         if now.mono >= self.next_heartbeat {
@@ -557,7 +579,7 @@
         self.advance(now);
     }
 
-    /// A link is up; `hello` says who is at its other end.
+    /// Handles a new link; `hello` identifies the process at its other end.
     pub fn link_up(&mut self, now: Now, link: LinkId, hello: &wire::Hello) {
         self.observe_time(now);
         if hello.agent {
@@ -568,7 +590,7 @@
         self.advance(now);
     }
 
-    /// A link is down.
+    /// Handles the loss of a link.
     pub fn link_down(&mut self, now: Now, link: LinkId) {
         self.observe_time(now);
         if let Some(peer) = self.peers.remove(&link) {
@@ -583,10 +605,10 @@
         self.advance(now);
     }
 
-    /// A message came in.
+    /// Handles a message that was received on a link.
     pub fn handle_message(&mut self, now: Now, link: LinkId, body: Body) {
         self.observe_time(now);
-        // What still arrives on a link that was replaced may be long out of date.
+        // Messages still arriving on a replaced link may be long out of date.
         if !self.peers.contains_key(&link) && self.fleet.at(link).is_none() {
             return self.count_wasted("old-link");
         }
@@ -609,7 +631,7 @@
         self.advance(now);
     }
 
-    /// A configuration version was read from the store or came from a peer.
+    /// Takes in a configuration version from the store or a peer, and sends it to the agents if it is new.
     pub fn apply_config(&mut self, now: Now, version: u64, value: Bytes) {
         match self.follower.offer(version, value) {
             Ok(false) => {}
@@ -623,14 +645,15 @@
         }
     }
 
-    /// The platform's list of boxes was read: `leaving` are the names of agents whose boxes leave.
+    /// Marks the workers whose boxes leave; `leaving` holds the names of their agents.
     pub fn set_leaving_boxes(&mut self, leaving: &HashSet<String>) {
         for (_, worker) in self.fleet.iter_mut() {
             worker.parting = leaving.contains(&*worker.name);
         }
     }
 
-    /// What comes before every decision: a look at the clock.
+    /// Checks the clocks and the right to act. It runs before every decision, so that no expiry of
+    /// the right goes unnoticed.
     fn observe_time(&mut self, now: Now) {
         if self.started_at == Mono(0) {
             self.started_at = now.mono;
@@ -647,8 +670,8 @@
         self.log(kind, String::new());
     }
 
-    /// What follows every input: changes of the record, shards that can be served, tasks that can
-    /// be placed.
+    /// Does the work that an input may have made possible: serves shards, changes the record,
+    /// requests shares and places tasks.
     fn advance(&mut self, now: Now) {
         self.serve_ready_shards(now);
         self.plan_change(now);
@@ -670,11 +693,11 @@
         self.log_refusals(now);
     }
 
-    /// Logs refusals at most once a second, together.
+    /// Logs the number of new refusals, at most once a second.
     fn log_refusals(&mut self, now: Now) {
-        let (told, before) = self.refusals_logged;
+        let (logged, before) = self.refusals_logged;
         let total: u64 = self.counts.refusals.values().sum();
-        if total == before || now.mono < told + Duration::from_secs(1) {
+        if total == before || now.mono < logged + Duration::from_secs(1) {
             return;
         }
         self.refusals_logged = (now.mono, total);
@@ -699,8 +722,8 @@
         *self.counts.wasted.entry(kind).or_default() += 1;
     }
 
-    /// The outcome of a job of which nothing has started: `not_run` only while the store itself
-    /// has confirmed that nobody else owns it.
+    /// Returns the outcome of a job that has not started here. It is `not_run` only while a recent
+    /// read of the record confirms that no other entry owns the job.
     fn unstarted_outcome(&self, now: Now) -> Outcome {
         match self.tenure.stand(now.mono) {
             Standing::Confirmed => Outcome::NotRun,
@@ -713,7 +736,7 @@
         Some(ShardId::of(job, read.record.count()))
     }
 
-    /// The allowance for clocks when a job's mint time is compared with a box's time.
+    /// Returns the tolerance, in milliseconds, for comparing a job's mint time with a box's time.
     fn clock_allowance_ms(&self) -> u64 {
         millis(self.setup.max_ahead) + 2 * millis(self.setup.skew)
     }
@@ -723,5 +746,5 @@
     }
 }
 
-/// Time between looks at what changes slowly.
+/// The time between two runs of the less urgent periodic work.
 const SLOW_TICK: Duration = Duration::from_millis(100);
--- a/lib/src/entry/account.rs
+++ b/lib/src/entry/account.rs
@@ -1,5 +1,5 @@
-//! The account of tasks at agents: room taken at workers, shares used, and tasks that nobody can
-//! tell of any more.
+//! Tracks the tasks at agents: the capacity they take at workers, the quota shares they use, and
+//! orphans, which are tasks that may still run but can no longer be observed.
 
 use std::sync::Arc;
 
@@ -14,15 +14,15 @@
 use crate::quota::RESERVE;
 use crate::quota::SHARE_SPAN;
 
-/// A task whose agent has not spoken this long after the deadline is asked for.
+/// How long after its deadline a task without an answer is recalled from its agent.
 const RECALL_DELAY: Duration = Duration::from_millis(1_000);
-/// Clocks of two boxes differ in rate by less than one part in this many.
+/// The clocks of two boxes differ in rate by less than one part in this many.
 const CLOCK_DRIFT_DIVISOR: u32 = 50;
-/// How fast the expected time of a service follows.
+/// The weight of a new sample in the expected duration of a service's tasks.
 const EXPECTED_WEIGHT: f64 = 0.02;
 
 impl Entry {
-    /// Keeps account of a task at an agent.
+    /// Starts tracking a task at an agent, in place of an earlier attempt of the same task.
     pub(super) fn track(&mut self, now: Now, task: TaskKey, mut placed: Placed) {
         placed.scale = 1.0 / self.expected_time(&placed.lane.service);
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes a task off the account.
+    /// Stops tracking a task. Returns `None` if another attempt or agent is being tracked.
     pub(super) fn untrack(
         &mut self,
         task: TaskKey,
@@ -59,7 +59,7 @@
         Some(placed)
     }
 
-    /// A new record for a task that an agent reported as running.
+    /// Tracks a task that was placed by another entry and may be running at an agent.
     pub(super) fn adopt_running(&mut self, now: Now, task: TaskKey, agent: AgentKey, attempt: u64) {
         let Some(key) = self.table.find(task.job) else {
             return;
@@ -80,7 +80,7 @@
         self.track(now, task, placed);
     }
 
-    /// Takes the account of a shard's tasks away: another entry has it now.
+    /// Stops tracking the tasks of a shard that another entry owns now.
     pub(super) fn untrack_shard(&mut self, now: Now, shard: ShardId) {
         let tasks: Vec<(TaskKey, AgentKey, u64)> = self
             .placed
@@ -93,15 +93,15 @@
                 && let Some(worker) = self.fleet.get_mut(agent)
             {
                 worker.health.cancel(now.mono, placed.at, placed.scale);
-                // Counted twice for a while rather than not at all: the next owner has to tell
-                // the allocator first.
-                let told = now.mono + SHARE_SPAN + RESERVE;
-                self.count_orphan(placed.until.min(told), placed.lane.clone());
+                // The next owner must report the task to the allocator first. Until then the task
+                // stays counted here too, so that it is never missing from the quota.
+                let reported = now.mono + SHARE_SPAN + RESERVE;
+                self.count_orphan(placed.until.min(reported), placed.lane.clone());
             }
         }
     }
 
-    /// Asks again for tasks whose deadline has passed without a word of their agents, so that none
+    /// Recalls tasks that are past their deadline and whose agents have not answered, so that none
     /// counts as running for ever.
     pub(super) fn recall_overdue(&mut self, now: Now) {
         let overdue: Vec<(TaskKey, AgentKey, u64, ShardId)> = self
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Marks the tasks at an agent as lost.
+    /// Marks all tasks at an agent as lost.
     pub(super) fn mark_tasks_lost(&mut self, now: Now, agent: AgentKey) {
         let tasks: Vec<(TaskKey, u64)> = self
             .placed
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Counts a task that may still run, though nobody can tell, against its quotas for a while.
+    /// Counts a task that may still run unobserved against its quotas until the given time.
     pub(super) fn count_orphan(&mut self, until: Mono, lane: LaneName) {
         self.take_share(&lane);
         self.orphans.push((until, lane));
@@ -161,7 +161,7 @@
         }
     }
 
-    /// The expected time of a service's task, in seconds.
+    /// Returns the expected duration of a service's task, in seconds.
     fn expected_time(&self, service: &Arc<str>) -> f64 {
         let known = self.expected_times.get(service).copied();
         known
@@ -177,8 +177,8 @@
     }
 }
 
-/// When a task that was placed at `at` and may run until `until` has surely ended by the clock of
-/// its agent, which may be slower than the own.
+/// Returns when a task placed at `at` that may run until `until` has ended even if its agent's clock
+/// runs slower than this entry's.
 pub(super) fn latest_end(at: Mono, until: Mono) -> Mono {
     until + until.since(at) / CLOCK_DRIFT_DIVISOR
 }
--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/changing.rs
@@ -1,4 +1,6 @@
-//! Changing the ownership record: joining, taking over, enrolling agents, leaving.
+//! Changes the ownership record: joins, takes over from silent members, enrols and removes agents,
+//! hands shards over, leaves. Each change is a compare-and-swap against the record as last read;
+//! at most one is in progress at a time.
 
 use super::Change;
 use super::Entry;
@@ -19,17 +21,18 @@
 use crate::store::StoreOp;
 use crate::store::StoreReply;
 
-/// How long a new member may take to reach its peers before it counts as silent.
+/// How long a new member may take to connect before it counts as silent.
 const CONNECT_GRACE: Duration = Duration::from_secs(3);
-/// The least time between two changes of the record by one entry.
+/// The minimum time between two changes of the record by one entry.
 pub(super) const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between looks whether the record should change, unless something has happened.
+/// The time between checks whether the record should change, unless an input triggers one sooner.
 const PLAN_INTERVAL: Duration = Duration::from_millis(50);
-/// How much later each further entry takes over, so that they do not all try at once.
+/// The extra delay before a takeover for each live member of a lower incarnation, so that entries
+/// do not all try at once.
 const RANK_DELAY: Duration = Duration::from_millis(250);
 
 impl Entry {
-    /// Changes the record if there is reason to.
+    /// Starts a change of the record if one is needed.
     pub(super) fn plan_change(&mut self, now: Now) {
         self.read_record_if_due(now);
         let busy = self.change.is_some() || now.mono < self.change_due.max(self.plan_due);
@@ -106,8 +109,8 @@
             return;
         };
         self.read_due = now.mono;
-        // Until the record has been read again, what is known of it is out of date. A swap that
-        // failed settles nothing: an earlier one, whose answer was lost, may be the reason.
+        // The copy of the record is stale until the next read. A failed swap does not clear an
+        // earlier unconfirmed one: that swap may have succeeded and made this one fail.
         if reply != StoreReply::Swapped(false) {
             self.unconfirmed = Some(UnconfirmedSwap {
                 base: change.base,
@@ -127,13 +130,14 @@
                 self.change_due = now.mono + Duration::from_millis(jitter);
             }
             _ => {
-                // It may still take effect, until the record has moved on.
+                // The swap may still succeed for as long as the record has not changed.
                 self.log(Kind::WriteUnconfirmed, String::new());
             }
         }
     }
 
-    /// Everything that this entry wants changed. Returns whether it takes a right from another.
+    /// Applies every change that this entry requires to `next` and `roster`. Returns whether any of
+    /// them takes a right from another process.
     fn apply_changes(&mut self, now: Now, next: &mut OwnershipRecord, roster: &mut Roster) -> bool {
         self.forget_old(now, next, roster);
         let member = next.member(self.incarnation).is_some();
@@ -159,7 +163,8 @@
         revokes_right
     }
 
-    /// Forgets what is too old to matter, by a time of day that the fleet goes by.
+    /// Removes former owners and agents that are too old to matter. It does so only once the time
+    /// of day is known to agree with the fleet's.
     fn forget_old(&self, now: Now, next: &mut OwnershipRecord, roster: &mut Roster) {
         if !self.clocks.is_proven() {
             return;
@@ -182,7 +187,8 @@
         }
     }
 
-    /// The members that can own shards, this one among them.
+    /// Returns the members that can own shards: the responsive ones that are not leaving, including
+    /// this one.
     pub(super) fn live_members(&self, now: Now, record: &OwnershipRecord) -> Vec<u64> {
         let peer = |inc: u64| self.peers.values().find(|p| p.incarnation == inc);
         let alive = |inc: u64| {
@@ -195,7 +201,7 @@
             .collect()
     }
 
-    /// Bounds on what agents that are struck now may have started.
+    /// Returns the bounds on what agents that are removed now may have started.
     fn parting(&self, now: Now) -> Parting {
         let lease_ms = millis(self.setup.tenure.lease) * 2;
         Parting {
@@ -204,12 +210,12 @@
         }
     }
 
-    /// Whether every owner's lead is noted here, and every owner sees what this entry changes.
+    /// Returns whether this entry knows every owner's lead and every owner sees its changes.
     fn sees_all_owners(&self, now: Now) -> bool {
         self.is_known_to_all() || self.remaining_ride(now).is_zero()
     }
 
-    /// Agents that are linked and not in the roster are enrolled.
+    /// Enrols the linked agents that are not in the roster.
     fn enrol_agents(&mut self, now: Now, roster: &mut Roster) {
         let parting = self.parting(now);
         let sees_all = self.sees_all_owners(now);
@@ -237,18 +243,19 @@
         }
     }
 
-    /// Members that have been silent are taken over from.
+    /// Removes silent members, which leaves their shards without an owner. It waits while a promise to
+    /// a peer forbids takeovers.
     fn cut_silent_members(&mut self, now: Now, next: &mut OwnershipRecord) -> bool {
         if now.mono < self.promised_until {
             return false;
         }
         let live = self.live_members(now, next);
         let rank = live.iter().filter(|inc| **inc < self.incarnation).count() as u32;
-        let pause = self.setup.suspect_timeout + RANK_DELAY * rank;
+        let delay = self.setup.suspect_timeout + RANK_DELAY * rank;
         let silent: Vec<(u64, String)> = next
             .members
             .iter()
-            .filter(|m| m.incarnation != self.incarnation && self.is_silent(now, m, pause))
+            .filter(|m| m.incarnation != self.incarnation && self.is_silent(now, m, delay))
             .map(|m| (m.incarnation, m.name.clone()))
             .collect();
         for (incarnation, name) in &silent {
@@ -258,9 +265,12 @@
         !silent.is_empty()
     }
 
-    fn is_silent(&self, now: Now, member: &Member, pause: Duration) -> bool {
-        let own_earlier = member.name == self.setup.name;
-        if own_earlier {
+    /// Returns whether a member is to be taken over from: it is an earlier incarnation of this entry,
+    /// has sent no heartbeats for `delay`, has been cut off from the store for long, or has lost its
+    /// link or never had one.
+    fn is_silent(&self, now: Now, member: &Member, delay: Duration) -> bool {
+        let earlier_self = member.name == self.setup.name;
+        if earlier_self {
             return true;
         }
         let seen = self.first_seen.get(&member.incarnation);
@@ -268,36 +278,38 @@
         let of = |p: &&super::Peer| p.incarnation == member.incarnation;
         match self.peers.values().find(of) {
             Some(peer) => {
-                // The rank's pause comes on top of the silence that is expected of it.
-                let extra = pause.saturating_sub(self.setup.suspect_timeout);
+                // The rank's delay is added to the silence that `is_alive` allows.
+                let extra = delay.saturating_sub(self.setup.suspect_timeout);
                 let before = Now {
                     mono: now.mono - extra,
                     ..now
                 };
                 let quiet = !self.is_alive(before, peer);
-                let asks = peer.ask_span.is_some_and(|(since, last)| {
+                let cut_off = peer.ask_span.is_some_and(|(since, last)| {
                     now.mono >= since + CUT_OFF_DELAY * 3 && now.mono < last + ASKING_TIMEOUT
                 });
-                quiet || asks
+                quiet || cut_off
             }
             None => {
-                let heard = self.disconnected_at.get(&member.incarnation);
-                match heard {
-                    // Its link was closed and has not come back: most likely the process is gone.
-                    Some(at) => now.mono >= *at + pause - self.setup.suspect_timeout * 2 / 3,
+                let disconnected = self.disconnected_at.get(&member.incarnation);
+                match disconnected {
+                    // A link that was closed and not restored most likely means that the process
+                    // has ended, so the wait is shorter.
+                    Some(at) => now.mono >= *at + delay - self.setup.suspect_timeout * 2 / 3,
                     None => settled,
                 }
             }
         }
     }
 
-    /// Agents that have been silent for long are struck, so that a later takeover need not wait
-    /// for them. Every owner must know this entry, or may ride on without seeing the change.
+    /// Removes agents that have been silent for long from the roster, so that a later takeover does
+    /// not wait for them. It requires that every owner knows this entry; an owner that does not may
+    /// keep acting on promises without seeing the change.
     fn remove_silent_agents(&mut self, now: Now, roster: &mut Roster) -> bool {
         if now.mono < self.promised_until || !self.sees_all_owners(now) {
             return false;
         }
-        let strike = self.setup.removal_timeout;
+        let timeout = self.setup.removal_timeout;
         let listed = |inc: &u64| self.listed_since.get(inc).copied().unwrap_or(now.mono);
         let silent: Vec<u64> = roster
             .agents
@@ -306,7 +318,7 @@
             .filter(|inc| {
                 let worker = self.fleet.of(*inc).and_then(|k| self.fleet.get(k));
                 let heard = worker.map_or(Mono(0), |w| w.heard);
-                now.mono >= heard.max(listed(inc)) + strike
+                now.mono >= heard.max(listed(inc)) + timeout
             })
             .collect();
         let parting = self.parting(now);
@@ -319,7 +331,7 @@
         !silent.is_empty()
     }
 
-    /// A leaving entry without shards strikes itself.
+    /// Removes this entry from the members once it is leaving and owns no shards.
     fn remove_self_if_empty(&mut self, next: &mut OwnershipRecord) {
         let me = self.incarnation;
         if self.leaving && next.owned(me).is_empty() {
--- a/lib/src/entry/claims.rs
+++ b/lib/src/entry/claims.rs
@@ -1,4 +1,5 @@
-//! Claims: what a once-only request writes to the store before anything of it starts.
+//! Claims of once-only jobs: a store key that the owner creates before any task of the job starts.
+//! Only the entry that created the key starts the job; the key is removed when the job expires.
 
 use super::Entry;
 use super::PendingOp;
@@ -9,14 +10,14 @@
 use crate::store::StoreOp;
 use crate::store::StoreReply;
 
-/// When to come back while the store can't take a claim.
+/// The retry delay given to callers while the store can't take a claim.
 const NO_CLAIM_RETRY_MS: u64 = 2_000;
 
 impl Entry {
-    /// Writes the claim that a once-only request needs before anything of it starts.
+    /// Writes the claim that a once-only job needs before any of its tasks starts.
     ///
-    /// The claim guards against what the other rules take for granted: clocks within their bound
-    /// and a memory as long as the horizon. It stays in the store when all of that fails.
+    /// The other safeguards assume that clocks differ by less than their bound and that jobs are
+    /// remembered for the whole horizon. The claim holds even where these assumptions fail.
     pub(super) fn write_claim(&mut self, key: JobKey) {
         let Some(id) = self.table.update(key, |job| {
             job.claiming = true;
@@ -61,7 +62,7 @@
         let lost = TaskState::Lost;
         let answered = matches!(reply, StoreReply::Value(Some(_)));
         if answered {
-            // Another owner claimed the job. What it started is not known here.
+            // Another entry has claimed the job, and which tasks it started is unknown here.
             self.table.update(key, |job| {
                 let queued = job
                     .tasks
@@ -92,7 +93,7 @@
     }
 }
 
-/// The key of a job's claim in the store.
+/// Returns the store key of a job's claim.
 pub fn claim_key(job: JobId) -> String {
     format!("claim/{job}")
 }
--- a/lib/src/entry/clocks.rs
+++ b/lib/src/entry/clocks.rs
@@ -1,4 +1,5 @@
-//! The time of day: ids that are minted ahead of it, and whether it is that of the fleet.
+//! The time of day: which mint times of ids are accepted, and whether this process's time agrees
+//! with the fleet's. The clock data travels on heartbeats and grants.
 
 use super::Action;
 use super::Entry;
@@ -12,11 +13,11 @@
 use crate::ownership::Roster;
 use crate::prelude::*;
 
-/// How long an entry that has just started waits for another process's time at the most.
+/// How long an entry that has just started waits at most for another process's time.
 const COMPARISON_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Entry {
-    /// Looks at the box's clock, and tells peers at once of a lead that it calls for.
+    /// Checks the box's clock and announces a longer lead to peers at once.
     pub(super) fn watch_clock(&mut self, now: Now) {
         if self.is_owner() || !self.incoming.is_empty() {
             self.clocks.prove();
@@ -29,20 +30,20 @@
         }
     }
 
-    /// How far the box's clock is ahead of the time that this entry carries on, and how far the
-    /// clock of the process that differs most is, in milliseconds.
+    /// Returns how far the box's clock is ahead of this entry's time, and how far the process whose
+    /// clock differs most is ahead of it, both in milliseconds.
     pub fn clock_offsets_ms(&self) -> [i64; 2] {
         [self.steps.told_ms(), self.clocks.widest_ms()]
     }
 
-    /// The latest mint time of an id that is taken now, in Unix milliseconds.
+    /// Returns the latest mint time that is accepted now, in Unix milliseconds.
     pub(super) fn latest_mint_ms(&self, now: Now) -> u64 {
         let lead_ms = self.leads.in_force_ms(self.tenure.others());
         now.wall_ms + lead_ms + millis(self.setup.max_ahead)
     }
 
-    /// The latest mint time, in Unix milliseconds, of ids that any entry may have taken by now;
-    /// `known` tells whether all entries in question know this one as a member.
+    /// Returns the latest mint time, in Unix milliseconds, that any entry may have accepted so far.
+    /// `known` is whether all entries in question know this one as a member.
     pub(super) fn latest_taken_ms(&self, now: Now, known: bool) -> u64 {
         let reach_ms = if known {
             self.leads.reach_ms(now)
@@ -52,62 +53,64 @@
         reach_ms + self.clock_allowance_ms()
     }
 
-    /// Whether this entry may join: its time is the fleet's, or nobody is there who could tell.
+    /// Returns whether this entry may join: its time agrees with the fleet's, no other process
+    /// exists to compare with, or the comparison has timed out.
     pub(super) fn can_join(&self, now: Now, record: &OwnershipRecord, roster: &Roster) -> bool {
         let alone = record.members.is_empty() && roster.agents.is_empty();
         alone || self.clocks.is_proven() || now.mono >= self.started_at + COMPARISON_TIMEOUT
     }
 
-    /// Whether all other members know this entry as one.
+    /// Returns whether all other members know this entry as a member.
     pub(super) fn is_known_to_all(&self) -> bool {
         let mut others = self.tenure.others().iter();
         others.all(|inc| self.acknowledged_by.contains(inc))
     }
 
-    /// Whether the id can be taken as soon as all members have noted the lead.
+    /// Returns whether the id will be accepted once all members have noted this entry's lead.
     pub(super) fn is_awaiting_lead(&self, now: Now, submission: &Submission) -> bool {
         let minted_ms = submission.job.minted_ms();
-        let told_ms = now.wall_ms + self.leads.lead_ms() + millis(self.setup.max_ahead);
-        let within = minted_ms > self.latest_mint_ms(now) && minted_ms <= told_ms;
+        let lead_end_ms = now.wall_ms + self.leads.lead_ms() + millis(self.setup.max_ahead);
+        let within = minted_ms > self.latest_mint_ms(now) && minted_ms <= lead_end_ms;
         within && self.leads.is_being_noted(now) && !submission.left.is_zero()
     }
 
-    /// Fills in what a heartbeat tells a peer of clocks.
-    pub(super) fn fill_clock_fields(&self, now: Now, peer: &Peer, beat: &mut wire::Beat) {
-        beat.step_ms = self.leads.own_ms();
-        beat.lead_ms = self.leads.lead_ms();
-        beat.noted_ms = self.leads.noted_ms(peer.incarnation);
-        beat.clock_ms = now.wall_ms;
-        beat.proven = self.clocks.is_proven();
+    /// Fills in the clock fields of a heartbeat to a peer.
+    pub(super) fn fill_clock_fields(&self, now: Now, peer: &Peer, heartbeat: &mut wire::Beat) {
+        heartbeat.step_ms = self.leads.own_ms();
+        heartbeat.lead_ms = self.leads.lead_ms();
+        heartbeat.noted_ms = self.leads.noted_ms(peer.incarnation);
+        heartbeat.clock_ms = now.wall_ms;
+        heartbeat.proven = self.clocks.is_proven();
         if let Some((seq, at)) = peer.last_heartbeat {
-            beat.echo = seq;
-            beat.since_us = micros(now.mono.since(at));
+            heartbeat.echo = seq;
+            heartbeat.since_us = micros(now.mono.since(at));
         }
     }
 
-    /// Takes in what a peer's heartbeat tells of clocks. `first` is the first one on its link.
+    /// Handles the clock fields of a peer's heartbeat. `first` is whether it is the first on its link.
     pub(super) fn handle_clock_fields(
         &mut self,
         now: Now,
         link: LinkId,
-        beat: &wire::Beat,
+        heartbeat: &wire::Beat,
         first: bool,
     ) {
-        let peer = beat.incarnation;
-        let (step_ms, lead_ms, noted_ms) = (beat.step_ms, beat.lead_ms, beat.noted_ms);
+        let peer = heartbeat.incarnation;
+        let (step_ms, lead_ms, noted_ms) =
+            (heartbeat.step_ms, heartbeat.lead_ms, heartbeat.noted_ms);
         let longer = self.leads.hear(now, peer, step_ms, lead_ms, noted_ms);
         self.watch_clock(now);
         let sent = self
             .heartbeats
             .iter()
             .rev()
-            .find(|(seq, _)| *seq == beat.echo);
+            .find(|(seq, _)| *seq == heartbeat.echo);
         if let Some(&(_, sent)) = sent {
             let answered = Answered {
-                clock_ms: beat.clock_ms,
+                clock_ms: heartbeat.clock_ms,
                 sent,
-                held: Duration::from_micros(beat.since_us),
-                proven: beat.proven,
+                held: Duration::from_micros(heartbeat.since_us),
+                proven: heartbeat.proven,
             };
             self.compare_clock(now, peer, answered);
         }
@@ -116,7 +119,8 @@
         }
     }
 
-    /// Goes by the fleet's time instead of the own for as long as nothing was decided by that.
+    /// Compares this process's time with another's, and adopts the fleet's time if nothing has been
+    /// decided by its own yet.
     pub(super) fn compare_clock(&mut self, now: Now, process: u64, answered: Answered) {
         if let Some(ahead_ms) = self.clocks.note(now, process, answered) {
             let name = self.process_name(process);
@@ -130,7 +134,7 @@
         self.actions.push(Action::ShiftClock(shift_ms));
     }
 
-    /// Forgets what is too old to matter.
+    /// Drops leads that are too old to matter and readings of processes that are no longer linked.
     pub(super) fn forget_old_clocks(&mut self, now: Now) {
         self.leads.forget(now);
         let (peers, fleet) = (&self.peers, &self.fleet);
--- a/lib/src/entry/ending.rs
+++ b/lib/src/entry/ending.rs
@@ -1,4 +1,5 @@
-//! How jobs end: by their tasks, by their deadline, and out of memory at the horizon.
+//! Ends jobs: when their tasks decide the outcome or at their deadline. Ended jobs are kept until
+//! the horizon has passed, then dropped.
 
 use super::Entry;
 use super::PendingOp;
@@ -12,11 +13,11 @@
 use crate::prelude::*;
 use crate::store::StoreOp;
 
-/// How long after its deadline a job waits for the word of the agents that hold its tasks.
+/// How long after its deadline a job waits for answers of the agents that hold its tasks.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
 
 impl Entry {
-    /// Sets the state of a task that was placed, and ends its job if that decides it.
+    /// Sets the state of a placed task, and ends its job if that decides the outcome.
     pub(super) fn set_task_state(
         &mut self,
         now: Now,
@@ -41,9 +42,9 @@
         self.end_if_decided(now, key);
     }
 
-    /// Takes in the word on a task that had been given up with its agent. The job has ended as
-    /// `unknown` or `failed`; one that was `unknown` can be told more when it is asked for again.
-    /// Returns whether the task was such a one.
+    /// Records an agent's answer for a task that had been given up as lost. Its job has ended as
+    /// `unknown` or `failed`; a caller of an `unknown` one learns more when it asks again. Returns
+    /// whether the task was lost at that agent.
     pub(super) fn resolve_lost_task(
         &mut self,
         agent: AgentKey,
@@ -74,7 +75,7 @@
         true
     }
 
-    /// Ends a job if its tasks decide it: all answered, or one failed or lost.
+    /// Ends a job if its tasks decide the outcome: all have answered, or one has failed or is lost.
     pub(super) fn end_if_decided(&mut self, now: Now, key: JobKey) {
         let Some(job) = self.table.get(key) else {
             return;
@@ -83,11 +84,11 @@
             return;
         }
         let done = |s: &TaskState| matches!(s, TaskState::Answered(_));
-        let whole = job.tasks.iter().all(|t| done(&t.state));
+        let all_answered = job.tasks.iter().all(|t| done(&t.state));
         let failed = |s: &TaskState| matches!(s, TaskState::Failed(_) | TaskState::Lost);
-        let broken = job.tasks.iter().any(|t| failed(&t.state));
-        if whole || broken {
-            let detail = "a task may have run, and the agent that would know can't be asked";
+        let any_failed = job.tasks.iter().any(|t| failed(&t.state));
+        if all_answered || any_failed {
+            let detail = "a task may have run, and its agent can't be reached";
             let cause = if job.lost() && !self.is_accounted_for(job.shard, job.id) {
                 Cause::Unreadable
             } else {
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Ends a job and tells whoever waits. A job whose record is on its way to another entry is
-    /// left to that entry: the record says that it has not ended.
+    /// Ends a job and answers its waiters. A job of a shard that is being handed over is left to the
+    /// next owner, because the record sent there states that the job has not ended.
     pub(super) fn end_job(
         &mut self,
         now: Now,
@@ -133,7 +134,7 @@
         let kept = verdict.clone();
         let again = now.mono + Duration::from_millis(retry_ms);
         let waiters = self.table.update(key, |job| {
-            // More may be heard of a job that is unknown, so its answers are kept.
+            // The outcome of an unknown job may still become known, so its answers are kept.
             if outcome != Outcome::Unknown {
                 job.shrink(&kept);
             }
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Ends the jobs whose deadline has passed. One with tasks at agents waits a little for their
-    /// word, because a job that did not start shall not end as unknown.
+    /// Ends the jobs whose deadline has passed. A job with tasks at agents waits a little longer for
+    /// their answers, so that one that did not start does not end as `unknown`.
     pub(super) fn end_due_jobs(&mut self, now: Now) {
         while let Some(&(due, key)) = self.deadlines.first() {
             if now.mono < due {
@@ -161,7 +162,7 @@
                 continue;
             }
             if self.holdings.handing(job.shard) {
-                // Its next owner decides, or this one when it has the shard back.
+                // The next owner decides, or this entry if the handover is aborted.
                 self.deadlines.insert((now.mono + LATE_ANSWER_GRACE, key));
                 continue;
             }
@@ -171,13 +172,14 @@
                 continue;
             }
             let retry = crate::admission::retry_ms(self.admission.mean(), &mut self.rng);
-            let detail = "the deadline passed first";
+            let detail = "the deadline passed before the job ended";
             self.end_job(now, key, Cause::Deadline, detail, retry);
         }
     }
 
-    /// Forgets the jobs that the horizon has passed, by every box's clock: an entry whose clock is
-    /// behind may be handed the shard and must not find a job missing that it would still take.
+    /// Drops the jobs that are older than the horizon by every box's clock. An entry whose clock is
+    /// behind may be handed the shard, and must find the record of every job that it would still
+    /// accept.
     pub(super) fn expire_jobs(&mut self, now: Now) {
         let kept = self.setup.horizon + self.setup.skew * 2;
         let bound = JobId::floor(now.wall_ms.saturating_sub(millis(kept)));
--- a/lib/src/entry/handing.rs
+++ b/lib/src/entry/handing.rs
@@ -1,5 +1,6 @@
-//! Handing shards over to another entry with their job records, at a planned leave or to even the
-//! shards out: suspend, move, redirect. Requests for a shard that moves wait at their entry.
+//! Hands shards over to another entry with their job records, to rebalance them or because this entry
+//! leaves. The owner suspends the shard, sends its records, and changes the ownership record once the
+//! next owner has confirmed them. Requests for the shard meanwhile wait at the entry of their caller.
 
 use super::Entry;
 use super::account::latest_end;
@@ -18,11 +19,11 @@
 use crate::takeover::Phase;
 use crate::tenure::Standing;
 
-/// How many bytes of records go into one message.
+/// The bytes of records after which a message is sent and another begun.
 const CHUNK_BYTES: usize = 256 * 1024;
-/// How long the next owner may take to hold the records.
+/// How long the next owner may take to confirm the records before the handover is aborted.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long the set of members must have been still before shards are evened out.
+/// How long the set of live members must have been unchanged before shards are rebalanced.
 const STABLE_TIME: Duration = Duration::from_secs(2);
 
 /// A shard whose records are being sent.
@@ -44,7 +45,7 @@
 }
 
 impl Entry {
-    /// Begins to hand over the shards that should be elsewhere.
+    /// Starts handing over the shards that another entry should own.
     pub(super) fn rebalance_shards(&mut self, now: Now) {
         let Some(read) = self.read.clone() else {
             return;
@@ -52,7 +53,7 @@
         if self.tenure.stand(now.mono) != Standing::Confirmed || self.change.is_some() {
             return;
         }
-        let still = now.mono >= self.live_changed + STABLE_TIME;
+        let stable = now.mono >= self.live_changed + STABLE_TIME;
         let live = self.live_members(now, &read.record);
         if live != self.last_live {
             self.last_live = live.clone();
@@ -61,7 +62,7 @@
                 return;
             }
         }
-        if !still && !self.leaving {
+        if !stable && !self.leaving {
             return;
         }
         let owners = self.follower.config().limits.owners as usize;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A leaving entry without peers gives its shards back once no job of theirs is open.
+    /// Gives up the shards of a leaving entry that has no live peers, once no job or request is open.
     fn release_idle_shards(&mut self) {
         let open = self
             .table
@@ -97,6 +98,7 @@
         }
     }
 
+    /// Suspends a shard and sends its job records to the next owner.
     fn start_handover(&mut self, now: Now, shard: ShardId, to: u64) {
         let Some(held) = self.holdings.get(shard).cloned() else {
             return;
@@ -195,6 +197,7 @@
         record
     }
 
+    /// Collects the records of a shard that a peer hands over, and confirms them when complete.
     pub(super) fn on_handover(&mut self, _now: Now, link: LinkId, part: wire::Handover) {
         let shard = ShardId(part.shard);
         if part.index == 0 {
@@ -227,6 +230,7 @@
         }
     }
 
+    /// Handles the next owner's confirmation: the ownership record may now be changed.
     pub(super) fn on_handed(&mut self, _now: Now, _link: LinkId, handed: wire::Handed) {
         let shard = ShardId(handed.shard);
         let expected = self.outgoing.get(&shard).map(|o| o.round);
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Puts the shards whose next owner holds their records into the next record.
+    /// Assigns the shards whose records have been confirmed to their next owners in `next`.
     pub(super) fn apply_handovers(&mut self, next: &mut OwnershipRecord) {
         let handed: Vec<(ShardId, Epoch, u64)> = self
             .holdings
@@ -261,8 +265,9 @@
         }
     }
 
-    /// Goes on serving shards whose next owner does not answer. Once the record may have been
-    /// changed for it, there is no way back until the record has been read.
+    /// Aborts handovers whose next owner does not answer, and serves these shards again. It does
+    /// nothing while a change of the record is in progress or unconfirmed, because that change may
+    /// have given the shards away.
     pub(super) fn abort_late_handovers(&mut self, now: Now) {
         if self.change.is_some() || self.unconfirmed.is_some() {
             return;
@@ -280,7 +285,7 @@
         }
     }
 
-    /// Goes on with the jobs of a shard that was to be handed over.
+    /// Resumes the jobs of a shard whose handover was aborted.
     fn resume_shard(&mut self, now: Now, shard: ShardId) {
         for id in self.table.of_shard(shard) {
             let Some(key) = self.table.find(id) else {
@@ -294,13 +299,14 @@
         }
     }
 
-    /// Serves a shard whose records were handed over under this epoch. Returns whether they were.
+    /// Serves a shard whose records were handed over under this epoch. Returns false if they were not
+    /// received completely.
     pub(super) fn receive_shard(&mut self, now: Now, shard: ShardId, epoch: Epoch) -> bool {
-        let whole = self
+        let complete = self
             .incoming
             .get(&shard)
             .is_some_and(|i| i.is_complete && i.epoch == epoch);
-        if !whole {
+        if !complete {
             return false;
         }
         let Some(incoming) = self.incoming.remove(&shard) else {
@@ -364,7 +370,7 @@
         self.end_if_decided(now, key);
     }
 
-    /// Takes account of the tasks of a received job that may be running.
+    /// Tracks the tasks of a received job that may be running, and recalls those of an open job.
     fn track_received_tasks(&mut self, now: Now, key: JobKey) {
         let Some(job) = self.table.get(key) else {
             return;
--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -1,4 +1,5 @@
-//! Agents and peers: heartbeats, rights, promises, configuration parts.
+//! Links to agents and peers: heartbeats, grants of the right to act, promises and configuration
+//! parts. Each message updates what is known of its sender; the answers go out as actions.
 
 use std::sync::Arc;
 
@@ -11,25 +12,28 @@
 use crate::prelude::*;
 use crate::tenure::Standing;
 
-/// A peer that is behind by a configuration version for this long is sent it.
+/// How long a peer's configuration may be out of date before this entry sends it the newer one.
 const CONFIG_LAG: Duration = Duration::from_millis(1_000);
-/// A peer that asks for promises for this long, while this entry reaches the store, is cut off.
+/// How long a peer may ask for promises while this entry can read the store; after that the peer
+/// counts as cut off from the store and gets no more promises.
 pub(super) const CUT_OFF_DELAY: Duration = Duration::from_millis(1_000);
-/// How many members watch over each that owns shards.
+/// The number of members that watch each owner of shards.
 const WATCHER_COUNT: usize = 3;
-/// Every so many heartbeats go to all peers, the others to the close ones only.
+/// One in this many heartbeats goes to all peers; the others go to the ring neighbours only.
 const SLOW_RATIO: u32 = 16;
-/// How many of the last heartbeats are remembered.
+/// The number of sent heartbeats whose times are remembered.
 const KEPT_HEARTBEATS: usize = 512;
-/// A peer that has not asked for a promise for this long reaches the store again.
+/// A peer that has not asked for a promise for this long counts as able to reach the store again.
 pub(super) const ASKING_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Entry {
-    /// When this process was first given the time.
+    /// Returns when this process was first given the time.
     pub(super) fn started_at(&self) -> Mono {
         self.started_at
     }
 
+    /// Handles a new link to an agent: sends the configuration part and the open seals, and recalls
+    /// the tasks placed there earlier.
     pub(super) fn agent_up(&mut self, now: Now, link: LinkId, hello: &wire::Hello) {
         let key = self.fleet.link_up(hello, link, now.mono);
         self.remove_older_incarnations(now, key);
@@ -51,7 +55,8 @@
         self.recall_all(key);
     }
 
-    /// An agent that has started anew took its name over: the earlier incarnation is lost.
+    /// Removes earlier incarnations of an agent that has restarted under the same name; their tasks
+    /// are lost.
     fn remove_older_incarnations(&mut self, now: Now, key: AgentKey) {
         let Some(name) = self.fleet.get(key).map(|w| w.name.clone()) else {
             return;
@@ -69,7 +74,7 @@
         }
     }
 
-    /// Asks a returned agent what became of the tasks that were placed there before.
+    /// Recalls the tasks that were placed at an agent before its link was restored.
     fn recall_all(&mut self, key: AgentKey) {
         let incarnation = self.fleet.get(key).map(|w| w.incarnation);
         let placed = self.placed.iter().filter(|(_, p)| p.agent == key);
@@ -83,6 +88,8 @@
         }
     }
 
+    /// Sends a recall: the agent reports the state of the task, and no longer starts it if it has not
+    /// started yet.
     pub(super) fn send_recall(
         &mut self,
         agent: AgentKey,
@@ -107,6 +114,7 @@
         self.send(link, Body::Recall(recall));
     }
 
+    /// Answers an agent's request with a grant for the time that the right to act still lasts.
     pub(super) fn on_renew(&mut self, now: Now, link: LinkId, renew: wire::Renew) {
         let Some(key) = self.fleet.at(link) else {
             return;
@@ -155,7 +163,8 @@
         self.resend_lagging_part(key);
     }
 
-    /// The addresses of all entries, if the agent has not been told of this record's yet.
+    /// Returns the addresses of all members, or nothing if those of this record were already sent on
+    /// this link.
     fn unsent_entries(&mut self, link: LinkId) -> Vec<String> {
         let Some(read) = &self.read else {
             return Vec::new();
@@ -168,7 +177,8 @@
         members.map(|m| m.address.clone()).collect()
     }
 
-    /// Sends an agent its part of the configuration in force, unless it has it.
+    /// Sends an agent its part of the configuration in force, unless this version was sent already. An
+    /// unchanged part is sent as a reference to the version that the agent has.
     pub(super) fn send_part(&mut self, key: AgentKey) {
         let version = self.follower.version();
         if version == 0 {
@@ -211,8 +221,8 @@
         }
     }
 
-    /// Sends the part to an agent that is behind. A difference that did not fit what the agent had is
-    /// followed by the whole part.
+    /// Sends the part to an agent whose configuration is out of date. If this version was sent before,
+    /// it now goes out whole, in case the agent lacks the version that was referred to.
     fn resend_lagging_part(&mut self, key: AgentKey) {
         let version = self.follower.version();
         let behind = self.fleet.get(key).is_some_and(|w| w.config < version);
@@ -231,8 +241,8 @@
         }
     }
 
-    /// Whether this entry owns shards. The others are on standby: they hold links to the agents, and
-    /// leave heartbeats and configuration parts to those that own some.
+    /// Returns whether this entry owns shards. An entry without shards is on standby: agents renew with
+    /// it less often, and it leaves configuration parts to the owners.
     pub(super) fn is_owner(&self) -> bool {
         self.holdings.counts().0 > 0
     }
@@ -283,7 +293,7 @@
         self.send_config_to_peers(now);
     }
 
-    /// Sends a heartbeat to every peer, because something has changed that they need to know.
+    /// Sends a heartbeat to every peer at once, after a change that they need to know of.
     pub(super) fn send_heartbeats(&mut self, now: Now) {
         let links: Vec<LinkId> = self.peers.keys().copied().collect();
         self.send_heartbeats_to(now, &links);
@@ -301,7 +311,7 @@
             };
             let read = self.read.as_ref();
             let known = read.is_some_and(|r| r.record.member(peer.incarnation).is_some());
-            let mut beat = wire::Beat {
+            let mut heartbeat = wire::Beat {
                 seq,
                 knows: if known { peer.incarnation } else { 0 },
                 record: read.map_or(0, |r| r.record.seq),
@@ -310,16 +320,16 @@
                 incarnation: self.incarnation,
                 ..Default::default()
             };
-            self.fill_clock_fields(now, peer, &mut beat);
-            self.send(*link, Body::Beat(beat));
+            self.fill_clock_fields(now, peer, &mut heartbeat);
+            self.send(*link, Body::Beat(heartbeat));
         }
     }
 
-    /// The peers with which heartbeats are exchanged at the full rate: those that watch over this
-    /// entry, and those that it watches over.
+    /// Returns the peers with which heartbeats are exchanged at the full rate: those that watch this
+    /// entry, and those that it watches.
     ///
-    /// The members stand in a ring by incarnation; each that owns shards is watched by the next few.
-    /// The others hear from it now and then, and notice a closed link.
+    /// The members form a ring ordered by incarnation, and each owner of shards is watched by the next
+    /// few. All others get its heartbeats at the slow rate, and notice a closed link.
     fn ring_neighbours(&self) -> Vec<u64> {
         let Some(read) = &self.read else {
             return Vec::new();
@@ -327,28 +337,29 @@
         let mut ring: Vec<u64> = read.record.members.iter().map(|m| m.incarnation).collect();
         ring.sort_unstable();
         let count = ring.len();
-        let Some(place) = ring.iter().position(|inc| *inc == self.incarnation) else {
+        let Some(position) = ring.iter().position(|inc| *inc == self.incarnation) else {
             return ring;
         };
-        let after = (1..=WATCHER_COUNT).map(|i| ring[(place + i) % count]);
-        let before = (1..=WATCHER_COUNT).map(|i| ring[(place + count - i % count) % count]);
+        let after = (1..=WATCHER_COUNT).map(|i| ring[(position + i) % count]);
+        let before = (1..=WATCHER_COUNT).map(|i| ring[(position + count - i % count) % count]);
         let owns = |inc: &u64| read.record.shards.iter().any(|s| s.owner == *inc);
         let after = after.filter(|_| owns(&self.incarnation));
-        let mut close: Vec<u64> = after.chain(before.filter(owns)).collect();
-        close.retain(|inc| *inc != self.incarnation);
-        close
+        let mut neighbours: Vec<u64> = after.chain(before.filter(owns)).collect();
+        neighbours.retain(|inc| *inc != self.incarnation);
+        neighbours
     }
 
-    /// Notes which peers are close from now on.
+    /// Updates the set of ring neighbours.
     pub(super) fn update_neighbours(&mut self, now: Now) {
-        let close = self.ring_neighbours();
-        self.neighbour_since.retain(|inc, _| close.contains(inc));
-        for incarnation in close {
+        let neighbours = self.ring_neighbours();
+        self.neighbour_since
+            .retain(|inc, _| neighbours.contains(inc));
+        for incarnation in neighbours {
             self.neighbour_since.entry(incarnation).or_insert(now.mono);
         }
     }
 
-    /// Whether a peer answers, as far as its heartbeats are expected.
+    /// Returns whether a peer's heartbeats arrive at the rate expected of it.
     pub(super) fn is_alive(&self, now: Now, peer: &Peer) -> bool {
         match self.neighbour_since.get(&peer.incarnation) {
             Some(since) => now.mono < peer.last_heard.max(*since) + self.setup.suspect_timeout,
@@ -356,7 +367,7 @@
         }
     }
 
-    pub(super) fn on_heartbeat(&mut self, now: Now, link: LinkId, beat: wire::Beat) {
+    pub(super) fn on_heartbeat(&mut self, now: Now, link: LinkId, heartbeat: wire::Beat) {
         let me = self.incarnation;
         let version = self.follower.version();
         let seq = self.read.as_ref().map_or(0, |r| r.record.seq);
@@ -365,32 +376,32 @@
         };
         peer.last_heard = now.mono;
         let first = peer.last_heartbeat.is_none();
-        peer.last_heartbeat = Some((beat.seq, now.mono));
-        peer.leaving = beat.leaving;
-        peer.config = beat.config;
-        if peer.incarnation != beat.incarnation {
-            peer.incarnation = beat.incarnation;
+        peer.last_heartbeat = Some((heartbeat.seq, now.mono));
+        peer.leaving = heartbeat.leaving;
+        peer.config = heartbeat.config;
+        if peer.incarnation != heartbeat.incarnation {
+            peer.incarnation = heartbeat.incarnation;
             peer.ask_span = None;
         }
-        peer.current_since = match beat.record < seq {
+        peer.current_since = match heartbeat.record < seq {
             true => None,
             false => peer.current_since.or(Some(now.mono)),
         };
-        if beat.knows == me {
-            self.acknowledged_by.insert(beat.incarnation);
+        if heartbeat.knows == me {
+            self.acknowledged_by.insert(heartbeat.incarnation);
         }
-        peer.behind_since = match beat.config < version {
+        peer.behind_since = match heartbeat.config < version {
             true => peer.behind_since.or(Some(now.mono)),
             false => None,
         };
-        if beat.record > seq {
+        if heartbeat.record > seq {
             self.read_due = now.mono;
         }
-        self.handle_clock_fields(now, link, &beat, first);
+        self.handle_clock_fields(now, link, &heartbeat, first);
     }
 
-    /// Sends the configuration in force to peers that have been behind for a while: the store may
-    /// have gone away before they could read it.
+    /// Sends the configuration in force to peers that have had an older one for a while: the store may
+    /// have become unavailable before they could read it.
     fn send_config_to_peers(&mut self, now: Now) {
         let late = |p: &Peer| p.behind_since.is_some_and(|at| now.mono >= at + CONFIG_LAG);
         let links: Vec<LinkId> = self
@@ -412,7 +423,7 @@
         }
     }
 
-    /// While the store does not answer, asks every peer to take nothing over.
+    /// While the store does not answer, asks every peer to promise to take nothing over.
     fn ask_promises(&mut self, now: Now) {
         let Some(age) = self.tenure.read_age(now.mono) else {
             return;
@@ -433,18 +444,21 @@
         }
     }
 
+    /// Answers a peer's request for a promise to take nothing over. It is refused to a peer that is no
+    /// member, that seems cut off while this entry can read the store, or while this entry may be
+    /// taking a right from another.
     pub(super) fn on_promise_ask(&mut self, now: Now, link: LinkId, ask: wire::PromiseAsk) {
-        let reach = self.is_read_fresh(now);
+        let readable = self.is_read_fresh(now);
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
         let asker = peer.incarnation;
         let unbroken = peer
             .ask_span
-            .filter(|(_, last)| reach && now.mono < *last + ASKING_TIMEOUT);
+            .filter(|(_, last)| readable && now.mono < *last + ASKING_TIMEOUT);
         let since = unbroken.map_or(now.mono, |(since, _)| since);
         peer.ask_span = Some((since, now.mono));
-        let cut_off = reach && now.mono >= since + CUT_OFF_DELAY;
+        let cut_off = readable && now.mono >= since + CUT_OFF_DELAY;
         let member = self
             .read
             .as_ref()
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placing.rs
@@ -1,4 +1,5 @@
-//! Tasks to workers, and their answers.
+//! Places tasks: sends the waiting tasks of each lane to workers with free capacity, and handles the
+//! answers. A task is sent only while this entry has the right to act and serves the task's shard.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,21 +20,21 @@
 use crate::prelude::*;
 use crate::tenure::Standing;
 
-/// The longest pause before a task that came back unstarted is sent again without budget.
+/// The longest delay before a task that did not start is retried when the retry budget is spent.
 const MAX_RETRY_DELAY_MS: u64 = 50;
 
-/// What became of the first task of a lane.
+/// The result of an attempt to send the first task of a lane.
 enum PlaceResult {
-    /// It was sent.
+    /// The task was sent, or its job was ended because the service no longer exists.
     Sent,
-    /// No worker that serves the lane's service has room.
+    /// No worker that serves the lane's service has free capacity.
     NoRoom,
-    /// The lane has nothing to send, or its share is used up.
+    /// The lane has nothing to send, or its quota share is used up.
     Skipped,
 }
 
 impl Entry {
-    /// Sends waiting tasks for as long as one can be sent.
+    /// Sends waiting tasks until none can be sent.
     pub(super) fn place_waiting(&mut self, now: Now) {
         if self.lanes.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
             return;
@@ -41,7 +42,7 @@
         let config = self.follower.config().clone();
         let mut full: HashSet<Arc<str>> = HashSet::new();
         let mut skipped: HashSet<LaneName> = HashSet::new();
-        // Each pass sends at most one task of each lane, the team furthest behind first.
+        // Each pass sends at most one task of each lane, in order of the teams' virtual time.
         let mut sent = true;
         while sent {
             sent = false;
@@ -88,14 +89,17 @@
             .fleet
             .get(agent)
             .is_some_and(|w| service.permits(w.site()));
-        assert!(site_permits, "invariant: work runs only where it may");
+        assert!(
+            site_permits,
+            "invariant: tasks run only where their service permits"
+        );
         let weight = config.teams.get(&*lane.team).map_or(1, |t| t.weight);
         self.lanes.pop(lane, weight);
         self.send_start(now, task, key, agent);
         PlaceResult::Sent
     }
 
-    /// The first task of a lane that still has to be sent; those before it are skipped over.
+    /// Returns the first task of a lane that still has to be sent, and removes those before it.
     fn first_waiting(&mut self, now: Now, lane: &LaneName) -> Option<(TaskKey, JobKey)> {
         loop {
             let task = self.lanes.front(lane)?;
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Sends a task to an agent.
+    /// Sends a task to an agent and starts tracking it.
     fn send_start(&mut self, now: Now, task: TaskKey, key: JobKey, agent: AgentKey) {
         self.send_part(agent);
         let Some(shard) = self.table.get(key).map(|j| j.shard) else {
@@ -125,7 +129,7 @@
         };
         assert!(
             self.tenure.stand(now.mono) != Standing::Lapsed && self.holdings.active(shard),
-            "invariant: only the owner in its right starts tasks"
+            "invariant: only the owner with the right to act starts tasks"
         );
         let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.renewed) else {
             return;
@@ -234,13 +238,14 @@
         }
     }
 
-    /// A task came back unstarted: it waits again, within the budget for repeats.
+    /// Queues a task again that an agent returned without starting it: at once if the retry budget
+    /// allows, otherwise after a random delay.
     fn retry_task(&mut self, now: Now, task: TaskKey, placed: &Placed, why: wire::Refusal) {
         self.count_wasted(returned_kind(why));
-        let broken = why == wire::Refusal::Backend;
+        let backend_failed = why == wire::Refusal::Backend;
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             let (at, scale) = (placed.at, placed.scale);
-            if broken {
+            if backend_failed {
                 worker.health.end(now.mono, at, scale, true, None);
             } else {
                 worker.health.cancel(now.mono, at, scale);
@@ -263,8 +268,8 @@
         if why != wire::Refusal::Fenced && self.retries.take(now.mono) {
             return self.lanes.push_front(&placed.lane, task);
         }
-        let pause = rand::Rng::random_range(&mut self.rng, 5..MAX_RETRY_DELAY_MS);
-        let due = now.mono + Duration::from_millis(pause);
+        let delay_ms = rand::Rng::random_range(&mut self.rng, 5..MAX_RETRY_DELAY_MS);
+        let due = now.mono + Duration::from_millis(delay_ms);
         self.delayed.push((due, placed.lane.clone(), task));
     }
 
@@ -280,6 +285,7 @@
     }
 }
 
+/// Returns the kind under which a returned task is counted.
 fn returned_kind(why: wire::Refusal) -> &'static str {
     match why {
         wire::Refusal::Fenced => "returned-fenced",
--- a/lib/src/entry/record.rs
+++ b/lib/src/entry/record.rs
@@ -1,4 +1,5 @@
-//! Reading the ownership record, and what follows from it for this entry.
+//! Reads the ownership record and its roster, and applies them: confirms the right to act, updates
+//! members and agents, and releases, receives or takes over shards. Older reads are ignored.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 use crate::takeover::Phase;
 
 impl Entry {
-    /// A store operation has ended.
+    /// Handles the result of a store operation.
     pub fn handle_store_reply(&mut self, now: Now, tag: u64, reply: StoreReply) {
         self.observe_time(now);
         let Some(errand) = self.pending_ops.remove(&tag) else {
@@ -36,13 +37,13 @@
         self.advance(now);
     }
 
-    /// Whether the store has answered a read of the record lately.
+    /// Returns whether the store has recently answered a read of the record.
     pub(super) fn is_read_fresh(&self, now: Now) -> bool {
         let bound = self.setup.read_interval * 2 + self.setup.read_interval / 2;
         self.last_read.is_some_and(|at| now.mono < at + bound)
     }
 
-    /// Reads the record when it is time.
+    /// Reads the record if a read is due and none is in progress.
     pub(super) fn read_record_if_due(&mut self, now: Now) {
         if self.reading || now.mono < self.read_due {
             return;
@@ -74,13 +75,13 @@
     }
 
     fn note_failed_read(&mut self, now: Now) {
-        let just = self.last_read.map(|at| now.mono.since(at));
-        if just.is_some_and(|age| age < self.setup.read_interval * 3) {
+        let age = self.last_read.map(|at| now.mono.since(at));
+        if age.is_some_and(|age| age < self.setup.read_interval * 3) {
             self.log(Kind::StoreUnavailable, String::new());
         }
     }
 
-    /// There is no record yet: the first entry writes one.
+    /// Starts a new record if none exists and this entry has never read one.
     fn on_record_absent(&mut self, now: Now) {
         if self.read.is_none() && !self.leaving {
             let record = OwnershipRecord::new(self.setup.shards);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Reads the roster that goes with a record, unless it is the one at hand.
+    /// Adopts a record together with its roster, which is read from the store unless it is at hand.
     fn fetch_roster(&mut self, now: Now, sent: Mono, record: OwnershipRecord, index: u64) {
         let known = self
             .read
@@ -118,7 +119,7 @@
             return;
         };
         let StoreReply::Value(Some(stored)) = reply else {
-            // A newer record may have replaced it meanwhile: read again.
+            // A newer record may have replaced the roster, so the record is read again.
             self.read_due = now.mono + CHANGE_INTERVAL;
             return;
         };
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Takes in the record as it stood when the read was sent or later.
+    /// Adopts a record that was current at some time after `sent`, the time at which its read was sent.
     fn adopt_record(
         &mut self,
         now: Now,
@@ -175,8 +176,9 @@
         }
     }
 
-    /// Another entry took this one for dead. It joins anew under another incarnation, because the
-    /// members that are told apart by it must know that its earlier right is over.
+    /// Handles this entry's removal from the members, which follows when another entry took it for dead
+    /// or when it has left. Unless it is leaving, it rejoins under a new incarnation, so that the other
+    /// members can tell its new right to act from the one that has ended.
     fn handle_removal(&mut self, now: Now) {
         if self.leaving {
             self.joined_at = None;
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Compares what the record gives this entry with what it serves.
+    /// Compares the shards that the record assigns to this entry with those it holds: releases the
+    /// ones that are gone, and receives or takes over the new ones.
     fn compare_holdings(&mut self, now: Now, record: &OwnershipRecord, roster: &Roster) {
         let owned = record.owned(self.incarnation);
         let gone: Vec<ShardId> = self
@@ -250,7 +253,7 @@
         }
     }
 
-    /// Lets go of a shard that another entry owns now.
+    /// Releases a shard that another entry owns now, and redirects the waiters of its jobs.
     fn release_shard(&mut self, now: Now, shard: ShardId) {
         let was = self.holdings.get(shard).map(|h| h.phase);
         if matches!(was, Some(Phase::Handed(_))) {
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -1,4 +1,5 @@
-//! Callers' requests on their way to the owner of their job, and back.
+//! Routes callers' requests to the owner of their job and the answers back. A request is parked while
+//! its job has no reachable owner. Each request is answered exactly once.
 
 use bytes::Bytes;
 
@@ -12,44 +13,44 @@
 use crate::takeover::Phase;
 use crate::tenure::Standing;
 
-/// How much longer than its deadline a request waits for the owner's word.
+/// How long after its deadline a request still waits for the owner's answer.
 const OWNER_ANSWER_GRACE: Duration = Duration::from_millis(2_000);
-/// How long a request that was turned away waits for a newer record.
+/// How long a request that a peer has redirected waits for a newer record before it is sent again.
 const REDIRECT_DELAY: Duration = Duration::from_millis(100);
-/// When to come back after a request for which there is no owner.
+/// The retry delay given to callers whose job has no reachable owner.
 const NO_OWNER_RETRY_MS: u64 = 2_000;
-/// Without an answer from the store for this long, no takeover is expected.
+/// How long the store may fail to answer before takeovers are no longer expected.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a caller asks.
+/// A caller's request: a job to run, or a query about one.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// The team, if the caller names one.
     pub team: String,
-    /// The body; empty for a question.
+    /// The job's body; empty for a query.
     pub body: Bytes,
-    /// Time left until the deadline; zero for the configured default.
+    /// The time left until the deadline; zero for the configured default.
     pub left: Duration,
-    /// True for a question that must not start anything.
+    /// Whether this is a query, which starts nothing.
     pub peek: bool,
 }
 
-/// Where a request is.
+/// Where a request is being handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Route {
-    /// Here, until its job has an owner that can be reached.
+    /// At this entry, until its job has a reachable owner.
     Parked,
-    /// With this entry as the owner.
+    /// At this entry as the owner of the job.
     Own,
-    /// With the peer at the other end of a link.
+    /// At the peer at the other end of a link.
     Link(LinkId),
 }
 
-/// A request of a caller of this entry.
+/// An open request of one of this entry's callers.
 #[derive(Clone, Debug)]
 pub struct Request {
     submission: Submission,
@@ -57,12 +58,12 @@
     arrived: Mono,
     deadline: Mono,
     parked_at: Mono,
-    /// Not to be sent on before this time: a peer has just turned it away.
+    /// The time before which it is not sent again, after a peer has redirected it.
     not_before: Mono,
 }
 
-/// A request for a shard that this entry owns, and either does not serve yet, or can't judge by
-/// the job's mint time yet.
+/// A request for a shard that this entry owns and that can't be decided on yet: either the shard is
+/// not served yet, or the job's mint time lies within a lead that is not in force yet.
 #[derive(Clone, Debug)]
 pub(super) struct HeldRequest {
     shard: ShardId,
@@ -72,8 +73,8 @@
 }
 
 impl Entry {
-    /// A caller's request, numbered by the daemon. It is answered by exactly one
-    /// [`super::Action::Respond`].
+    /// Accepts a caller's request under a number chosen by the host. Exactly one
+    /// [`super::Action::Respond`] answers it, unless [`Entry::forget_request`] is called first.
     pub fn submit(&mut self, now: Now, id: u64, submission: Submission) {
         self.observe_time(now);
         self.counts.requests += 1;
@@ -91,22 +92,23 @@
             submission,
         };
         let before = self.requests.insert(id, request);
-        assert!(before.is_none(), "invariant: a request has one number");
+        assert!(before.is_none(), "invariant: request numbers are unique");
         self.route_request(now, id);
         self.advance(now);
     }
 
-    /// The caller has gone. Its job goes on; the answer is kept for its resubmission.
+    /// Drops the request of a caller that has disconnected. Its job continues, and the answer is kept
+    /// in case the caller submits the job again.
     pub fn forget_request(&mut self, id: u64) {
         self.requests.remove(&id);
     }
 
-    /// Whether requests are under way.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Sends a parked request to where its job is decided, if that is possible now.
+    /// Sends a parked request to the owner of its job, if the owner is reachable now.
     fn route_request(&mut self, now: Now, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -126,7 +128,7 @@
         }
     }
 
-    /// The link to the peer that owns a shard, if it answers.
+    /// Returns the link to the peer that owns a shard, if the peer is responsive.
     fn owner_link(&self, now: Now, shard: ShardId) -> Option<LinkId> {
         let owner = self.read.as_ref()?.record.slot(shard).owner;
         let (link, peer) = self.peers.iter().find(|(_, p)| p.incarnation == owner)?;
@@ -144,7 +146,7 @@
     }
 
     fn forward_to(&mut self, now: Now, id: u64, link: LinkId) {
-        let Some((beat, beaten)) = self.peers.get(&link).and_then(|p| p.last_heartbeat) else {
+        let Some((beat, arrived)) = self.peers.get(&link).and_then(|p| p.last_heartbeat) else {
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
@@ -163,21 +165,21 @@
             body: s.body.clone(),
             seq: self.next_forward,
             beat,
-            since_us: micros(now.mono.since(beaten)),
+            since_us: micros(now.mono.since(arrived)),
         };
         self.counts.forwards += 1;
         self.send(link, Body::Forward(forward));
     }
 
-    /// Ends a request at once when nothing can be expected to give its job an owner: the store is
-    /// away, so nobody can take over. Whether the job ran is not known here.
+    /// Ends a request at once if the store is unavailable, because then no entry can take the job over.
+    /// Whether the job ran is unknown here.
     fn give_up_if_hopeless(&mut self, now: Now, id: u64, known: bool) {
         let age = self.last_read.map(|at| now.mono.since(at));
         let away = age.is_some_and(|age| age > STORE_TIMEOUT);
         if away || (!known && self.has_store_never_answered(now)) {
             self.end_without_owner(
                 id,
-                "the store does not answer, so nobody can take the job over",
+                "the store does not answer, so no entry can take the job over",
             );
         }
     }
@@ -202,7 +204,7 @@
         self.actions.push(super::Action::Respond(id, verdict));
     }
 
-    /// Answers whoever waits.
+    /// Answers a waiter: a caller of this entry, or a peer that forwarded a request.
     pub(super) fn answer_waiter(&mut self, waiter: Waiter, verdict: Verdict) {
         match waiter {
             Waiter::Local(id) => self.respond(id, verdict),
@@ -213,7 +215,8 @@
         }
     }
 
-    /// Sends whoever waits elsewhere: this entry does not own the job any more.
+    /// Redirects a waiter because this entry does not own the job: a caller's request is parked, a
+    /// peer's is returned to it.
     pub(super) fn redirect_waiter(&mut self, now: Now, waiter: Waiter) {
         match waiter {
             Waiter::Local(id) => self.park_request(now, id),
@@ -249,8 +252,8 @@
         }
         peer.last_forward = forward.seq;
         let waiter = Waiter::Peer(link, forward.request);
-        // A message that was under way for longer than the deadline starts nothing any more: its
-        // caller has been answered.
+        // A request that arrives after its deadline starts nothing, because its caller has been
+        // answered already.
         let left = self.remaining_time(now, &forward);
         if left.is_zero() {
             return self.count_wasted("late-forward");
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Keeps a request until its job can be decided on.
+    /// Holds a request until its job can be decided on.
     pub(super) fn hold_request(&mut self, now: Now, waiter: Waiter, submission: Submission) {
         let Some(shard) = self.shard_of(submission.job) else {
             return self.redirect_waiter(now, waiter);
@@ -286,8 +289,9 @@
         });
     }
 
-    /// Decides on the requests that were held for shards which are served now, and sends those
-    /// away whose shard went elsewhere. Those of peers that are too late are ended by these.
+    /// Decides on the held requests whose shards are served now, and redirects those whose shards went
+    /// to another entry. Of those past their deadline, this entry ends its own callers' requests; peers
+    /// end theirs themselves.
     pub(super) fn process_held_requests(&mut self, now: Now) {
         for held in std::mem::take(&mut self.held_requests) {
             if now.mono >= held.deadline {
@@ -311,7 +315,9 @@
         }
     }
 
-    /// The time left to a forwarded request, counted from a heartbeat of this entry's own.
+    /// Returns the time left to a forwarded request. The sender states it relative to its receipt of
+    /// one of this entry's heartbeats, so time spent in transit counts; if that heartbeat is not
+    /// remembered any more, no time is left.
     fn remaining_time(&self, now: Now, forward: &wire::Forward) -> Duration {
         let sent = self
             .heartbeats
@@ -325,8 +331,8 @@
         now.mono.until(*sent + Duration::from_micros(span))
     }
 
-    /// Takes in an owner's word. One that comes from a peer where the request is not any more is
-    /// dropped: another owner may have started the job since.
+    /// Handles an owner's reply. A reply from a peer that no longer handles the request is dropped,
+    /// because another owner may have started the job since.
     pub(super) fn on_reply(&mut self, now: Now, link: LinkId, reply: wire::Reply) {
         let id = reply.request;
         let there = |r: &Request| r.route == Route::Link(link);
@@ -346,7 +352,7 @@
         self.respond(id, verdict);
     }
 
-    /// Requests that were with a peer whose link is down look for the owner anew.
+    /// Parks the requests at a peer whose link went down, so that they are routed again.
     pub(super) fn park_requests_at(&mut self, now: Now, link: LinkId) {
         let stranded: Vec<u64> = self
             .requests
@@ -359,7 +365,8 @@
         }
     }
 
-    /// Requests whose owner is now known to be another than the one they are with.
+    /// Parks the requests that are at a peer which does not own their job any more, and routes all
+    /// parked requests.
     pub(super) fn reroute(&mut self, now: Now) {
         let moved: Vec<u64> = self
             .requests
@@ -400,13 +407,13 @@
         }
     }
 
-    /// Looks after requests that wait for an owner.
+    /// Processes held and parked requests.
     pub(super) fn process_requests(&mut self, now: Now) {
         self.process_held_requests(now);
         self.route_parked(now);
     }
 
-    /// Ends requests that have waited too long.
+    /// Ends the requests that have waited too long.
     pub(super) fn end_late_requests(&mut self, now: Now) {
         let over: Vec<(u64, &'static str)> = self
             .requests
@@ -418,6 +425,7 @@
         }
     }
 
+    /// Returns why a request has waited too long, or `None` if it has not.
     fn timeout_detail(&self, now: Now, request: &Request) -> Option<&'static str> {
         let late = now.mono >= request.deadline + OWNER_ANSWER_GRACE;
         match request.route {
--- a/lib/src/entry/sealing.rs
+++ b/lib/src/entry/sealing.rs
@@ -1,5 +1,6 @@
-//! Taking shards over: seals at the agents, and what they tell of tasks that a former owner
-//! started.
+//! Takes shards over: seals them at all agents of the roster, which fences the former owner off, and
+//! reads back which tasks it had started. The shards are served once its right to act has expired and
+//! the agents have answered or are given up.
 
 use std::collections::BTreeSet;
 
@@ -20,11 +21,11 @@
 use crate::takeover::RoundId;
 use crate::tenure::Standing;
 
-/// How long agents have to answer a seal when no former owner has to be waited for.
+/// How long agents have to answer a seal if no former owner's right has to expire.
 const SEAL_WAIT: Duration = Duration::from_millis(1_000);
 
 impl Entry {
-    /// Seals shards that the record has just given to this entry.
+    /// Starts a takeover round for shards that the record has just given to this entry.
     pub(super) fn start_takeover(
         &mut self,
         now: Now,
@@ -66,14 +67,14 @@
         }
     }
 
-    /// How long an owner that does not know this entry may still be riding on promises.
+    /// Returns how long an owner that does not know this entry may still act on promises of its peers.
     pub(super) fn remaining_ride(&self, now: Now) -> Duration {
         let ride = self.setup.tenure.ride;
         let joined = self.joined_at.unwrap_or(now.mono);
         now.mono.until(joined + ride + ride / 20)
     }
 
-    /// Seals at an agent whatever waits for it.
+    /// Sends an agent the seals of all rounds that it has not answered.
     pub(super) fn send_open_seals(&mut self, key: AgentKey) {
         let Some(incarnation) = self.fleet.get(key).map(|w| w.incarnation) else {
             return;
@@ -98,8 +99,8 @@
         self.send(link, Body::Seal(seal));
     }
 
-    /// Tells the agents of shards that were handed over: they fence the former owner off, and know
-    /// that this entry sends work from now on.
+    /// Announces shards that were handed over to this entry to the agents, which fence the former owner
+    /// off and expect work from this entry from then on.
     pub(super) fn announce_received(&mut self, handed: &[(ShardId, Epoch)]) {
         if handed.is_empty() {
             return;
@@ -115,6 +116,7 @@
         }
     }
 
+    /// Handles an agent's answer to a seal, which lists tasks that it has started.
     pub(super) fn on_sealed(&mut self, now: Now, link: LinkId, sealed: wire::Sealed) {
         let Some(agent) = self.fleet.at(link) else {
             return;
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Takes in what an agent tells of one task that it has started.
+    /// Records what an agent reports of a task that it has started.
     fn record_started_task(&mut self, now: Now, agent: AgentKey, started: &wire::Started) {
         let Some(id) = JobId::from_wire(started.job) else {
             return;
@@ -164,9 +166,9 @@
             task: started.task,
         };
         let running = matches!(state, TaskState::Placed { .. });
-        let place = started.task as usize;
-        let news = self.table.update(key, |job| {
-            let Some(entry) = job.tasks.get_mut(place) else {
+        let index = started.task as usize;
+        let updated = self.table.update(key, |job| {
+            let Some(entry) = job.tasks.get_mut(index) else {
                 return false;
             };
             let open = matches!(entry.state, TaskState::Queued | TaskState::Lost);
@@ -175,7 +177,7 @@
             }
             open
         });
-        if news != Some(true) {
+        if updated != Some(true) {
             return;
         }
         if running {
@@ -184,7 +186,7 @@
         self.end_if_decided(now, key);
     }
 
-    /// The record of a job that is known from an agent alone.
+    /// Inserts a job that is known from an agent's report only.
     fn insert_reported_job(
         &mut self,
         now: Now,
@@ -223,7 +225,7 @@
         })
     }
 
-    /// Serves the shards whose rounds are done.
+    /// Serves the shards whose takeover rounds are complete.
     pub(super) fn serve_ready_shards(&mut self, now: Now) {
         if self.tenure.stand(now.mono) == Standing::Lapsed {
             return;
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Keeps room in the quotas for tasks that may still run at agents that were not read back.
+    /// Reserves quota for tasks that may still run at agents that were not read back.
     fn reserve_unread_slots(&mut self, now: Now, id: RoundId) {
         let longest = self.follower.config().limits.longest_ms;
         let Some(read) = &self.read else {
--- a/lib/src/entry/shares.rs
+++ b/lib/src/entry/shares.rs
@@ -1,5 +1,6 @@
-//! Quotas of teams and capacities of services: this entry's shares, and the shares that it gives
-//! out for the names it is in charge of.
+//! Shares of quotas, which bound a team's running tasks (its quota) and a service's (its capacity).
+//! Each quota has a name, as `team/NAME`, and the owner of that name's shard is its allocator. An entry
+//! places a task only within its shares of both, and allocates shares of the names it owns.
 
 use std::sync::Arc;
 
@@ -12,11 +13,11 @@
 use crate::quota::ShareAsk;
 use crate::tenure::Standing;
 
-/// How much more than is waiting a holder asks for, so that the next burst finds a share.
+/// How much more than it needs now a holder asks for, so that the next tasks can start at once.
 const SHARE_SLACK: u32 = 4;
 
 impl Entry {
-    /// Whether the lane's team and service both have room for one more task.
+    /// Returns whether this entry's shares for the lane's team and service both allow one more task.
     pub(super) fn has_share(&mut self, now: Now, lane: &LaneName) -> bool {
         let [team, service] = self.quota_names(lane);
         self.has_quota_share(now, team) && self.has_quota_share(now, service)
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The names under which a lane's tasks are counted.
+    /// Returns the names of the quotas that a lane's tasks count against.
     fn quota_names(&mut self, lane: &LaneName) -> [Arc<str>; 2] {
         if let Some(known) = self.quota_names.get(lane) {
             return known.clone();
@@ -53,7 +54,7 @@
         both
     }
 
-    /// The bound that goes with a name; `None` when there is none.
+    /// Returns the quota of a name, or `None` if it is unbounded.
     fn quota(&self, name: &str) -> Option<u32> {
         let config = self.follower.config();
         let (kind, rest) = name.split_once('/')?;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Asks for the shares that are due.
+    /// Requests the shares for which a request is due.
     pub(super) fn request_shares(&mut self, now: Now) {
         if self.shares.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
             return;
@@ -136,7 +137,7 @@
         self.send(link, Body::ShareAsk(ask));
     }
 
-    /// Whether this entry gives out the shares of a name.
+    /// Returns whether this entry allocates the shares of a name.
     fn is_allocator(&self, name: &str) -> bool {
         let Some(read) = &self.read else {
             return false;
@@ -168,8 +169,8 @@
         allocator.ask(now.mono, quota, ask)
     }
 
-    /// Whether all other members have known for a while of the record that this entry goes by, so
-    /// that they ask for shares where it says.
+    /// Returns whether all other members have known this entry's record for long enough to send their
+    /// requests to the allocators that it names.
     fn is_record_known_everywhere(&self, now: Now) -> bool {
         let knows = |member: &u64| {
             let mut peers = self.peers.values();
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Drops the allocators of names that this entry is no longer in charge of.
+    /// Drops the allocators of names whose shards this entry no longer owns.
     pub(super) fn drop_allocators(&mut self) {
         let Some(read) = &self.read else {
             return;
@@ -227,7 +228,7 @@
 }
 
 impl Entry {
-    /// The shares held, by name.
+    /// Returns the number of tasks that count against each quota name here.
     pub fn held_shares(&self) -> Vec<(Arc<str>, u32)> {
         let held = |(n, s): (&Arc<str>, &crate::quota::Share)| (n.clone(), s.used());
         self.shares.iter().map(held).collect()
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -1,5 +1,6 @@
-//! What the owner of a shard does with a job: joins it to a running one, gives the known answer,
-//! refuses it, or takes it in.
+//! Decides on a job at the owner of its shard: the request joins the job of the same id, gets its known
+//! answer, is refused, or is accepted and its tasks queued. A job is refused as `not_run` only if no
+//! task of it can have started.
 
 use std::sync::Arc;
 
@@ -25,10 +26,10 @@
 use crate::prelude::*;
 use crate::shard::body_digest;
 
-/// When to come back after a refusal that lack of a worker caused.
+/// The retry delay given to callers when no worker is reachable or the memory for jobs is used up.
 const NO_WORKER_RETRY_MS: u64 = 1_000;
 
-/// A job that was refused and has no record otherwise.
+/// The recent refusal of a job that is not in the job table.
 #[derive(Clone, Debug)]
 pub(super) struct RecentRefusal {
     pub(super) shard: ShardId,
@@ -37,7 +38,7 @@
     refusal: Refusal,
 }
 
-/// A job that has passed every check.
+/// The data of a job that has passed all checks.
 struct CheckedJob {
     lane: LaneName,
     need: Room,
@@ -68,7 +69,7 @@
             return self.hold_request(now, waiter, submission);
         }
         match self.check_job(now, &submission, digest) {
-            Ok(plan) => self.accept_job(now, waiter, submission.job, plan),
+            Ok(checked) => self.accept_job(now, waiter, submission.job, checked),
             Err(refusal) => {
                 self.remember_refusal(now, &submission, digest, &refusal);
                 self.answer_waiter(waiter, Verdict::Other(refusal));
@@ -76,12 +77,11 @@
         }
     }
 
-    /// Remembers a `not_run` for as long as its caller was asked to stay away. Without it a
-    /// copy of the request that is under way at the same time could start the job while the
-    /// refusal travels.
+    /// Remembers a `not_run` refusal for the retry delay given to its caller. Otherwise a duplicate of
+    /// the request could start the job while the refusal is in transit.
     fn remember_refusal(&mut self, now: Now, s: &Submission, digest: u64, refusal: &Refusal) {
-        let stays = refusal.outcome == Some(Outcome::NotRun) && refusal.retry_ms > 0;
-        let Some(shard) = self.shard_of(s.job).filter(|_| stays) else {
+        let delayed = refusal.outcome == Some(Outcome::NotRun) && refusal.retry_ms > 0;
+        let Some(shard) = self.shard_of(s.job).filter(|_| delayed) else {
             return;
         };
         let retry_at = now.mono + Duration::from_millis(refusal.retry_ms);
@@ -98,7 +98,7 @@
         self.recent_refusals.insert(s.job, refused);
     }
 
-    /// The refusal that a job got a moment ago, if its caller was asked to stay away for longer.
+    /// Returns a job's recent refusal if its retry delay has not passed.
     fn recent_refusal(&self, now: Now, job: JobId, digest: u64) -> Option<Refusal> {
         let refused = self.recent_refusals.get(&job)?;
         let wait_ms = millis(now.mono.until(refused.retry_at));
@@ -106,17 +106,20 @@
         same.then(|| refused.refusal.clone().retry(wait_ms))
     }
 
-    /// Forgets refusals whose callers may come back.
+    /// Forgets refusals whose retry delay has passed.
     pub(super) fn forget_old_refusals(&mut self, now: Now) {
         self.recent_refusals.retain(|_, r| now.mono < r.retry_at);
     }
 
-    /// What is known of a job, without starting anything.
+    /// Returns what is known of a job, without starting anything.
     fn look_up(&self, now: Now, job: JobId) -> Verdict {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         if let Some(job) = known {
             if job.told_more() {
-                return job.verdict(Cause::WorkerLost, "send it again to have the rest done");
+                return job.verdict(
+                    Cause::WorkerLost,
+                    "submit the job again to run its remaining tasks",
+                );
             }
             return job.ended.clone().unwrap_or_else(|| {
                 Verdict::Other(Refusal {
@@ -127,11 +130,11 @@
                 })
             });
         }
-        let whole = self
+        let accounted = self
             .shard_of(job)
             .is_some_and(|s| self.is_accounted_for(s, job));
         let fresh = !self.is_expired(now, job);
-        let outcome = if whole && fresh {
+        let outcome = if accounted && fresh {
             self.unstarted_outcome(now)
         } else {
             Outcome::Unknown
@@ -143,7 +146,8 @@
         ))
     }
 
-    /// Joins a request to the job of the same id. Returns false if the job has to be taken in.
+    /// Joins a request to the known job of the same id: waits for it or gets its answer. Returns false if
+    /// the job has to be submitted anew.
     fn join_existing(&mut self, now: Now, waiter: Waiter, key: JobKey, digest: u64) -> bool {
         let Some(job) = self.table.get(key) else {
             return false;
@@ -183,7 +187,7 @@
         past && !self.skip_horizon
     }
 
-    /// Whether all that may have started of a job is known here.
+    /// Returns whether this entry knows every task of a job that may have started.
     pub(super) fn is_accounted_for(&self, shard: ShardId, job: JobId) -> bool {
         let Some(held) = self.holdings.get(shard) else {
             return false;
@@ -191,7 +195,7 @@
         held.clear_ms == 0 || job.minted_ms() > held.clear_ms
     }
 
-    /// Checks everything that can be wrong with a job before it is taken in.
+    /// Checks whether a job can be accepted.
     fn check_job(&mut self, now: Now, s: &Submission, digest: u64) -> Result<CheckedJob, Refusal> {
         let shard = self.check_id(now, s.job)?;
         let idle = self.refusal_outcome(now, shard, s.job);
@@ -246,8 +250,8 @@
             return Err(unknown(Cause::NoOwner, "the ownership record is not known"));
         };
         if self.is_expired(now, job) {
-            let detail = "the id was minted longer ago than the horizon; what became of the job \
-                          is not remembered";
+            let detail = "the id was minted longer ago than the horizon; the outcome of the job \
+                          is no longer known";
             return Err(unknown(Cause::Expired, detail));
         }
         let minted_ms = job.minted_ms();
@@ -268,7 +272,8 @@
         Ok(shard)
     }
 
-    /// The outcome to tell when a job is refused that nothing is known of.
+    /// Returns the outcome to report when a job is refused: `Unknown` unless none of its tasks can have
+    /// started.
     fn refusal_outcome(&self, now: Now, shard: ShardId, job: JobId) -> Outcome {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         let touched = known.is_some_and(|j| j.ran() || j.outstanding() || j.lost());
@@ -278,7 +283,7 @@
         self.unstarted_outcome(now)
     }
 
-    /// The slots of the workers that may take the service's tasks now.
+    /// Returns the number of slots at workers that can take the service's tasks now.
     fn usable_slots(&mut self, now: Now, name: &Arc<str>, service: &Service) -> usize {
         let keys = self.permitted(name, service);
         let workers = keys.iter().filter_map(|k| self.fleet.get(*k));
@@ -290,7 +295,8 @@
         }
     }
 
-    /// The workers at which a service's tasks may run, remembered until something changes.
+    /// Returns the workers at which a service's tasks may run, cached until the configuration or the
+    /// fleet changes.
     pub(super) fn permitted(&mut self, name: &Arc<str>, service: &Service) -> Arc<[AgentKey]> {
         if let Some(known) = self.permitted.get(name) {
             return known.clone();
@@ -310,7 +316,7 @@
         let config = self.follower.config();
         let quota = config.teams.get(&*lane.team).map(|t| t.quota as usize);
         if self.table.size().1 > self.setup.budget {
-            let detail = "the memory for jobs is spent";
+            let detail = "the memory for jobs is used up";
             return Err((Cause::Memory, detail.into(), NO_WORKER_RETRY_MS));
         }
         let running = self.placed.len().saturating_sub(slots);
@@ -333,20 +339,22 @@
         admitted.map_err(|(cause, wait)| {
             let waiting = crowd.waiting;
             let detail = format!(
-                "{waiting} tasks are in front, a wait of about {} ms",
+                "{waiting} tasks are ahead; the expected wait is {} ms",
                 millis(wait)
             );
             (cause, detail, retry_ms(wait, &mut self.rng))
         })
     }
 
-    /// Takes a job in: makes its record, or completes one that is known from agents alone.
-    fn accept_job(&mut self, now: Now, waiter: Waiter, id: JobId, plan: CheckedJob) {
-        let readable = self.is_accounted_for(plan.shard, id);
-        let repeat = plan.repeat;
+    /// Accepts a job: inserts its record, or completes the one that exists.
+    fn accept_job(&mut self, now: Now, waiter: Waiter, id: JobId, checked: CheckedJob) {
+        let accounted = self.is_accounted_for(checked.shard, id);
+        let repeat = checked.repeat;
         let key = match self.table.find(id) {
-            Some(key) => self.fill_record(now, key, waiter, plan, readable),
-            None => self.table.insert(new_job(now, id, waiter, plan, readable)),
+            Some(key) => self.fill_record(now, key, waiter, checked, accounted),
+            None => self
+                .table
+                .insert(new_job(now, id, waiter, checked, accounted)),
         };
         let Some(job) = self.table.get(key) else {
             return;
@@ -361,26 +369,27 @@
         self.enqueue(key);
     }
 
-    /// Fills in a record that has no bodies: one known from agents, or one that did not run.
+    /// Completes a record that has no bodies, either of a job known from agents only or of one that
+    /// ended without running.
     fn fill_record(
         &mut self,
         now: Now,
         key: JobKey,
         waiter: Waiter,
-        plan: CheckedJob,
-        readable: bool,
+        checked: CheckedJob,
+        accounted: bool,
     ) -> JobKey {
         self.table.update(key, |job| {
             job.waiters.push(waiter);
             job.arrived = now.mono;
-            job.deadline = plan.deadline;
-            job.lane = plan.lane;
-            job.need = plan.need;
+            job.deadline = checked.deadline;
+            job.lane = checked.lane;
+            job.need = checked.need;
             job.submitted = true;
             job.ended = None;
-            for (task, payload) in job.tasks.iter_mut().zip(plan.body.tasks) {
+            for (task, payload) in job.tasks.iter_mut().zip(checked.body.tasks) {
                 task.payload = payload;
-                if task.state == TaskState::Queued && !readable {
+                if task.state == TaskState::Queued && !accounted {
                     task.state = TaskState::Lost;
                 }
             }
@@ -388,7 +397,7 @@
         key
     }
 
-    /// Lets the tasks of a job wait for workers.
+    /// Queues the tasks of a job that have not been placed.
     pub(super) fn enqueue(&mut self, key: JobKey) {
         let Some(job) = self.table.get(key) else {
             return;
@@ -408,8 +417,8 @@
     }
 }
 
-fn new_job(now: Now, id: JobId, waiter: Waiter, plan: CheckedJob, readable: bool) -> Job {
-    let state = if readable {
+fn new_job(now: Now, id: JobId, waiter: Waiter, checked: CheckedJob, accounted: bool) -> Job {
+    let state = if accounted {
         TaskState::Queued
     } else {
         TaskState::Lost
@@ -421,13 +430,13 @@
     };
     Job {
         id,
-        shard: plan.shard,
-        digest: plan.digest,
-        lane: plan.lane,
-        need: plan.need,
-        tasks: plan.body.tasks.into_iter().map(task).collect(),
+        shard: checked.shard,
+        digest: checked.digest,
+        lane: checked.lane,
+        need: checked.need,
+        tasks: checked.body.tasks.into_iter().map(task).collect(),
         arrived: now.mono,
-        deadline: plan.deadline,
+        deadline: checked.deadline,
         waiters: vec![waiter],
         ended: None,
         again: Mono(0),
--- a/lib/src/entry/watching.rs
+++ b/lib/src/entry/watching.rs
@@ -1,4 +1,5 @@
-//! Watching over workers: those that fall behind their peers, and those that are lost.
+//! Watches the workers: compares each one's speed and failures with those of its peers, and gives up
+//! agents that have been unreachable for too long.
 
 use super::Entry;
 use super::Placed;
@@ -9,12 +10,13 @@
 use crate::health::SICK_SHARE;
 use crate::prelude::*;
 
-/// How many peers' tasks must have ended before a worker is judged against them.
+/// The number of peers' tasks that must have ended before a worker is compared with them.
 const MIN_PEER_TASKS: f64 = 4.0;
-/// Tasks at the expected time that are added to the peers' own.
+/// The number of tasks of the expected duration that are added to the peers' own.
 const PRIOR_PEER_TASKS: f64 = 3.0;
 
 impl Entry {
+    /// Records the end of a task for its worker's health and its service's expected duration.
     pub(super) fn record_end(&mut self, now: Now, placed: &Placed, failed: bool, took_us: u64) {
         self.counts.answers += 1;
         let peers = self.peers_mean_of(placed.agent);
@@ -28,7 +30,8 @@
         }
     }
 
-    /// Gives up on agents that have been out of reach for too long: their tasks are lost.
+    /// Marks the tasks of agents that have been unreachable for too long as lost, and removes those of
+    /// the agents that have no link.
     pub(super) fn remove_lost_agents(&mut self, now: Now) {
         let grace = self.setup.grace;
         let lost: Vec<AgentKey> = self
@@ -50,12 +53,13 @@
         }
     }
 
-    /// Looks for workers that fall far behind their peers, and for those that have recovered.
+    /// Marks workers that are far slower or fail far more often than their peers as unhealthy, and those
+    /// that have recovered as healthy. The share of unhealthy workers is bounded.
     pub(super) fn update_worker_health(&mut self, now: Now) {
         let all = self.fleet_sums(now);
         self.fleet_work = all;
         let count = self.fleet.iter().count();
-        let mut sick = self.fleet.iter().filter(|(_, w)| w.health.sick()).count();
+        let mut unhealthy = self.fleet.iter().filter(|(_, w)| w.health.sick()).count();
         let most = (count as f64 * SICK_SHARE).floor() as usize;
         let mut changes = Vec::new();
         for (_, worker) in self.fleet.iter_mut() {
@@ -68,9 +72,9 @@
             let Some(peers) = peers_mean(others) else {
                 continue;
             };
-            match worker.health.judge(now.mono, peers, sick < most) {
+            match worker.health.judge(now.mono, peers, unhealthy < most) {
                 Some(true) => {
-                    sick += 1;
+                    unhealthy += 1;
                     changes.push((Kind::WorkerUnhealthy, worker.name.to_string()));
                 }
                 Some(false) => changes.push((Kind::WorkerRecovered, worker.name.to_string())),
@@ -82,11 +86,12 @@
         }
     }
 
-    /// The mean of a worker's peers; `None` while too few of their tasks have ended.
+    /// Returns the mean of an unhealthy worker's peers; `None` for a healthy one and while too few of the
+    /// peers' tasks have ended.
     fn peers_mean_of(&self, agent: AgentKey) -> Option<Peers> {
-        // Only trials are judged by it, and a worker on trial is not part of the sums.
-        let sick = self.fleet.get(agent)?.health.sick();
-        sick.then(|| peers_mean(self.fleet_work))?
+        // Only trial tasks are compared with the mean, and a worker on trial is not part of the sums.
+        let unhealthy = self.fleet.get(agent)?.health.sick();
+        unhealthy.then(|| peers_mean(self.fleet_work))?
     }
 
     fn fleet_sums(&self, now: Now) -> (f64, f64, f64) {
