--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -15,7 +15,8 @@
 /// How long a peer's configuration may be out of date before this entry sends it the newer one.
 const CONFIG_LAG: Duration = Duration::from_millis(1_000);
 /// How long a peer may ask for promises while this entry can read the store; after that the peer
-/// counts as cut off from the store and gets no more promises.
+/// counts as cut off from the store and gets no more promises. After three times as long its shards
+/// are taken over.
 pub(super) const CUT_OFF_DELAY: Duration = Duration::from_millis(1_000);
 /// The number of members that watch each owner of shards.
 const WATCHER_COUNT: usize = 3;
