--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/changing.rs
@@ -1,11 +1,13 @@
-//! Changing the ownership record: joining, taking over, enrolling agents, leaving.
+//! Changes the ownership record: joins, takes over from silent members, enrols and removes agents,
+//! hands shards over, leaves. Each change is a compare-and-swap against the record as last read;
+//! at most one is in progress at a time.
 
 use super::Change;
-use super::Doubt;
 use super::Entry;
-use super::Errand;
-use super::links::ASKING_BREAK;
-use super::links::CUT_OFF;
+use super::PendingOp;
+use super::UnconfirmedSwap;
+use super::links::ASKING_TIMEOUT;
+use super::links::CUT_OFF_DELAY;
 use crate::clock::millis;
 use crate::event::Kind;
 use crate::fleet::SILENCE;
@@ -19,30 +21,31 @@
 use crate::store::StoreOp;
 use crate::store::StoreReply;
 
-/// How long a new member may take to reach its peers before it counts as silent.
-const SETTLING: Duration = Duration::from_secs(3);
-/// The least time between two changes of the record by one entry.
-pub(super) const CHANGE_PAUSE: Duration = Duration::from_millis(100);
-/// Time between looks whether the record should change, unless something has happened.
-const PLAN_PAUSE: Duration = Duration::from_millis(50);
-/// How much later each further entry takes over, so that they do not all try at once.
-const RANK_PAUSE: Duration = Duration::from_millis(250);
+/// How long a new member may take to connect before it counts as silent.
+const CONNECT_GRACE: Duration = Duration::from_secs(3);
+/// The minimum time between two changes of the record by one entry.
+pub(super) const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
+/// The time between checks whether the record should change, unless an input triggers one sooner.
+const PLAN_INTERVAL: Duration = Duration::from_millis(50);
+/// The extra delay before a takeover for each live member of a lower incarnation, so that entries
+/// do not all try at once.
+const RANK_DELAY: Duration = Duration::from_millis(250);
 
 impl Entry {
-    /// Changes the record if there is reason to.
+    /// Starts a change of the record if one is needed.
     pub(super) fn plan_change(&mut self, now: Now) {
-        self.read_record(now);
+        self.read_record_if_due(now);
         let busy = self.change.is_some() || now.mono < self.change_due.max(self.plan_due);
-        if busy || !self.read_fresh(now) {
+        if busy || !self.is_read_fresh(now) {
             return;
         }
-        self.plan_due = now.mono + PLAN_PAUSE;
+        self.plan_due = now.mono + PLAN_INTERVAL;
         let Some(read) = self.read.clone() else {
             return;
         };
         let mut next = (*read.record).clone();
         let mut roster = (*read.roster).clone();
-        let reducing = self.wanted(now, &mut next, &mut roster);
+        let revokes_right = self.apply_changes(now, &mut next, &mut roster);
         let new_roster = roster != *read.roster;
         if next == *read.record && !new_roster {
             return;
@@ -51,14 +54,14 @@
         let base = read.index;
         let old_roster = next.roster.clone();
         if new_roster {
-            next.roster = format!("roster/{}-{:016x}", next.seq, self.me);
+            next.roster = format!("roster/{}-{:016x}", next.seq, self.incarnation);
         }
-        self.change_due = now.mono + CHANGE_PAUSE;
+        self.change_due = now.mono + CHANGE_INTERVAL;
         self.change = Some(Change {
             next,
             roster: new_roster.then_some(roster),
             base,
-            reducing,
+            revokes_right,
             old_roster,
         });
         self.write_change();
@@ -76,7 +79,7 @@
                 index: 0,
                 value: value.into(),
             };
-            return self.store(Errand::WriteRoster, op);
+            return self.store(PendingOp::WriteRoster, op);
         }
         self.swap_record();
     }
@@ -90,7 +93,7 @@
             index: change.base,
             value: change.next.value().into(),
         };
-        self.store(Errand::SwapRecord, op);
+        self.store(PendingOp::SwapRecord, op);
     }
 
     pub(super) fn on_roster_written(&mut self, now: Now, reply: StoreReply) {
@@ -98,7 +101,7 @@
             return self.swap_record();
         }
         self.change = None;
-        self.change_due = now.mono + CHANGE_PAUSE * 3;
+        self.change_due = now.mono + CHANGE_INTERVAL * 3;
     }
 
     pub(super) fn on_record_swapped(&mut self, now: Now, reply: StoreReply) {
@@ -106,19 +109,19 @@
             return;
         };
         self.read_due = now.mono;
-        // Until the record has been read again, what is known of it is out of date. A swap that
-        // failed settles nothing: an earlier one, whose answer was lost, may be the reason.
+        // The copy of the record is stale until the next read. A failed swap does not clear an
+        // earlier unconfirmed one: that swap may have succeeded and made this one fail.
         if reply != StoreReply::Swapped(false) {
-            self.doubt = Some(Doubt {
+            self.unconfirmed = Some(UnconfirmedSwap {
                 base: change.base,
-                reducing: change.reducing,
+                revokes_right: change.revokes_right,
             });
         }
         match reply {
             StoreReply::Swapped(true) if change.roster.is_some() => {
                 let key = change.old_roster;
                 if !key.is_empty() {
-                    self.store(Errand::Remove, StoreOp::Remove { key });
+                    self.store(PendingOp::Remove, StoreOp::Remove { key });
                 }
             }
             StoreReply::Swapped(true) => {}
@@ -127,39 +130,41 @@
                 self.change_due = now.mono + Duration::from_millis(jitter);
             }
             _ => {
-                // It may still take effect, until the record has moved on.
+                // The swap may still succeed for as long as the record has not changed.
                 self.log(Kind::WriteUnconfirmed, String::new());
             }
         }
     }
 
-    /// Everything that this entry wants changed. Returns whether it takes a right from another.
-    fn wanted(&mut self, now: Now, next: &mut OwnershipRecord, roster: &mut Roster) -> bool {
+    /// Applies every change that this entry requires to `next` and `roster`. Returns whether any of
+    /// them takes a right from another process.
+    fn apply_changes(&mut self, now: Now, next: &mut OwnershipRecord, roster: &mut Roster) -> bool {
         self.forget_old(now, next, roster);
-        let member = next.member(self.me).is_some();
+        let member = next.member(self.incarnation).is_some();
         if !member {
-            if !self.leaving && self.knows_time(now, next, roster) {
+            if !self.leaving && self.can_join(now, next, roster) {
                 next.join(self.as_member());
             }
             return false;
         }
-        self.want_handed(next);
-        self.want_enrolled(now, roster);
-        let mut reducing = self.want_cut(now, next);
-        reducing |= self.want_struck(now, roster);
-        let live = self.live(now, next);
+        self.apply_handovers(next);
+        self.enrol_agents(now, roster);
+        let mut revokes_right = self.cut_silent_members(now, next);
+        revokes_right |= self.remove_silent_agents(now, roster);
+        let live = self.live_members(now, next);
         let owners = self.follower.config().limits.owners as usize;
         let may_own: Vec<u64> = live
             .iter()
             .copied()
-            .filter(|inc| *inc != self.me || !self.leaving)
+            .filter(|inc| *inc != self.incarnation || !self.leaving)
             .collect();
         next.settle(&may_own, owners);
-        self.want_gone(next);
-        reducing
+        self.remove_self_if_empty(next);
+        revokes_right
     }
 
-    /// Forgets what is too old to matter, by a time of day that the fleet goes by.
+    /// Removes former owners and agents that are too old to matter. It does so only once the time
+    /// of day is known to agree with the fleet's.
     fn forget_old(&self, now: Now, next: &mut OwnershipRecord, roster: &mut Roster) {
         if !self.clocks.is_proven() {
             return;
@@ -168,49 +173,50 @@
         let slack = millis(self.setup.skew) * 2;
         let old = millis(self.setup.tenure.ride + lease * 2) + slack;
         next.forget_cuts(now.wall_ms.saturating_sub(old));
-        let horizon = millis(self.setup.horizon) + millis(self.setup.ahead) + slack;
+        let horizon = millis(self.setup.horizon) + millis(self.setup.max_ahead) + slack;
         roster.forget(now.wall_ms.saturating_sub(horizon));
     }
 
     fn as_member(&self) -> Member {
         Member {
             name: self.setup.name.clone(),
-            incarnation: self.me,
+            incarnation: self.incarnation,
             address: self.setup.address.clone(),
             http: self.setup.http.clone(),
             zone: self.setup.zone.clone(),
         }
     }
 
-    /// The members that can own shards, this one among them.
-    pub(super) fn live(&self, now: Now, record: &OwnershipRecord) -> Vec<u64> {
+    /// Returns the members that can own shards: the responsive ones that are not leaving, including
+    /// this one.
+    pub(super) fn live_members(&self, now: Now, record: &OwnershipRecord) -> Vec<u64> {
         let peer = |inc: u64| self.peers.values().find(|p| p.incarnation == inc);
         let alive = |inc: u64| {
-            let here = peer(inc).filter(|p| self.alive(now, p));
+            let here = peer(inc).filter(|p| self.is_alive(now, p));
             here.is_some_and(|p| !p.leaving)
         };
         let members = record.members.iter().map(|m| m.incarnation);
         members
-            .filter(|inc| (*inc == self.me && !self.leaving) || alive(*inc))
+            .filter(|inc| (*inc == self.incarnation && !self.leaving) || alive(*inc))
             .collect()
     }
 
-    /// Bounds on what agents that are struck now may have started.
+    /// Returns the bounds on what agents that are removed now may have started.
     fn parting(&self, now: Now) -> Parting {
         let lease_ms = millis(self.setup.tenure.lease) * 2;
         Parting {
             until_ms: now.wall_ms + lease_ms,
-            minted_ms: self.taken_up_to_ms(now, self.is_known_to_all()) + lease_ms,
+            minted_ms: self.latest_taken_ms(now, self.is_known_to_all()) + lease_ms,
         }
     }
 
-    /// Whether every owner's lead is noted here, and every owner sees what this entry changes.
+    /// Returns whether this entry knows every owner's lead and every owner sees its changes.
     fn sees_all_owners(&self, now: Now) -> bool {
-        self.is_known_to_all() || self.ride_left(now).is_zero()
+        self.is_known_to_all() || self.remaining_ride(now).is_zero()
     }
 
-    /// Agents that are linked and not in the roster are enrolled.
-    fn want_enrolled(&mut self, now: Now, roster: &mut Roster) {
+    /// Enrols the linked agents that are not in the roster.
+    fn enrol_agents(&mut self, now: Now, roster: &mut Roster) {
         let parting = self.parting(now);
         let sees_all = self.sees_all_owners(now);
         let mut names = Vec::new();
@@ -237,18 +243,19 @@
         }
     }
 
-    /// Members that have been silent are taken over from.
-    fn want_cut(&mut self, now: Now, next: &mut OwnershipRecord) -> bool {
-        if now.mono < self.promised_out {
+    /// Removes silent members, which leaves their shards without an owner. It waits while a promise to
+    /// a peer forbids takeovers.
+    fn cut_silent_members(&mut self, now: Now, next: &mut OwnershipRecord) -> bool {
+        if now.mono < self.promised_until {
             return false;
         }
-        let live = self.live(now, next);
-        let rank = live.iter().filter(|inc| **inc < self.me).count() as u32;
-        let pause = self.setup.suspect + RANK_PAUSE * rank;
+        let live = self.live_members(now, next);
+        let rank = live.iter().filter(|inc| **inc < self.incarnation).count() as u32;
+        let delay = self.setup.suspect_timeout + RANK_DELAY * rank;
         let silent: Vec<(u64, String)> = next
             .members
             .iter()
-            .filter(|m| m.incarnation != self.me && self.silent(now, m, pause))
+            .filter(|m| m.incarnation != self.incarnation && self.is_silent(now, m, delay))
             .map(|m| (m.incarnation, m.name.clone()))
             .collect();
         for (incarnation, name) in &silent {
@@ -258,47 +265,52 @@
         !silent.is_empty()
     }
 
-    fn silent(&self, now: Now, member: &Member, pause: Duration) -> bool {
-        let own_earlier = member.name == self.setup.name;
-        if own_earlier {
+    /// Returns whether a member is to be taken over from: it is an earlier incarnation of this entry,
+    /// has sent no heartbeats for `delay`, has been cut off from the store for long, or has lost its
+    /// link or never had one.
+    fn is_silent(&self, now: Now, member: &Member, delay: Duration) -> bool {
+        let earlier_self = member.name == self.setup.name;
+        if earlier_self {
             return true;
         }
         let seen = self.first_seen.get(&member.incarnation);
-        let settled = seen.is_some_and(|at| now.mono >= *at + SETTLING);
+        let settled = seen.is_some_and(|at| now.mono >= *at + CONNECT_GRACE);
         let of = |p: &&super::Peer| p.incarnation == member.incarnation;
         match self.peers.values().find(of) {
             Some(peer) => {
-                // The rank's pause comes on top of the silence that is expected of it.
-                let extra = pause.saturating_sub(self.setup.suspect);
+                // The rank's delay is added to the silence that `is_alive` allows.
+                let extra = delay.saturating_sub(self.setup.suspect_timeout);
                 let before = Now {
                     mono: now.mono - extra,
                     ..now
                 };
-                let quiet = !self.alive(before, peer);
-                let asks = peer.asking.is_some_and(|(since, last)| {
-                    now.mono >= since + CUT_OFF * 3 && now.mono < last + ASKING_BREAK
+                let quiet = !self.is_alive(before, peer);
+                let cut_off = peer.ask_span.is_some_and(|(since, last)| {
+                    now.mono >= since + CUT_OFF_DELAY * 3 && now.mono < last + ASKING_TIMEOUT
                 });
-                quiet || asks
+                quiet || cut_off
             }
             None => {
-                let heard = self.last_heard.get(&member.incarnation);
-                match heard {
-                    // Its link was closed and has not come back: most likely the process is gone.
-                    Some(at) => now.mono >= *at + pause - self.setup.suspect * 2 / 3,
+                let disconnected = self.disconnected_at.get(&member.incarnation);
+                match disconnected {
+                    // A link that was closed and not restored most likely means that the process
+                    // has ended, so the wait is shorter.
+                    Some(at) => now.mono >= *at + delay - self.setup.suspect_timeout * 2 / 3,
                     None => settled,
                 }
             }
         }
     }
 
-    /// Agents that have been silent for long are struck, so that a later takeover need not wait
-    /// for them. Every owner must know this entry, or may ride on without seeing the change.
-    fn want_struck(&mut self, now: Now, roster: &mut Roster) -> bool {
-        if now.mono < self.promised_out || !self.sees_all_owners(now) {
+    /// Removes agents that have been silent for long from the roster, so that a later takeover does
+    /// not wait for them. It requires that every owner knows this entry; an owner that does not may
+    /// keep acting on promises without seeing the change.
+    fn remove_silent_agents(&mut self, now: Now, roster: &mut Roster) -> bool {
+        if now.mono < self.promised_until || !self.sees_all_owners(now) {
             return false;
         }
-        let strike = self.setup.strike;
-        let listed = |inc: &u64| self.listed.get(inc).copied().unwrap_or(now.mono);
+        let timeout = self.setup.removal_timeout;
+        let listed = |inc: &u64| self.listed_since.get(inc).copied().unwrap_or(now.mono);
         let silent: Vec<u64> = roster
             .agents
             .iter()
@@ -306,7 +318,7 @@
             .filter(|inc| {
                 let worker = self.fleet.of(*inc).and_then(|k| self.fleet.get(k));
                 let heard = worker.map_or(Mono(0), |w| w.heard);
-                now.mono >= heard.max(listed(inc)) + strike
+                now.mono >= heard.max(listed(inc)) + timeout
             })
             .collect();
         let parting = self.parting(now);
@@ -319,9 +331,9 @@
         !silent.is_empty()
     }
 
-    /// A leaving entry without shards strikes itself.
-    fn want_gone(&mut self, next: &mut OwnershipRecord) {
-        let me = self.me;
+    /// Removes this entry from the members once it is leaving and owns no shards.
+    fn remove_self_if_empty(&mut self, next: &mut OwnershipRecord) {
+        let me = self.incarnation;
         if self.leaving && next.owned(me).is_empty() {
             next.members.retain(|m| m.incarnation != me);
         }
--- a/lib/src/entry/claims.rs
+++ b/lib/src/entry/claims.rs
@@ -1,7 +1,8 @@
-//! Claims: what a once-only request writes to the store before anything of it starts.
+//! Claims of once-only jobs: a store key that the owner creates before any task of the job starts.
+//! Only the entry that created the key starts the job; the key is removed when the job expires.
 
 use super::Entry;
-use super::Errand;
+use super::PendingOp;
 use crate::job_table::JobKey;
 use crate::job_table::TaskState;
 use crate::outcome::Cause;
@@ -9,14 +10,14 @@
 use crate::store::StoreOp;
 use crate::store::StoreReply;
 
-/// When to come back while the store can't take a claim.
+/// The retry delay given to callers while the store can't take a claim.
 const NO_CLAIM_RETRY_MS: u64 = 2_000;
 
 impl Entry {
-    /// Writes the claim that a once-only request needs before anything of it starts.
+    /// Writes the claim that a once-only job needs before any of its tasks starts.
     ///
-    /// The claim guards against what the other rules take for granted: clocks within their bound
-    /// and a memory as long as the horizon. It stays in the store when all of that fails.
+    /// The other safeguards assume that clocks differ by less than their bound and that jobs are
+    /// remembered for the whole horizon. The claim holds even where these assumptions fail.
     pub(super) fn write_claim(&mut self, key: JobKey) {
         let Some(id) = self.table.update(key, |job| {
             job.claiming = true;
@@ -27,9 +28,9 @@
         let op = StoreOp::Swap {
             key: claim_key(id),
             index: 0,
-            value: claim_value(self.me),
+            value: claim_value(self.incarnation),
         };
-        self.store(Errand::WriteClaim(key), op);
+        self.store(PendingOp::WriteClaim(key), op);
     }
 
     pub(super) fn on_claim_written(&mut self, now: Now, key: JobKey, reply: StoreReply) {
@@ -38,10 +39,10 @@
         };
         let id = job.id;
         match reply {
-            StoreReply::Swapped(true) => self.claimed(key),
+            StoreReply::Swapped(true) => self.confirm_claim(key),
             StoreReply::Swapped(false) => {
                 let op = StoreOp::Get { key: claim_key(id) };
-                self.store(Errand::ReadClaim(key), op);
+                self.store(PendingOp::ReadClaim(key), op);
             }
             StoreReply::Value(_) | StoreReply::Lost => {
                 let detail = "the store can't take the claim that a once-only request needs";
@@ -52,16 +53,16 @@
 
     pub(super) fn on_claim_read(&mut self, now: Now, key: JobKey, reply: StoreReply) {
         let mine = match &reply {
-            StoreReply::Value(Some(stored)) => stored.value == claim_value(self.me),
+            StoreReply::Value(Some(stored)) => stored.value == claim_value(self.incarnation),
             _ => false,
         };
         if mine {
-            return self.claimed(key);
+            return self.confirm_claim(key);
         }
         let lost = TaskState::Lost;
         let answered = matches!(reply, StoreReply::Value(Some(_)));
         if answered {
-            // Another owner claimed the job. What it started is not known here.
+            // Another entry has claimed the job, and which tasks it started is unknown here.
             self.table.update(key, |job| {
                 let queued = job
                     .tasks
@@ -69,13 +70,13 @@
                     .filter(|t| t.state == TaskState::Queued);
                 queued.for_each(|t| t.state = lost.clone());
             });
-            return self.check_end(now, key);
+            return self.end_if_decided(now, key);
         }
         let detail = "the claim of a once-only request can't be read back";
         self.refuse_claim(now, key, detail);
     }
 
-    fn claimed(&mut self, key: JobKey) {
+    fn confirm_claim(&mut self, key: JobKey) {
         self.table.update(key, |job| {
             job.claiming = false;
             job.claimed = true;
@@ -92,7 +93,7 @@
     }
 }
 
-/// The key of a job's claim in the store.
+/// Returns the store key of a job's claim.
 pub fn claim_key(job: JobId) -> String {
     format!("claim/{job}")
 }
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -1,4 +1,5 @@
-//! Callers' requests on their way to the owner of their job, and back.
+//! Routes callers' requests to the owner of their job and the answers back. A request is parked while
+//! its job has no reachable owner. Each request is answered exactly once.
 
 use bytes::Bytes;
 
@@ -12,59 +13,59 @@
 use crate::takeover::Phase;
 use crate::tenure::Standing;
 
-/// How much longer than its deadline a request waits for the owner's word.
-const LATE: Duration = Duration::from_millis(2_000);
-/// How long a request that was turned away waits for a newer record.
-const TURNED_AWAY: Duration = Duration::from_millis(100);
-/// When to come back after a request for which there is no owner.
+/// How long after its deadline a request still waits for the owner's answer.
+const OWNER_ANSWER_GRACE: Duration = Duration::from_millis(2_000);
+/// How long a request that a peer has redirected waits for a newer record before it is sent again.
+const REDIRECT_DELAY: Duration = Duration::from_millis(100);
+/// The retry delay given to callers whose job has no reachable owner.
 const NO_OWNER_RETRY_MS: u64 = 2_000;
-/// Without an answer from the store for this long, no takeover is expected.
-const STORE_AWAY: Duration = Duration::from_millis(1_500);
+/// How long the store may fail to answer before takeovers are no longer expected.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a caller asks.
+/// A caller's request: a job to run, or a query about one.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// The team, if the caller names one.
     pub team: String,
-    /// The body; empty for a question.
+    /// The job's body; empty for a query.
     pub body: Bytes,
-    /// Time left until the deadline; zero for the configured default.
+    /// The time left until the deadline; zero for the configured default.
     pub left: Duration,
-    /// True for a question that must not start anything.
+    /// Whether this is a query, which starts nothing.
     pub peek: bool,
 }
 
-/// Where a request is.
+/// Where a request is being handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Route {
-    /// Here, until its job has an owner that can be reached.
+    /// At this entry, until its job has a reachable owner.
     Parked,
-    /// With this entry as the owner.
+    /// At this entry as the owner of the job.
     Own,
-    /// With the peer at the other end of a link.
+    /// At the peer at the other end of a link.
     Link(LinkId),
 }
 
-/// A request of a caller of this entry.
+/// An open request of one of this entry's callers.
 #[derive(Clone, Debug)]
 pub struct Request {
     submission: Submission,
     route: Route,
     arrived: Mono,
     deadline: Mono,
-    parked: Mono,
-    /// Not to be sent on before this time: a peer has just turned it away.
-    pause: Mono,
+    parked_at: Mono,
+    /// The time before which it is not sent again, after a peer has redirected it.
+    not_before: Mono,
 }
 
-/// A request for a shard that this entry owns, and either does not serve yet, or can't judge by
-/// the job's mint time yet.
+/// A request for a shard that this entry owns and that can't be decided on yet: either the shard is
+/// not served yet, or the job's mint time lies within a lead that is not in force yet.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldRequest {
     shard: ShardId,
     waiter: Waiter,
     submission: Submission,
@@ -72,10 +73,10 @@
 }
 
 impl Entry {
-    /// A caller's request, numbered by the daemon. It is answered by exactly one
-    /// [`super::Action::Respond`].
+    /// Accepts a caller's request under a number chosen by the host. Exactly one
+    /// [`super::Action::Respond`] answers it, unless [`Entry::forget_request`] is called first.
     pub fn submit(&mut self, now: Now, id: u64, submission: Submission) {
-        self.begin(now);
+        self.observe_time(now);
         self.counts.requests += 1;
         let limits = self.follower.config().limits;
         let named = !submission.left.is_zero();
@@ -85,66 +86,67 @@
         let request = Request {
             route: Route::Parked,
             arrived: now.mono,
-            parked: now.mono,
-            pause: Mono(0),
+            parked_at: now.mono,
+            not_before: Mono(0),
             deadline: now.mono + left.min(longest),
             submission,
         };
         let before = self.requests.insert(id, request);
-        assert!(before.is_none(), "invariant: a request has one number");
-        self.route(now, id);
-        self.step(now);
+        assert!(before.is_none(), "invariant: request numbers are unique");
+        self.route_request(now, id);
+        self.advance(now);
     }
 
-    /// The caller has gone. Its job goes on; the answer is kept for its resubmission.
+    /// Drops the request of a caller that has disconnected. Its job continues, and the answer is kept
+    /// in case the caller submits the job again.
     pub fn forget_request(&mut self, id: u64) {
         self.requests.remove(&id);
     }
 
-    /// Whether requests are under way.
-    pub fn busy_requests(&self) -> usize {
+    /// Returns the number of open requests.
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Sends a parked request to where its job is decided, if that is possible now.
-    fn route(&mut self, now: Now, id: u64) {
+    /// Sends a parked request to the owner of its job, if the owner is reachable now.
+    fn route_request(&mut self, now: Now, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if request.route != Route::Parked || now.mono < request.pause {
+        if request.route != Route::Parked || now.mono < request.not_before {
             return;
         }
         let Some(shard) = self.shard_of(request.submission.job) else {
-            return self.give_up_hopeless(now, id, false);
+            return self.give_up_if_hopeless(now, id, false);
         };
         if self.holdings.active(shard) && self.tenure.stand(now.mono) != Standing::Lapsed {
-            return self.route_here(now, id);
+            return self.route_locally(now, id);
         }
         match self.owner_link(now, shard) {
-            Some(link) => self.route_to(now, id, link),
-            None => self.give_up_hopeless(now, id, true),
+            Some(link) => self.forward_to(now, id, link),
+            None => self.give_up_if_hopeless(now, id, true),
         }
     }
 
-    /// The link to the peer that owns a shard, if it answers.
+    /// Returns the link to the peer that owns a shard, if the peer is responsive.
     fn owner_link(&self, now: Now, shard: ShardId) -> Option<LinkId> {
         let owner = self.read.as_ref()?.record.slot(shard).owner;
         let (link, peer) = self.peers.iter().find(|(_, p)| p.incarnation == owner)?;
-        self.alive(now, peer).then_some(*link)
+        self.is_alive(now, peer).then_some(*link)
     }
 
-    fn route_here(&mut self, now: Now, id: u64) {
+    fn route_locally(&mut self, now: Now, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.route = Route::Own;
         let mut submission = request.submission.clone();
         submission.left = now.mono.until(request.deadline);
-        self.decide(now, Waiter::Local(id), submission);
+        self.decide_request(now, Waiter::Local(id), submission);
     }
 
-    fn route_to(&mut self, now: Now, id: u64, link: LinkId) {
-        let Some((beat, beaten)) = self.peers.get(&link).and_then(|p| p.beaten) else {
+    fn forward_to(&mut self, now: Now, id: u64, link: LinkId) {
+        let Some((beat, arrived)) = self.peers.get(&link).and_then(|p| p.last_heartbeat) else {
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
@@ -163,30 +165,30 @@
             body: s.body.clone(),
             seq: self.next_forward,
             beat,
-            since_us: micros(now.mono.since(beaten)),
+            since_us: micros(now.mono.since(arrived)),
         };
         self.counts.forwards += 1;
         self.send(link, Body::Forward(forward));
     }
 
-    /// Ends a request at once when nothing can be expected to give its job an owner: the store is
-    /// away, so nobody can take over. Whether the job ran is not known here.
-    fn give_up_hopeless(&mut self, now: Now, id: u64, known: bool) {
-        let age = self.read_ok.map(|at| now.mono.since(at));
-        let away = age.is_some_and(|age| age > STORE_AWAY);
-        if away || (!known && self.store_never_answered(now)) {
-            self.no_owner(
+    /// Ends a request at once if the store is unavailable, because then no entry can take the job over.
+    /// Whether the job ran is unknown here.
+    fn give_up_if_hopeless(&mut self, now: Now, id: u64, known: bool) {
+        let age = self.last_read.map(|at| now.mono.since(at));
+        let away = age.is_some_and(|age| age > STORE_TIMEOUT);
+        if away || (!known && self.has_store_never_answered(now)) {
+            self.end_without_owner(
                 id,
-                "the store does not answer, so nobody can take the job over",
+                "the store does not answer, so no entry can take the job over",
             );
         }
     }
 
-    fn store_never_answered(&self, now: Now) -> bool {
-        self.read_ok.is_none() && now.mono > self.born() + STORE_AWAY
+    fn has_store_never_answered(&self, now: Now) -> bool {
+        self.last_read.is_none() && now.mono > self.started_at() + STORE_TIMEOUT
     }
 
-    fn no_owner(&mut self, id: u64, detail: &str) {
+    fn end_without_owner(&mut self, id: u64, detail: &str) {
         let refusal = Refusal::new(Outcome::Unknown, Cause::NoOwner, detail);
         self.respond(id, Verdict::Other(refusal.retry(NO_OWNER_RETRY_MS)));
     }
@@ -202,21 +204,22 @@
         self.actions.push(super::Action::Respond(id, verdict));
     }
 
-    /// Answers whoever waits.
-    pub(super) fn tell(&mut self, waiter: Waiter, verdict: Verdict) {
+    /// Answers a waiter: a caller of this entry, or a peer that forwarded a request.
+    pub(super) fn answer_waiter(&mut self, waiter: Waiter, verdict: Verdict) {
         match waiter {
             Waiter::Local(id) => self.respond(id, verdict),
             Waiter::Peer(link, request) => {
-                let reply = wire_reply(request, verdict);
+                let reply = reply_from_verdict(request, verdict);
                 self.send(link, Body::Reply(reply));
             }
         }
     }
 
-    /// Sends whoever waits elsewhere: this entry does not own the job any more.
-    pub(super) fn turn_away(&mut self, now: Now, waiter: Waiter) {
+    /// Redirects a waiter because this entry does not own the job: a caller's request is parked, a
+    /// peer's is returned to it.
+    pub(super) fn redirect_waiter(&mut self, now: Now, waiter: Waiter) {
         match waiter {
-            Waiter::Local(id) => self.park(now, id),
+            Waiter::Local(id) => self.park_request(now, id),
             Waiter::Peer(link, request) => {
                 let reply = wire::Reply {
                     request,
@@ -228,10 +231,10 @@
         }
     }
 
-    fn park(&mut self, now: Now, id: u64) {
+    fn park_request(&mut self, now: Now, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             if request.route != Route::Parked {
-                request.parked = now.mono;
+                request.parked_at = now.mono;
             }
             request.route = Route::Parked;
         }
@@ -244,16 +247,16 @@
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
-        if forward.seq <= peer.forwards {
-            return self.waste("repeated-forward");
+        if forward.seq <= peer.last_forward {
+            return self.count_wasted("repeated-forward");
         }
-        peer.forwards = forward.seq;
+        peer.last_forward = forward.seq;
         let waiter = Waiter::Peer(link, forward.request);
-        // A message that was under way for longer than the deadline starts nothing any more: its
-        // caller has been answered.
-        let left = self.forward_left(now, &forward);
+        // A request that arrives after its deadline starts nothing, because its caller has been
+        // answered already.
+        let left = self.remaining_time(now, &forward);
         if left.is_zero() {
-            return self.waste("late-forward");
+            return self.count_wasted("late-forward");
         }
         let submission = Submission {
             job,
@@ -266,19 +269,19 @@
         let shard = self.shard_of(job);
         match shard.and_then(|s| Some((s, self.holdings.get(s)?.phase))) {
             Some((_, Phase::Active)) if self.tenure.stand(now.mono) != Standing::Lapsed => {
-                self.decide(now, waiter, submission);
+                self.decide_request(now, waiter, submission);
             }
-            Some((_, Phase::Sealing)) => self.hold(now, waiter, submission),
-            _ => self.turn_away(now, waiter),
+            Some((_, Phase::Sealing)) => self.hold_request(now, waiter, submission),
+            _ => self.redirect_waiter(now, waiter),
         }
     }
 
-    /// Keeps a request until its job can be decided on.
-    pub(super) fn hold(&mut self, now: Now, waiter: Waiter, submission: Submission) {
+    /// Holds a request until its job can be decided on.
+    pub(super) fn hold_request(&mut self, now: Now, waiter: Waiter, submission: Submission) {
         let Some(shard) = self.shard_of(submission.job) else {
-            return self.turn_away(now, waiter);
+            return self.redirect_waiter(now, waiter);
         };
-        self.held.push(Held {
+        self.held_requests.push(HeldRequest {
             shard,
             waiter,
             deadline: now.mono + submission.left,
@@ -286,32 +289,38 @@
         });
     }
 
-    /// Decides on the requests that were held for shards which are served now, and sends those
-    /// away whose shard went elsewhere. Those of peers that are too late are ended by these.
-    pub(super) fn tend_held(&mut self, now: Now) {
-        for held in std::mem::take(&mut self.held) {
+    /// Decides on the held requests whose shards are served now, and redirects those whose shards went
+    /// to another entry. Of those past their deadline, this entry ends its own callers' requests; peers
+    /// end theirs themselves.
+    pub(super) fn process_held_requests(&mut self, now: Now) {
+        for held in std::mem::take(&mut self.held_requests) {
             if now.mono >= held.deadline {
                 if let Waiter::Local(id) = held.waiter {
-                    self.no_owner(id, "the job could not be decided on before its deadline");
+                    self.end_without_owner(
+                        id,
+                        "the job could not be decided on before its deadline",
+                    );
                 }
                 continue;
             }
             match self.holdings.get(held.shard).map(|h| h.phase) {
-                Some(Phase::Sealing) => self.held.push(held),
+                Some(Phase::Sealing) => self.held_requests.push(held),
                 Some(Phase::Active) if self.tenure.stand(now.mono) != Standing::Lapsed => {
                     let mut submission = held.submission;
                     submission.left = now.mono.until(held.deadline);
-                    self.decide(now, held.waiter, submission);
+                    self.decide_request(now, held.waiter, submission);
                 }
-                _ => self.turn_away(now, held.waiter),
+                _ => self.redirect_waiter(now, held.waiter),
             }
         }
     }
 
-    /// The time left to a forwarded request, counted from a heartbeat of this entry's own.
-    fn forward_left(&self, now: Now, forward: &wire::Forward) -> Duration {
+    /// Returns the time left to a forwarded request. The sender states it relative to its receipt of
+    /// one of this entry's heartbeats, so time spent in transit counts; if that heartbeat is not
+    /// remembered any more, no time is left.
+    fn remaining_time(&self, now: Now, forward: &wire::Forward) -> Duration {
         let sent = self
-            .beats
+            .heartbeats
             .iter()
             .rev()
             .find(|(seq, _)| *seq == forward.beat);
@@ -322,29 +331,29 @@
         now.mono.until(*sent + Duration::from_micros(span))
     }
 
-    /// Takes in an owner's word. One that comes from a peer where the request is not any more is
-    /// dropped: another owner may have started the job since.
+    /// Handles an owner's reply. A reply from a peer that no longer handles the request is dropped,
+    /// because another owner may have started the job since.
     pub(super) fn on_reply(&mut self, now: Now, link: LinkId, reply: wire::Reply) {
         let id = reply.request;
         let there = |r: &Request| r.route == Route::Link(link);
         if !self.requests.get(&id).is_some_and(there) {
-            return self.waste("late-reply");
+            return self.count_wasted("late-reply");
         }
         if reply.elsewhere {
-            self.waste("elsewhere");
-            self.park(now, id);
+            self.count_wasted("elsewhere");
+            self.park_request(now, id);
             if let Some(request) = self.requests.get_mut(&id) {
-                request.pause = now.mono + TURNED_AWAY;
+                request.not_before = now.mono + REDIRECT_DELAY;
             }
             self.read_due = now.mono;
             return;
         }
-        let verdict = verdict_of(reply);
+        let verdict = verdict_from_reply(reply);
         self.respond(id, verdict);
     }
 
-    /// Requests that were with a peer whose link is down look for the owner anew.
-    pub(super) fn park_at(&mut self, now: Now, link: LinkId) {
+    /// Parks the requests at a peer whose link went down, so that they are routed again.
+    pub(super) fn park_requests_at(&mut self, now: Now, link: LinkId) {
         let stranded: Vec<u64> = self
             .requests
             .iter()
@@ -352,28 +361,29 @@
             .map(|(id, _)| *id)
             .collect();
         for id in stranded {
-            self.park(now, id);
+            self.park_request(now, id);
         }
     }
 
-    /// Requests whose owner is now known to be another than the one they are with.
+    /// Parks the requests that are at a peer which does not own their job any more, and routes all
+    /// parked requests.
     pub(super) fn reroute(&mut self, now: Now) {
         let moved: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, r)| self.misrouted(r))
+            .filter(|(_, r)| self.is_misrouted(r))
             .map(|(id, _)| *id)
             .collect();
         for id in moved {
-            self.park(now, id);
+            self.park_request(now, id);
         }
         for request in self.requests.values_mut() {
-            request.pause = Mono(0);
+            request.not_before = Mono(0);
         }
         self.route_parked(now);
     }
 
-    fn misrouted(&self, request: &Request) -> bool {
+    fn is_misrouted(&self, request: &Request) -> bool {
         let Route::Link(link) = request.route else {
             return false;
         };
@@ -393,39 +403,40 @@
             .map(|(id, _)| *id)
             .collect();
         for id in parked {
-            self.route(now, id);
+            self.route_request(now, id);
         }
     }
 
-    /// Looks after requests that wait for an owner.
-    pub(super) fn tend_requests(&mut self, now: Now) {
-        self.tend_held(now);
+    /// Processes held and parked requests.
+    pub(super) fn process_requests(&mut self, now: Now) {
+        self.process_held_requests(now);
         self.route_parked(now);
     }
 
-    /// Ends requests that have waited too long.
+    /// Ends the requests that have waited too long.
     pub(super) fn end_late_requests(&mut self, now: Now) {
         let over: Vec<(u64, &'static str)> = self
             .requests
             .iter()
-            .filter_map(|(id, r)| Some((*id, self.over(now, r)?)))
+            .filter_map(|(id, r)| Some((*id, self.timeout_detail(now, r)?)))
             .collect();
         for (id, detail) in over {
-            self.no_owner(id, detail);
+            self.end_without_owner(id, detail);
         }
     }
 
-    fn over(&self, now: Now, request: &Request) -> Option<&'static str> {
-        let late = now.mono >= request.deadline + LATE;
+    /// Returns why a request has waited too long, or `None` if it has not.
+    fn timeout_detail(&self, now: Now, request: &Request) -> Option<&'static str> {
+        let late = now.mono >= request.deadline + OWNER_ANSWER_GRACE;
         match request.route {
-            Route::Parked if now.mono >= request.parked + self.setup.park => {
+            Route::Parked if now.mono >= request.parked_at + self.setup.owner_timeout => {
                 Some("no entry could take the job over in time")
             }
             Route::Parked if now.mono >= request.deadline => {
                 Some("no entry could take the job over before its deadline")
             }
             Route::Link(_) if late => Some("the job's owner did not answer"),
-            Route::Own if late && now.mono >= request.arrived + LATE => {
+            Route::Own if late && now.mono >= request.arrived + OWNER_ANSWER_GRACE => {
                 Some("the job did not end in time")
             }
             _ => None,
@@ -433,7 +444,7 @@
     }
 }
 
-fn wire_reply(request: u64, verdict: Verdict) -> wire::Reply {
+fn reply_from_verdict(request: u64, verdict: Verdict) -> wire::Reply {
     match verdict {
         Verdict::Complete(body) => wire::Reply {
             request,
@@ -452,7 +463,7 @@
     }
 }
 
-fn verdict_of(reply: wire::Reply) -> Verdict {
+fn verdict_from_reply(reply: wire::Reply) -> Verdict {
     let outcome = Outcome::from_code(reply.outcome);
     if outcome == Some(Outcome::Complete) {
         return Verdict::Complete(reply.body);
