--- a/lib/tests/runner/test_executor.rs
+++ b/lib/tests/runner/test_executor.rs
@@ -1,14 +1,18 @@
-//! The executor: room, leases, claims, and orders that get no answer.
+//! Tests of the executor's state machine: starts and stops, leases, and orders that the worker does not
+//! answer.
+//!
+//! The fixture [`Bench`] plays the worker and the schedulers and collects the executor's actions. The
+//! submodules cover one concern of the executor each.
 
-mod accounts;
+mod accounting;
 mod claims;
 mod crashes;
 mod evacuation;
-mod lives;
+mod incarnations;
+mod pace;
 mod preempting;
-mod recall;
 mod restarts;
-mod slow;
+mod restore;
 mod speeds;
 mod standby;
 mod worker;
@@ -42,7 +46,7 @@
 const ONE: LinkId = LinkId(1);
 const TWO: LinkId = LinkId(2);
 
-/// An executor beside a worker of two tasks' room, and what it has asked for.
+/// An executor whose worker has room for two tasks, the current time, and the actions it has requested.
 struct Bench {
     executor: Executor,
     now: Mono,
@@ -50,12 +54,13 @@
 }
 
 impl Bench {
-    /// A worker that has been met, with nothing running.
+    /// Returns an executor with a link to one scheduler and a worker that has sent a heartbeat and runs
+    /// nothing.
     fn ready() -> Bench {
         let mut bench = Bench::new();
-        bench.heartbeat("w1", false, 1);
-        bench.lists(&[], Vec::new());
-        bench.link(ONE, "one");
+        bench.send_heartbeat("w1", false, 1);
+        bench.report_lists(&[], Vec::new());
+        bench.link_up(ONE, "one");
         bench
     }
 
@@ -82,14 +87,14 @@
         }
     }
 
-    fn take(&mut self) {
-        let fresh = self.executor.take_actions();
-        self.actions.extend(fresh);
+    fn collect_actions(&mut self) {
+        let actions = self.executor.take_actions();
+        self.actions.extend(actions);
     }
 
-    fn heartbeat(&mut self, life: &str, draining: bool, sequence: u64) {
+    fn send_heartbeat(&mut self, id: &str, draining: bool, sequence: u64) {
         let heartbeat = WorkerHeartbeat {
-            life: life_of(life),
+            life: incarnation_of(id),
             service: "s".to_owned(),
             draining,
             capacity: Demand {
@@ -101,15 +106,15 @@
             sequence,
         };
         self.executor.handle_heartbeat(self.now, heartbeat);
-        self.take();
+        self.collect_actions();
     }
 
-    fn lists(&mut self, running: &[RunName], finished: Vec<FinishedRow>) {
+    fn report_lists(&mut self, running: &[RunName], finished: Vec<FinishedRow>) {
         let percent = (self.now.0 / 20_000 % 99) as u32;
-        self.lists_at(percent, running, finished);
+        self.report_lists_at(percent, running, finished);
     }
 
-    fn lists_at(&mut self, percent: u32, running: &[RunName], finished: Vec<FinishedRow>) {
+    fn report_lists_at(&mut self, percent: u32, running: &[RunName], finished: Vec<FinishedRow>) {
         let row = |run: &RunName| RunningRow { run: *run, percent };
         let reply = HoldReply::Lists {
             born: None,
@@ -122,29 +127,29 @@
 
     fn handle_hold_reply(&mut self, reply: HoldReply) {
         self.executor.handle_hold_reply(self.now, reply);
-        self.take();
+        self.collect_actions();
     }
 
-    fn link(&mut self, link: LinkId, name: &str) {
+    fn link_up(&mut self, link: LinkId, name: &str) {
         let greeting = proto::Greeting {
             name: name.to_owned(),
             incarnation: 7,
             ..proto::Greeting::default()
         };
         self.executor.link_up(self.now, link, &greeting);
-        self.take();
+        self.collect_actions();
     }
 
-    fn orders(&mut self, link: LinkId, orders: proto::Orders) {
+    fn send_orders(&mut self, link: LinkId, orders: proto::Orders) {
         let orders = proto::Orders {
             echo_us: self.now.0,
             ..orders
         };
         self.executor.handle_orders(self.now, link, orders);
-        self.take();
+        self.collect_actions();
     }
 
-    fn start(&mut self, link: LinkId, job: u64, indexes: &[u32]) {
+    fn order_start(&mut self, link: LinkId, job: u64, indexes: &[u32]) {
         let task = |index: &u32| proto::TaskStart {
             index: *index,
             attempt: 1,
@@ -168,7 +173,7 @@
             sequence: 1,
             ..proto::Orders::default()
         };
-        self.orders(link, orders);
+        self.send_orders(link, orders);
     }
 
     fn claim(&mut self, link: LinkId, job: u64) {
@@ -176,21 +181,21 @@
             claims: vec![job],
             ..proto::Orders::default()
         };
-        self.orders(link, orders);
+        self.send_orders(link, orders);
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
         self.executor.tick(self.now);
-        self.take();
+        self.collect_actions();
     }
 
-    fn holds(&self) -> usize {
+    fn hold_count(&self) -> usize {
         let holds = self.actions.iter().filter(|a| matches!(a, Action::Hold(_)));
         holds.count()
     }
 
-    fn started(&mut self) -> Vec<RunName> {
+    fn sent_starts(&mut self) -> Vec<RunName> {
         let starts = self.actions.iter().filter_map(|a| match a {
             Action::Start(call) => Some(call.run),
             _ => None,
@@ -198,7 +203,7 @@
         starts.collect()
     }
 
-    fn stopped(&mut self) -> Vec<RunName> {
+    fn sent_stops(&mut self) -> Vec<RunName> {
         let stops = self.actions.iter().filter_map(|a| match a {
             Action::Stop(_, run, _) => Some(*run),
             _ => None,
@@ -220,13 +225,13 @@
     fn ends(&self, link: LinkId) -> Vec<(u64, EndKind)> {
         let updates = self.updates(link);
         let ends = updates.iter().flat_map(|u| u.ends.iter());
-        let end = |e: &proto::TaskEnd| (e.number, EndKind::from_code(e.kind).expect("a kind"));
+        let end = |e: &proto::TaskEnd| (e.number, EndKind::from_code(e.kind).expect("end kind"));
         ends.map(end).collect()
     }
 }
 
-/// A life of a worker that does not say when it started.
-fn life_of(id: &str) -> WorkerIncarnation {
+/// Returns an incarnation of a worker that does not report when it started.
+fn incarnation_of(id: &str) -> WorkerIncarnation {
     WorkerIncarnation {
         id: id.to_owned(),
         born: None,
@@ -255,138 +260,154 @@
 }
 
 #[test]
-fn test_executor_starts_only_what_fits() {
+fn test_executor_starts_within_capacity() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0, 1, 2]);
-    assert_eq!(bench.started(), [run(1, 0, 1), run(1, 1, 1)]);
+    bench.order_start(ONE, 1, &[0, 1, 2]);
+    assert_eq!(bench.sent_starts(), [run(1, 0, 1), run(1, 1, 1)]);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 1, 1), OrderReply::Done(1));
-    bench.lists(
+    bench.report_lists(
         &[run(1, 1, 1)],
         vec![finished(1, run(1, 0, 1), RunEnd::Done)],
     );
-    assert_eq!(bench.started().len(), 2, "what did not fit was handed back");
-    bench.start(ONE, 2, &[0, 1]);
-    assert_eq!(bench.started().len(), 3, "the end has made room for one");
-    let handed_back = (1, EndKind::NoRoom);
-    let ended = [handed_back, (2, EndKind::Done), (3, EndKind::NoRoom)];
+    assert_eq!(
+        bench.sent_starts().len(),
+        2,
+        "the task that does not fit is handed back"
+    );
+    bench.order_start(ONE, 2, &[0, 1]);
+    assert_eq!(
+        bench.sent_starts().len(),
+        3,
+        "the ended run frees room for one task"
+    );
+    let rejected = (1, EndKind::NoRoom);
+    let ended = [rejected, (2, EndKind::Done), (3, EndKind::NoRoom)];
     assert_eq!(bench.ends(ONE), ended);
 }
 
 #[test]
-fn test_executor_hands_back_at_once_what_has_no_room_soon() {
+fn test_executor_no_room() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0, 1]);
-    bench.link(TWO, "two");
-    bench.start(TWO, 2, &[0]);
-    assert_eq!(bench.started(), [run(1, 0, 1), run(1, 1, 1)]);
+    bench.order_start(ONE, 1, &[0, 1]);
+    bench.link_up(TWO, "two");
+    bench.order_start(TWO, 2, &[0]);
+    assert_eq!(bench.sent_starts(), [run(1, 0, 1), run(1, 1, 1)]);
     assert_eq!(bench.ends(TWO), [(1, EndKind::NoRoom)]);
-    let free = |u: proto::Update| u.worker.expect("it reports").free_cpu_milli;
+    let free = |u: proto::Update| u.worker.expect("a worker report").free_cpu_milli;
     let last = bench.updates(TWO).pop().expect("an update");
     assert_eq!(
         free(last),
         0,
-        "the scheduler learns of the room with the end"
+        "the update with the end reports the free capacity"
     );
 }
 
 #[test]
-fn test_executor_keeps_a_task_for_a_run_that_is_about_to_end() {
+fn test_executor_queues_behind_ending_run() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0, 1]);
-    bench.pass(95);
-    bench.lists_at(95, &[run(1, 0, 1), run(1, 1, 1)], Vec::new());
-    bench.start(ONE, 2, &[0]);
-    assert_eq!(bench.ends(ONE), [], "a run ends within some milliseconds");
-    bench.lists(
+    bench.order_start(ONE, 1, &[0, 1]);
+    bench.advance(95);
+    bench.report_lists_at(95, &[run(1, 0, 1), run(1, 1, 1)], Vec::new());
+    bench.order_start(ONE, 2, &[0]);
+    assert_eq!(bench.ends(ONE), [], "a run is about to end");
+    bench.report_lists(
         &[run(1, 1, 1)],
         vec![finished(1, run(1, 0, 1), RunEnd::Done)],
     );
-    assert_eq!(bench.started().len(), 3);
+    assert_eq!(bench.sent_starts().len(), 3);
 }
 
 #[test]
-fn test_executor_holds_the_room_of_an_unanswered_start() {
+fn test_executor_unanswered_start_keeps_room() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0, 1]);
+    bench.order_start(ONE, 1, &[0, 1]);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 1, 1), OrderReply::Done(1));
-    bench.take();
-    assert_eq!(bench.stopped(), [run(1, 0, 1)]);
-    bench.lists(&[run(1, 1, 1)], Vec::new());
-    bench.start(ONE, 2, &[0]);
-    assert_eq!(bench.started().len(), 2, "the stop is not confirmed");
+    bench.collect_actions();
+    assert_eq!(bench.sent_stops(), [run(1, 0, 1)]);
+    bench.report_lists(&[run(1, 1, 1)], Vec::new());
+    bench.order_start(ONE, 2, &[0]);
+    assert_eq!(
+        bench.sent_starts().len(),
+        2,
+        "the stop is not confirmed yet"
+    );
     bench
         .executor
         .handle_stop_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
-    bench.lists(&[run(1, 1, 1)], Vec::new());
-    bench.start(ONE, 3, &[0]);
+    bench.report_lists(&[run(1, 1, 1)], Vec::new());
+    bench.order_start(ONE, 3, &[0]);
     assert_eq!(
-        bench.started().len(),
+        bench.sent_starts().len(),
         2,
-        "this hold was sent before the stop was confirmed"
+        "this hold was sent before the confirmation of the stop"
+    );
+    bench.report_lists(&[run(1, 1, 1)], Vec::new());
+    bench.order_start(ONE, 4, &[0]);
+    assert_eq!(
+        bench.sent_starts().len(),
+        3,
+        "the run can no longer be at the worker"
     );
-    bench.lists(&[run(1, 1, 1)], Vec::new());
-    bench.start(ONE, 4, &[0]);
-    assert_eq!(bench.started().len(), 3, "now nothing can run of it");
-    let handed_back = [(1, EndKind::NoRoom), (2, EndKind::NoRoom)];
-    assert_eq!(bench.ends(ONE)[..2], handed_back);
+    let rejected = [(1, EndKind::NoRoom), (2, EndKind::NoRoom)];
+    assert_eq!(bench.ends(ONE)[..2], rejected);
     assert_eq!(bench.ends(ONE)[2..], [(3, EndKind::Stalled)]);
 }
 
 #[test]
-fn test_executor_keeps_a_run_whose_answer_alone_was_lost() {
+fn test_executor_lost_start_reply() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.lists(&[run(1, 0, 1)], Vec::new());
+    bench.order_start(ONE, 1, &[0]);
+    bench.report_lists(&[run(1, 0, 1)], Vec::new());
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
-    bench.take();
-    assert_eq!(bench.stopped(), []);
+    bench.collect_actions();
+    assert_eq!(bench.sent_stops(), []);
 }
 
 #[test]
-fn test_executor_repeats_a_stop_until_it_is_confirmed() {
+fn test_executor_resends_stop() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
+    bench.order_start(ONE, 1, &[0]);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
-    bench.pass(50);
-    bench.pass(50);
-    assert!(bench.stopped().len() >= 2, "{:?}", bench.stopped());
+    bench.advance(50);
+    bench.advance(50);
+    assert!(bench.sent_stops().len() >= 2, "{:?}", bench.sent_stops());
 }
 
 #[test]
-fn test_executor_numbers_a_run_above_one_that_ended() {
+fn test_executor_old_run_number() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
+    bench.order_start(ONE, 1, &[0]);
     let old = OrderReply::Refused(StartRefusal::Old);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), old);
-    bench.take();
-    assert_eq!(bench.started(), [run(1, 0, 1), run(1, 0, 2)]);
+    bench.collect_actions();
+    assert_eq!(bench.sent_starts(), [run(1, 0, 1), run(1, 0, 2)]);
 }
 
 #[test]
-fn test_executor_raises_its_fence_when_the_worker_saw_a_higher_one() {
+fn test_executor_raises_fence() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
+    bench.order_start(ONE, 1, &[0]);
     let fenced = OrderReply::Refused(StartRefusal::Fence);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), fenced);
-    bench.take();
+    bench.collect_actions();
     let fences = bench.actions.iter().filter_map(|a| match a {
         Action::Start(call) => Some(call.fence),
         _ => None,
@@ -396,38 +417,38 @@
 }
 
 #[test]
-fn test_executor_stops_strangers_before_it_starts_anything() {
+fn test_executor_stops_unknown_runs_first() {
     let mut bench = Bench::new();
-    bench.heartbeat("w1", false, 1);
-    bench.link(ONE, "one");
-    bench.lists(&[run(9, 0, 4)], Vec::new());
-    bench.start(ONE, 1, &[0]);
-    assert_eq!(bench.stopped(), [run(9, 0, 4)]);
-    assert_eq!(bench.started(), []);
+    bench.send_heartbeat("w1", false, 1);
+    bench.link_up(ONE, "one");
+    bench.report_lists(&[run(9, 0, 4)], Vec::new());
+    bench.order_start(ONE, 1, &[0]);
+    assert_eq!(bench.sent_stops(), [run(9, 0, 4)]);
+    assert_eq!(bench.sent_starts(), []);
     assert_eq!(bench.ends(ONE), [(1, EndKind::Unavailable)]);
-    bench.lists(&[], Vec::new());
-    bench.start(ONE, 2, &[0]);
-    assert_eq!(bench.started(), [run(2, 0, 1)]);
+    bench.report_lists(&[], Vec::new());
+    bench.order_start(ONE, 2, &[0]);
+    assert_eq!(bench.sent_starts(), [run(2, 0, 1)]);
 }
 
 #[test]
-fn test_executor_stops_what_runs_when_a_lease_is_over() {
+fn test_executor_lease_expiry_stops_runs() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
+    bench.order_start(ONE, 1, &[0]);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     for _ in 0..6 {
-        bench.pass(100);
-        bench.lists(&[run(1, 0, 1)], Vec::new());
+        bench.advance(100);
+        bench.report_lists(&[run(1, 0, 1)], Vec::new());
     }
-    assert_eq!(bench.stopped(), []);
-    bench.pass(150);
-    assert_eq!(bench.stopped(), [run(1, 0, 1)]);
+    assert_eq!(bench.sent_stops(), []);
+    bench.advance(150);
+    assert_eq!(bench.sent_stops(), [run(1, 0, 1)]);
 }
 
 #[test]
-fn test_executor_refuses_orders_with_an_old_echo() {
+fn test_executor_rejects_stale_echo() {
     let mut bench = Bench::ready();
     bench.now = bench.now + Duration::from_millis(650);
     let orders = proto::Orders {
@@ -453,54 +474,54 @@
         ..proto::Orders::default()
     };
     bench.executor.handle_orders(bench.now, ONE, late);
-    bench.take();
+    bench.collect_actions();
     assert_eq!(
-        bench.started(),
+        bench.sent_starts(),
         [],
-        "the sender was paused for longer than its lease"
+        "the echoed reading is older than the lease"
     );
 }
 
 #[test]
-fn test_executor_numbers_ends_over_all_sessions() {
+fn test_executor_end_numbers_across_sessions() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
+    bench.order_start(ONE, 1, &[0]);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
-    bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Done)]);
-    bench.pass(800);
-    bench.lists(&[], Vec::new());
-    bench.link(TWO, "one");
-    bench.start(TWO, 2, &[0]);
+    bench.report_lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Done)]);
+    bench.advance(800);
+    bench.report_lists(&[], Vec::new());
+    bench.link_up(TWO, "one");
+    bench.order_start(TWO, 2, &[0]);
     bench
         .executor
         .handle_start_reply(bench.now, run(2, 0, 1), OrderReply::Done(1));
-    bench.lists(&[], vec![finished(2, run(2, 0, 1), RunEnd::Done)]);
+    bench.report_lists(&[], vec![finished(2, run(2, 0, 1), RunEnd::Done)]);
     assert_eq!(bench.ends(ONE), [(1, EndKind::Done)]);
     assert_eq!(bench.ends(TWO), [(2, EndKind::Done)]);
 }
 
 #[test]
-fn test_executor_tells_its_profile_only_when_it_has_changed() {
+fn test_executor_profile_sent_on_change() {
     let mut bench = Bench::ready();
-    let told = |bench: &Bench| -> Vec<proto::Profile> {
+    let profiles = |bench: &Bench| -> Vec<proto::Profile> {
         let updates = bench.updates(ONE);
         updates.into_iter().filter_map(|u| u.profile).collect()
     };
-    assert_eq!(told(&bench).len(), 1, "on a new link");
+    assert_eq!(profiles(&bench).len(), 1, "sent on a new link");
     for _ in 0..4 {
-        bench.orders(ONE, proto::Orders::default());
-        bench.pass(100);
+        bench.send_orders(ONE, proto::Orders::default());
+        bench.advance(100);
     }
-    assert_eq!(told(&bench).len(), 1);
-    bench.link(TWO, "two");
-    bench.pass(100);
-    let last = told(&bench).pop().expect("it was told again");
+    assert_eq!(profiles(&bench).len(), 1);
+    bench.link_up(TWO, "two");
+    bench.advance(100);
+    let last = profiles(&bench).pop().expect("another profile");
     assert_eq!(last.leased, ["one", "two"]);
     assert_eq!(last.service, "s");
-    bench.new_life("w2");
-    bench.pass(100);
-    let last = told(&bench).pop().expect("it was told again");
+    bench.start_incarnation("w2");
+    bench.advance(100);
+    let last = profiles(&bench).pop().expect("another profile");
     assert_eq!(last.worker, "w2");
 }
--- a/lib/tests/runner/test_executor/claims.rs
+++ b/lib/tests/runner/test_executor/claims.rs
@@ -1,35 +1,35 @@
-//! Claims of jobs at an executor.
+//! Claims of jobs: when the executor confirms or denies them.
 
 use super::*;
 
 #[test]
-fn test_executor_confirms_a_claim_when_nothing_is_left() {
+fn test_executor_claim_confirmed_after_runs_end() {
     let mut bench = Bench::ready();
-    bench.link(TWO, "two");
-    bench.start(ONE, 1, &[0]);
+    bench.link_up(TWO, "two");
+    bench.order_start(ONE, 1, &[0]);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::Done(1));
     bench.claim(TWO, 1);
-    assert_eq!(bench.stopped(), [run(1, 0, 1)]);
+    assert_eq!(bench.sent_stops(), [run(1, 0, 1)]);
     let claimed = |b: &Bench| b.updates(TWO).iter().any(|u| u.claimed == [1]);
     assert!(!claimed(&bench));
-    bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Stopped)]);
+    bench.report_lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Stopped)]);
     assert!(claimed(&bench));
-    bench.start(ONE, 1, &[1]);
+    bench.order_start(ONE, 1, &[1]);
     assert_eq!(
-        bench.started().len(),
+        bench.sent_starts().len(),
         1,
-        "the job belongs to another scheduler"
+        "another scheduler has claimed the job"
     );
     let kinds: Vec<EndKind> = bench.ends(ONE).iter().map(|e| e.1).collect();
     assert_eq!(kinds, [EndKind::Claimed, EndKind::Claimed]);
 }
 
 #[test]
-fn test_executor_prefers_the_first_by_name_of_two_claims() {
+fn test_executor_conflicting_claims() {
     let mut bench = Bench::ready();
-    bench.link(TWO, "two");
+    bench.link_up(TWO, "two");
     bench.claim(TWO, 1);
     bench.claim(ONE, 1);
     assert!(bench.updates(TWO).iter().any(|u| u.denied == [1]));
@@ -45,62 +45,73 @@
 }
 
 #[test]
-fn test_executor_confirms_a_claim_before_its_worker_has_said_anything() {
+fn test_executor_claim_confirmed_by_probe() {
     let mut bench = Bench::new();
-    bench.link(ONE, "one");
+    bench.link_up(ONE, "one");
     bench.claim(ONE, 1);
-    bench.pass(20);
+    bench.advance(20);
     assert!(bench.updates(ONE).iter().all(|u| u.claimed.is_empty()));
-    bench.lists(&[run(1, 0, 1)], Vec::new());
-    assert_eq!(bench.stopped(), [run(1, 0, 1)], "an earlier executor's run");
+    bench.report_lists(&[run(1, 0, 1)], Vec::new());
+    assert_eq!(
+        bench.sent_stops(),
+        [run(1, 0, 1)],
+        "a run started by an earlier executor"
+    );
     assert!(bench.updates(ONE).iter().all(|u| u.claimed.is_empty()));
-    bench.pass(40);
-    bench.lists(&[], Vec::new());
+    bench.advance(40);
+    bench.report_lists(&[], Vec::new());
     let last = bench.updates(ONE).pop().expect("an update");
-    assert_eq!(last.claimed, [1], "nothing is left, and nothing can start");
+    assert_eq!(
+        last.claimed,
+        [1],
+        "no run of the job is left and none can start"
+    );
 }
 
 #[test]
-fn test_executor_does_not_take_a_probe_for_a_later_life() {
+fn test_executor_claim_probe_of_earlier_incarnation() {
     let mut bench = Bench::new();
-    bench.link(ONE, "one");
+    bench.link_up(ONE, "one");
     bench.claim(ONE, 1);
-    bench.heartbeat("w1", false, 1);
-    bench.lists(&[], Vec::new());
+    bench.send_heartbeat("w1", false, 1);
+    bench.report_lists(&[], Vec::new());
     assert!(bench.updates(ONE).iter().all(|u| u.claimed.is_empty()));
-    bench.lists(&[], Vec::new());
+    bench.report_lists(&[], Vec::new());
     let last = bench.updates(ONE).pop().expect("an update");
     assert_eq!(last.claimed, [1]);
 }
 
 #[test]
-fn test_executor_tells_a_claimant_that_a_later_claim_has_replaced_its_own() {
+fn test_executor_claim_superseded() {
     let mut bench = Bench::ready();
-    bench.link(TWO, "two");
+    bench.link_up(TWO, "two");
     bench.claim(ONE, 1);
     for _ in 0..30 {
-        bench.orders(ONE, proto::Orders::default());
-        bench.orders(TWO, proto::Orders::default());
-        bench.pass(100);
+        bench.send_orders(ONE, proto::Orders::default());
+        bench.send_orders(TWO, proto::Orders::default());
+        bench.advance(100);
     }
     bench.claim(TWO, 1);
     let denied = |link| bench.updates(link).iter().any(|u| u.denied == [1]);
-    assert!(denied(ONE), "it may still wait for other executors");
+    assert!(
+        denied(ONE),
+        "the first claimant may still wait for other executors"
+    );
     assert!(!denied(TWO));
 }
 
 #[test]
-fn test_executor_does_not_confirm_before_it_knows_its_worker() {
+fn test_executor_claim_unknown_worker() {
     let mut bench = Bench::new();
-    bench.link(ONE, "one");
+    bench.link_up(ONE, "one");
     bench.claim(ONE, 1);
     assert!(bench.updates(ONE).iter().all(|u| u.claimed.is_empty()));
     for _ in 0..12 {
-        bench.orders(ONE, proto::Orders::default());
-        bench.pass(100);
+        bench.send_orders(ONE, proto::Orders::default());
+        bench.advance(100);
     }
     assert!(
         bench.updates(ONE).iter().any(|u| u.claimed == [1]),
-        "by now nothing can run"
+        "no run can have been kept alive until now"
     );
 }
--- a/lib/tests/runner/test_executor/crashes.rs
+++ b/lib/tests/runner/test_executor/crashes.rs
@@ -1,4 +1,4 @@
-//! Workers that crash, and what is told of the runs that were there.
+//! Worker crashes: which runs the executor suspects or proves as the cause, and what it reports about them.
 
 use super::*;
 
@@ -16,16 +16,16 @@
 };
 
 impl Bench {
-    /// The worker confirms the start of a job's first task.
-    fn confirm(&mut self, job: u64) {
+    /// Confirms the start of a job's first task on behalf of the worker.
+    fn confirm_start_of_job(&mut self, job: u64) {
         let reply = OrderReply::Done(1);
         self.executor
             .handle_start_reply(self.now, run(job, 0, 1), reply);
-        self.take();
+        self.collect_actions();
     }
 
-    /// Sends a task of which something is known.
-    fn start_known(&mut self, link: LinkId, job: u64, crashes: proto::CrashRecord) {
+    /// Orders the start of a task with an earlier crash record.
+    fn order_start_with_record(&mut self, link: LinkId, job: u64, crashes: proto::CrashRecord) {
         let task = proto::TaskStart {
             attempt: 1,
             crashes: Some(crashes),
@@ -45,220 +45,239 @@
             starts: vec![start],
             ..proto::Orders::default()
         };
-        self.orders(link, orders);
+        self.send_orders(link, orders);
     }
 
-    /// What became of jobs, and what is known of their tasks.
-    fn records(&self, link: LinkId) -> Vec<(u64, EndKind, Option<proto::CrashRecord>)> {
+    /// Returns the job, end kind and crash record of each reported end.
+    fn crash_records(&self, link: LinkId) -> Vec<(u64, EndKind, Option<proto::CrashRecord>)> {
         let updates = self.updates(link);
         let ends = updates.iter().flat_map(|u| u.ends.iter());
         let row = |e: &proto::TaskEnd| {
-            let kind = EndKind::from_code(e.kind).expect("a kind");
+            let kind = EndKind::from_code(e.kind).expect("end kind");
             (e.task.expect("a task").job, kind, e.crashes)
         };
         ends.map(row).collect()
     }
 }
 
-/// Lets a worker that refuses connections from now on be taken for gone.
-fn crash(bench: &mut Bench) {
+/// Makes the worker refuse connections until the executor considers it gone.
+fn crash_worker(bench: &mut Bench) {
     bench.handle_hold_reply(HoldReply::NoAnswer);
     for _ in 0..20 {
-        bench.pass(10);
+        bench.advance(10);
         bench.handle_hold_reply(HoldReply::Unreachable);
     }
 }
 
-fn details(bench: &Bench, kind: Kind) -> Vec<String> {
-    let told = bench.actions.iter().filter_map(|a| match a {
+/// Returns the details of all log events of a kind.
+fn log_details(bench: &Bench, kind: Kind) -> Vec<String> {
+    let logged = bench.actions.iter().filter_map(|a| match a {
         Action::Log(event) if event.kind == kind => Some(event.detail.clone()),
         _ => None,
     });
-    told.collect()
+    logged.collect()
 }
 
 #[test]
-fn test_executor_lists_what_ran_at_a_worker_that_is_gone() {
+fn test_executor_logs_lost_runs() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.pass(70);
-    bench.start(ONE, 2, &[0]);
-    bench.pass(10);
-    crash(&mut bench);
-    let told = details(&bench, Kind::RunsLost);
-    let [told] = told.as_slice() else {
-        panic!("told {told:?}");
+    bench.order_start(ONE, 1, &[0]);
+    bench.advance(70);
+    bench.order_start(ONE, 2, &[0]);
+    bench.advance(10);
+    crash_worker(&mut bench);
+    let details = log_details(&bench, Kind::RunsLost);
+    let [detail] = details.as_slice() else {
+        panic!("expected one event: {details:?}");
     };
     let runs = "2 runs, the youngest first: \
                 0000000000000002.0.0.0 run 1 10 ms (suspect), \
                 0000000000000001.0.0.0 run 1 80 ms (suspect)";
-    assert!(told.contains("it is gone, silent for 150 ms"), "{told}");
-    assert!(told.ends_with(runs), "{told}");
+    assert!(detail.contains("it is gone, silent for 150 ms"), "{detail}");
+    assert!(detail.ends_with(runs), "{detail}");
 }
 
 #[test]
-fn test_executor_lists_what_ran_in_a_life_that_another_one_has_followed() {
+fn test_executor_logs_runs_of_replaced_incarnation() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.pass(30);
-    bench.new_life("w2");
-    let told = details(&bench, Kind::RunsLost);
-    assert_eq!(told.len(), 1);
-    assert!(told[0].contains("w1: another life has registered"));
+    bench.order_start(ONE, 1, &[0]);
+    bench.advance(30);
+    bench.start_incarnation("w2");
+    let details = log_details(&bench, Kind::RunsLost);
+    assert_eq!(details.len(), 1);
+    assert!(details[0].contains("w1: another life has registered"));
 }
 
 #[test]
-fn test_executor_tells_which_runs_may_have_crashed_their_worker() {
+fn test_executor_crash_suspects() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.pass(100);
-    bench.lists_at(50, &[run(1, 0, 1)], Vec::new());
-    bench.pass(150);
-    bench.lists_at(60, &[run(1, 0, 1)], Vec::new());
-    bench.start(ONE, 2, &[0]);
-    bench.confirm(2);
-    bench.pass(10);
-    crash(&mut bench);
-    let passenger = proto::CrashRecord {
+    bench.order_start(ONE, 1, &[0]);
+    bench.advance(100);
+    bench.report_lists_at(50, &[run(1, 0, 1)], Vec::new());
+    bench.advance(150);
+    bench.report_lists_at(60, &[run(1, 0, 1)], Vec::new());
+    bench.order_start(ONE, 2, &[0]);
+    bench.confirm_start_of_job(2);
+    bench.advance(10);
+    crash_worker(&mut bench);
+    let bystander = proto::CrashRecord {
         count: 1,
         ..proto::CrashRecord::default()
     };
-    let told = [
-        (1, EndKind::Crashed, Some(passenger)),
+    let expected = [
+        (1, EndKind::Crashed, Some(bystander)),
         (2, EndKind::Crashed, Some(SUSPECT)),
     ];
-    assert_eq!(bench.records(ONE), told);
+    assert_eq!(bench.crash_records(ONE), expected);
 }
 
 #[test]
-fn test_executor_proves_a_suspect_by_a_second_crash() {
+fn test_executor_second_crash_proves_suspect() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.start_known(ONE, 2, SUSPECT);
-    bench.confirm(1);
-    bench.confirm(2);
-    crash(&mut bench);
+    bench.order_start(ONE, 1, &[0]);
+    bench.order_start_with_record(ONE, 2, SUSPECT);
+    bench.confirm_start_of_job(1);
+    bench.confirm_start_of_job(2);
+    crash_worker(&mut bench);
     let cause = (2, EndKind::Crashed, Some(PROVEN));
-    assert_eq!(bench.records(ONE)[1], cause);
+    assert_eq!(bench.crash_records(ONE)[1], cause);
     assert_matches!(
-        bench.records(ONE)[0].2,
+        bench.crash_records(ONE)[0].2,
         Some(r) if !r.suspect,
-        "what began beside it is not suspected"
+        "the run that started beside it is not suspected"
     );
 }
 
-/// The start of a task that crashes its worker at once gets no answer.
+/// A task that crashes its worker immediately leaves its own start unanswered; the run must still be
+/// suspected.
 #[test]
-fn test_executor_suspects_a_run_whose_start_got_no_answer() {
+fn test_executor_unanswered_start_is_suspect() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
+    bench.order_start(ONE, 1, &[0]);
     bench
         .executor
         .handle_start_reply(bench.now, run(1, 0, 1), OrderReply::NoAnswer);
-    crash(&mut bench);
+    crash_worker(&mut bench);
     let unsure = proto::CrashRecord {
         count: 0,
         unsure: 1,
         ..SUSPECT
     };
-    assert_eq!(bench.records(ONE), [(1, EndKind::Crashed, Some(unsure))]);
+    assert_eq!(
+        bench.crash_records(ONE),
+        [(1, EndKind::Crashed, Some(unsure))]
+    );
 }
 
 #[test]
-fn test_executor_blames_nobody_for_a_worker_that_leaves() {
+fn test_executor_draining_worker_no_blame() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.heartbeat("w1", true, 2);
-    crash(&mut bench);
-    assert_eq!(bench.records(ONE), [(1, EndKind::Lost, None)]);
+    bench.order_start(ONE, 1, &[0]);
+    bench.send_heartbeat("w1", true, 2);
+    crash_worker(&mut bench);
+    assert_eq!(bench.crash_records(ONE), [(1, EndKind::Lost, None)]);
 }
 
 #[test]
-fn test_executor_blames_nobody_for_a_worker_that_is_only_silent() {
+fn test_executor_silent_worker_no_blame() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
+    bench.order_start(ONE, 1, &[0]);
     for _ in 0..200 {
-        bench.pass(10);
-        bench.orders(ONE, proto::Orders::default());
+        bench.advance(10);
+        bench.send_orders(ONE, proto::Orders::default());
         bench.handle_hold_reply(HoldReply::NoAnswer);
     }
-    assert_eq!(bench.records(ONE), [(1, EndKind::Lost, None)]);
+    assert_eq!(bench.crash_records(ONE), [(1, EndKind::Lost, None)]);
 }
 
 #[test]
-fn test_executor_tries_one_suspect_at_a_time() {
+fn test_executor_one_suspect_at_a_time() {
     let mut bench = Bench::ready();
-    bench.start_known(ONE, 1, SUSPECT);
-    bench.start_known(ONE, 2, SUSPECT);
-    bench.start(ONE, 3, &[0]);
-    assert_eq!(bench.started(), [run(1, 0, 1), run(3, 0, 1)]);
-    bench.pass(250);
-    assert_eq!(bench.started().last(), Some(&run(2, 0, 1)));
+    bench.order_start_with_record(ONE, 1, SUSPECT);
+    bench.order_start_with_record(ONE, 2, SUSPECT);
+    bench.order_start(ONE, 3, &[0]);
+    assert_eq!(bench.sent_starts(), [run(1, 0, 1), run(3, 0, 1)]);
+    bench.advance(250);
+    assert_eq!(bench.sent_starts().last(), Some(&run(2, 0, 1)));
 }
 
 #[test]
-fn test_executor_does_not_start_a_task_that_is_the_cause() {
+fn test_executor_rejects_proven_task() {
     let mut bench = Bench::ready();
-    bench.start_known(ONE, 1, PROVEN);
-    assert_eq!(bench.started(), []);
-    assert_eq!(bench.records(ONE), [(1, EndKind::Crashed, Some(PROVEN))]);
+    bench.order_start_with_record(ONE, 1, PROVEN);
+    assert_eq!(bench.sent_starts(), []);
+    assert_eq!(
+        bench.crash_records(ONE),
+        [(1, EndKind::Crashed, Some(PROVEN))]
+    );
 }
 
-/// A claimant may never have heard of the task: its scheduler was lost with what it knew.
+/// The scheduler that knew of a task's crashes may be lost. Without a report from the executor, the claimant
+/// would run the task as if it had never crashed a worker.
 #[test]
-fn test_executor_tells_a_claimant_what_it_knows_of_the_tasks() {
+fn test_executor_reports_crashes_to_claimant() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.confirm(1);
-    crash(&mut bench);
-    bench.link(TWO, "two");
+    bench.order_start(ONE, 1, &[0]);
+    bench.confirm_start_of_job(1);
+    crash_worker(&mut bench);
+    bench.link_up(TWO, "two");
     bench.claim(TWO, 1);
     for _ in 0..3 {
-        bench.pass(400);
-        bench.orders(TWO, proto::Orders::default());
+        bench.advance(400);
+        bench.send_orders(TWO, proto::Orders::default());
     }
     let known = bench.updates(TWO).into_iter().flat_map(|u| u.crashed);
     let known: Vec<proto::CrashedTask> = known.collect();
     assert_eq!(known.len(), 1);
     assert_eq!(known[0].record, Some(SUSPECT));
-    bench.new_life("w2");
-    bench.start(TWO, 1, &[0]);
-    bench.confirm(1);
-    bench.pass(10);
-    crash(&mut bench);
-    assert_eq!(bench.records(TWO), [(1, EndKind::Crashed, Some(PROVEN))]);
+    bench.start_incarnation("w2");
+    bench.order_start(TWO, 1, &[0]);
+    bench.confirm_start_of_job(1);
+    bench.advance(10);
+    crash_worker(&mut bench);
+    assert_eq!(
+        bench.crash_records(TWO),
+        [(1, EndKind::Crashed, Some(PROVEN))]
+    );
 }
 
 #[test]
-fn test_executor_remembers_a_bounded_number_of_tasks() {
+fn test_executor_crash_memory_bounded() {
     let mut bench = Bench::ready();
-    for life in 0..600u64 {
-        bench.start(ONE, 1000 + life, &[0, 1]);
-        bench.pass(10);
-        bench.new_life(&format!("x{life}"));
+    for incarnation in 0..600u64 {
+        bench.order_start(ONE, 1000 + incarnation, &[0, 1]);
+        bench.advance(10);
+        bench.start_incarnation(&format!("x{incarnation}"));
     }
-    let proven = |r: &(u64, EndKind, Option<proto::CrashRecord>)| r.1 == EndKind::Crashed;
-    assert!(bench.records(ONE).iter().filter(|r| proven(r)).count() >= 1000);
+    let is_crashed = |r: &(u64, EndKind, Option<proto::CrashRecord>)| r.1 == EndKind::Crashed;
+    assert!(
+        bench
+            .crash_records(ONE)
+            .iter()
+            .filter(|r| is_crashed(r))
+            .count()
+            >= 1000
+    );
     bench.claim(ONE, 1000);
     bench.claim(ONE, 1599);
-    let told = bench.updates(ONE).into_iter().flat_map(|u| u.crashed);
-    let jobs: Vec<u64> = told.map(|t| t.task.expect("a task").job).collect();
-    assert_eq!(jobs, [1599, 1599], "the oldest are forgotten");
+    let reported = bench.updates(ONE).into_iter().flat_map(|u| u.crashed);
+    let jobs: Vec<u64> = reported.map(|t| t.task.expect("a task").job).collect();
+    assert_eq!(jobs, [1599, 1599], "the oldest records are dropped");
 }
 
-/// A worker that is gone is asked on, and refuses on. While each refusal put off the time from which nothing can run there, no
-/// job could be claimed until the worker was back.
+/// The executor keeps asking a worker that refuses connections. If each refusal postponed the time after
+/// which no run can be left, no job could be claimed until the worker returned.
 #[test]
-fn test_executor_confirms_claims_while_its_worker_is_gone() {
+fn test_executor_claim_confirmed_worker_unreachable() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0]);
-    bench.confirm(1);
-    crash(&mut bench);
-    bench.link(TWO, "two");
+    bench.order_start(ONE, 1, &[0]);
+    bench.confirm_start_of_job(1);
+    crash_worker(&mut bench);
+    bench.link_up(TWO, "two");
     bench.claim(TWO, 1);
     for _ in 0..12 {
-        bench.pass(100);
-        bench.orders(TWO, proto::Orders::default());
+        bench.advance(100);
+        bench.send_orders(TWO, proto::Orders::default());
         bench.handle_hold_reply(HoldReply::Unreachable);
     }
     let claimed = bench.updates(TWO).into_iter().flat_map(|u| u.claimed);
--- a/lib/tests/runner/test_executor/evacuation.rs
+++ b/lib/tests/runner/test_executor/evacuation.rs
@@ -1,8 +1,8 @@
-//! An executor whose availability zone is evacuated.
+//! An executor in an evacuated availability zone: it rejects starts, returns its queue and lets runs finish.
 
 use super::*;
 
-fn zone(name: &str, revision: u64, evacuated: bool) -> proto::Orders {
+fn zone_state(name: &str, revision: u64, evacuated: bool) -> proto::Orders {
     proto::Orders {
         zone: Some(proto::ZoneState {
             zone: name.to_owned(),
@@ -15,31 +15,35 @@
 
 fn is_ready(bench: &Bench, link: LinkId) -> bool {
     let last = bench.updates(link).pop().expect("an update");
-    last.worker.expect("it reports").ready
+    last.worker.expect("a worker report").ready
 }
 
-/// One scheduler has heard of it; another one, which has not, gets its tasks back as not started.
+/// Only one scheduler knows of the evacuation. The executor hands the tasks of the others back as not started
+/// and reports the evacuation to them.
 #[test]
-fn test_executor_starts_nothing_in_an_evacuated_zone_for_anybody() {
+fn test_executor_evacuated_zone_rejects_starts() {
     let mut bench = Bench::ready();
-    bench.link(TWO, "two");
-    bench.orders(ONE, zone("z", 5, true));
+    bench.link_up(TWO, "two");
+    bench.send_orders(ONE, zone_state("z", 5, true));
     assert!(!is_ready(&bench, ONE));
-    assert!(!is_ready(&bench, TWO), "all are told at once");
-    bench.start(TWO, 1, &[0]);
-    assert_eq!(bench.started(), []);
+    assert!(
+        !is_ready(&bench, TWO),
+        "the executor reports to all schedulers at once"
+    );
+    bench.order_start(TWO, 1, &[0]);
+    assert_eq!(bench.sent_starts(), []);
     assert_eq!(bench.ends(TWO), [(1, EndKind::Unavailable)]);
-    let told = bench.updates(TWO).into_iter().filter_map(|u| u.zone);
-    let told: Vec<proto::ZoneState> = told.collect();
-    assert_eq!(told.len(), 1, "it tells who is behind, once: {told:?}");
-    assert!(told[0].evacuated);
-    let told = bench.updates(ONE).into_iter().filter_map(|u| u.zone);
-    assert_eq!(told.count(), 0, "who has told it knows");
+    let states = bench.updates(TWO).into_iter().filter_map(|u| u.zone);
+    let states: Vec<proto::ZoneState> = states.collect();
+    assert_eq!(states.len(), 1, "sent once: {states:?}");
+    assert!(states[0].evacuated);
+    let states = bench.updates(ONE).into_iter().filter_map(|u| u.zone);
+    assert_eq!(states.count(), 0, "not sent back to its source");
 }
 
-/// The orders that tell of it may bring tasks as well.
+/// Orders that announce the evacuation may contain starts as well; these must not be accepted.
 #[test]
-fn test_executor_evacuation_goes_before_the_starts_beside_it() {
+fn test_executor_evacuation_with_starts() {
     let mut bench = Bench::ready();
     let starts = vec![proto::StartTasks {
         job: 1,
@@ -52,47 +56,47 @@
     }];
     let orders = proto::Orders {
         starts,
-        ..zone("z", 5, true)
+        ..zone_state("z", 5, true)
     };
-    bench.orders(ONE, orders);
-    assert_eq!(bench.started(), []);
+    bench.send_orders(ONE, orders);
+    assert_eq!(bench.sent_starts(), []);
     assert_eq!(bench.ends(ONE), [(1, EndKind::Unavailable)]);
 }
 
 #[test]
-fn test_executor_evacuation_ends_nothing_that_runs_and_returns_what_waits() {
+fn test_executor_evacuation_returns_queue() {
     let mut bench = Bench::ready();
-    bench.start(ONE, 1, &[0, 1]);
-    bench.pass(95);
-    bench.lists_at(95, &[run(1, 0, 1), run(1, 1, 1)], Vec::new());
-    bench.start(ONE, 2, &[0]);
+    bench.order_start(ONE, 1, &[0, 1]);
+    bench.advance(95);
+    bench.report_lists_at(95, &[run(1, 0, 1), run(1, 1, 1)], Vec::new());
+    bench.order_start(ONE, 2, &[0]);
     assert_eq!(
         bench.ends(ONE),
         [],
-        "it waits for a run that is about to end"
+        "the task waits for a run that is about to end"
     );
-    bench.orders(ONE, zone("z", 5, true));
+    bench.send_orders(ONE, zone_state("z", 5, true));
     assert_eq!(bench.ends(ONE), [(1, EndKind::Unavailable)]);
-    assert_eq!(bench.stopped(), []);
-    bench.lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Done)]);
+    assert_eq!(bench.sent_stops(), []);
+    bench.report_lists(&[], vec![finished(1, run(1, 0, 1), RunEnd::Done)]);
     assert_eq!(bench.ends(ONE)[1], (2, EndKind::Done));
-    assert_eq!(bench.started().len(), 2);
+    assert_eq!(bench.sent_starts().len(), 2);
 }
 
 #[test]
-fn test_executor_takes_tasks_again_once_its_zone_is_taken_back() {
+fn test_executor_evacuation_revoked() {
     let mut bench = Bench::ready();
-    bench.orders(ONE, zone("z", 5, true));
-    bench.orders(ONE, zone("z", 9, false));
-    bench.orders(ONE, zone("z", 5, true));
-    assert!(is_ready(&bench, ONE), "an old word undoes nothing");
-    bench.start(ONE, 1, &[0]);
-    assert_eq!(bench.started(), [run(1, 0, 1)]);
+    bench.send_orders(ONE, zone_state("z", 5, true));
+    bench.send_orders(ONE, zone_state("z", 9, false));
+    bench.send_orders(ONE, zone_state("z", 5, true));
+    assert!(is_ready(&bench, ONE), "an older revision changes nothing");
+    bench.order_start(ONE, 1, &[0]);
+    assert_eq!(bench.sent_starts(), [run(1, 0, 1)]);
 }
 
 #[test]
-fn test_executor_passes_over_words_on_other_zones() {
+fn test_executor_evacuation_of_other_zone() {
     let mut bench = Bench::ready();
-    bench.orders(ONE, zone("elsewhere", 5, true));
+    bench.send_orders(ONE, zone_state("elsewhere", 5, true));
     assert!(is_ready(&bench, ONE));
 }
--- a/lib/tests/runner/test_executor/restarts.rs
+++ b/lib/tests/runner/test_executor/restarts.rs
@@ -1,22 +1,19 @@
-//! A worker that is started again under the id that it had.
+//! A worker that restarts under the same id.
 //!
-//! Four workers were down for two seconds and came back under their ids. Each then counts its heartbeats and the ends
-//! of its runs from 1 again, but the executor told lives apart by the id alone, so it compared the new counts with
-//! the old ones. The first heartbeat was dropped ("i-026e9baab9 number 1, after 17", SC426), and in the same
-//! millisecond the worker took tasks again (SC421) without a life having ended (SC423). One of them said soon after that
-//! it leaves; that was acknowledged, dropped as old as well, and tasks were started there 2.0 s later. At another one
-//! 2,370 ends had been taken note of before: of the next 1,858 runs not one counted as done, since their ends had lower
-//! numbers, and each ran again elsewhere, until the executor itself was started anew 37 s later.
+//! Each incarnation counts its heartbeats and the ends of its runs from 1. If the executor told incarnations
+//! apart by the id alone, it would compare the new counts with the old ones: heartbeats, also one that
+//! announces draining, would be rejected as old, and ends would be skipped, so that completed runs would run
+//! again elsewhere.
 
 use super::*;
 
 impl Bench {
-    /// The worker says something in the life that began at a time.
-    fn beat_born(&mut self, born: u64, draining: bool, sequence: u64) {
+    /// Sends a heartbeat of the incarnation that started at `started`.
+    fn send_heartbeat_from(&mut self, started: u64, draining: bool, sequence: u64) {
         let heartbeat = WorkerHeartbeat {
             life: WorkerIncarnation {
                 id: "w1".to_owned(),
-                born: Some(born),
+                born: Some(started),
             },
             service: "s".to_owned(),
             draining,
@@ -29,176 +26,182 @@
             ..WorkerHeartbeat::default()
         };
         self.executor.handle_heartbeat(self.now, heartbeat);
-        self.take();
+        self.collect_actions();
     }
 
-    /// The worker's lists in the life that began at a time.
-    fn lists_born(&mut self, born: u64, running: &[RunName], finished: Vec<FinishedRow>) {
+    /// Answers a hold with the lists of the incarnation that started at `started`.
+    fn report_lists_from(&mut self, started: u64, running: &[RunName], finished: Vec<FinishedRow>) {
         let row = |run: &RunName| RunningRow {
             run: *run,
             percent: 0,
         };
         self.handle_hold_reply(HoldReply::Lists {
-            born: Some(born),
+            born: Some(started),
             clock_ms: 1000,
             running: running.iter().map(row).collect(),
             finished,
         });
     }
 
-    /// A worker that began at 100 and has ended nine runs.
-    fn used() -> Bench {
+    /// Returns an executor whose worker started at 100 and has reported end number 9.
+    fn after_ends() -> Bench {
         let mut bench = Bench::new();
-        bench.beat_born(100, false, 17);
-        bench.lists_born(100, &[], Vec::new());
-        bench.link(ONE, "one");
-        bench.start(ONE, 1, &[0]);
+        bench.send_heartbeat_from(100, false, 17);
+        bench.report_lists_from(100, &[], Vec::new());
+        bench.link_up(ONE, "one");
+        bench.order_start(ONE, 1, &[0]);
         let reply = OrderReply::Done(1);
         bench
             .executor
             .handle_start_reply(bench.now, run(1, 0, 1), reply);
         let end = finished(9, run(1, 0, 1), RunEnd::Done);
-        bench.lists_born(100, &[], vec![end]);
+        bench.report_lists_from(100, &[], vec![end]);
         bench
     }
 
-    /// The same, gone for a moment and back in the life that began at a time.
-    fn restarted(born: u64) -> Bench {
-        let mut bench = Bench::used();
+    /// The same after two seconds of outage, with the worker back in the incarnation that started at
+    /// `started`.
+    fn restarted(started: u64) -> Bench {
+        let mut bench = Bench::after_ends();
         for _ in 0..20 {
             bench.handle_hold_reply(HoldReply::Unreachable);
-            bench.orders(ONE, proto::Orders::default());
-            bench.pass(100);
+            bench.send_orders(ONE, proto::Orders::default());
+            bench.advance(100);
         }
-        bench.beat_born(born, false, 1);
+        bench.send_heartbeat_from(started, false, 1);
         for _ in 0..3 {
-            bench.lists_born(born, &[], Vec::new());
+            bench.report_lists_from(started, &[], Vec::new());
         }
-        bench.pass(20);
+        bench.advance(20);
         bench
     }
 }
 
 #[test]
-fn test_executor_goes_by_the_counts_of_a_restarted_worker() {
+fn test_executor_restarted_worker_counters() {
     let mut bench = Bench::restarted(200);
-    bench.start(ONE, 2, &[0]);
+    bench.order_start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
     bench
         .executor
         .handle_start_reply(bench.now, run(2, 0, 1), reply);
     let end = finished(1, run(2, 0, 1), RunEnd::Done);
-    bench.lists_born(200, &[], vec![end]);
+    bench.report_lists_from(200, &[], vec![end]);
     let ends = bench.ends(ONE);
-    bench.beat_born(200, true, 2);
-    bench.start(ONE, 3, &[0]);
+    bench.send_heartbeat_from(200, true, 2);
+    bench.order_start(ONE, 3, &[0]);
     let before = [run(1, 0, 1), run(2, 0, 1)];
-    assert_eq!(bench.started(), before, "it has said that it leaves");
+    assert_eq!(bench.sent_starts(), before, "the worker is draining");
     assert_eq!(ends, [(1, EndKind::Done), (2, EndKind::Done)]);
 }
 
-/// A life that began earlier by the time of day is the later one if the worker's clock was set back meanwhile.
+/// If the worker's clock was set back, the newer incarnation has the earlier start time.
 #[test]
-fn test_executor_believes_a_restarted_worker_whose_clock_was_set_back() {
+fn test_executor_restarted_worker_clock_set_back() {
     let mut bench = Bench::restarted(50);
-    bench.start(ONE, 2, &[0]);
+    bench.order_start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
     bench
         .executor
         .handle_start_reply(bench.now, run(2, 0, 1), reply);
     let end = finished(1, run(2, 0, 1), RunEnd::Done);
-    bench.lists_born(50, &[], vec![end]);
+    bench.report_lists_from(50, &[], vec![end]);
     assert_eq!(bench.ends(ONE)[1], (2, EndKind::Done));
 }
 
-/// A heartbeat of the life before that was held up on the way says that it leaves, and has a higher number.
+/// A delayed heartbeat of the earlier incarnation announces draining and has a higher sequence number than
+/// the present ones.
 #[test]
-fn test_executor_late_heartbeat_of_the_life_before_changes_nothing() {
+fn test_executor_restarted_worker_late_heartbeat() {
     let mut bench = Bench::restarted(200);
-    bench.start(ONE, 2, &[0]);
+    bench.order_start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
     bench
         .executor
         .handle_start_reply(bench.now, run(2, 0, 1), reply);
-    bench.beat_born(100, true, 18);
+    bench.send_heartbeat_from(100, true, 18);
     for _ in 0..2 {
-        bench.lists_born(200, &[run(2, 0, 1)], Vec::new());
+        bench.report_lists_from(200, &[run(2, 0, 1)], Vec::new());
     }
-    bench.start(ONE, 3, &[0]);
-    assert_eq!(bench.started().len(), 3);
-    assert_eq!(bench.ends(ONE).len(), 1, "nothing has ended");
+    bench.order_start(ONE, 3, &[0]);
+    assert_eq!(bench.sent_starts().len(), 3);
+    assert_eq!(bench.ends(ONE).len(), 1, "no run ends");
     assert_eq!(bench.executor.counts().rejected_heartbeats, 1);
 }
 
-/// Orders are sent between the restart and the first word of the new life, and reach it.
+/// Starts sent between the restart and the first heartbeat of the new incarnation may have reached it. A run
+/// that it lists must not be ended as lost, or it would run a second time elsewhere.
 #[test]
-fn test_executor_keeps_a_run_that_a_restarted_worker_began_before_it_was_known() {
-    let mut bench = Bench::used();
-    bench.start(ONE, 2, &[0]);
-    bench.start(ONE, 3, &[0]);
+fn test_executor_restarted_worker_keeps_new_run() {
+    let mut bench = Bench::after_ends();
+    bench.order_start(ONE, 2, &[0]);
+    bench.order_start(ONE, 3, &[0]);
     for job in [2, 3] {
         let reply = OrderReply::Done(1);
         bench
             .executor
             .handle_start_reply(bench.now, run(job, 0, 1), reply);
     }
-    bench.beat_born(200, false, 1);
+    bench.send_heartbeat_from(200, false, 1);
     for _ in 0..2 {
-        bench.lists_born(200, &[run(3, 0, 1)], Vec::new());
+        bench.report_lists_from(200, &[run(3, 0, 1)], Vec::new());
     }
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.ends(ONE)[1..], [(2, EndKind::Crashed)]);
-    assert_eq!(bench.stopped(), []);
+    assert_eq!(bench.sent_stops(), []);
     let end = finished(1, run(3, 0, 1), RunEnd::Done);
-    bench.lists_born(200, &[], vec![end]);
+    bench.report_lists_from(200, &[], vec![end]);
     assert_eq!(bench.ends(ONE)[2..], [(3, EndKind::Done)]);
 }
 
-/// Its lists tell of the new life first. It may be of another kind, with less room.
+/// The lists reveal the new incarnation before its first heartbeat. Its capacity may be smaller, so nothing
+/// is started.
 #[test]
-fn test_executor_starts_nothing_in_a_life_that_has_not_said_what_it_has() {
-    let mut bench = Bench::used();
+fn test_executor_restarted_worker_without_heartbeat() {
+    let mut bench = Bench::after_ends();
     bench.handle_hold_reply(HoldReply::NoAnswer);
     for _ in 0..2 {
-        bench.lists_born(200, &[], Vec::new());
+        bench.report_lists_from(200, &[], Vec::new());
     }
-    bench.start(ONE, 2, &[0]);
-    assert_eq!(bench.started().len(), 1);
-    bench.beat_born(200, false, 1);
-    bench.start(ONE, 3, &[0]);
-    assert_eq!(bench.started().len(), 2);
+    bench.order_start(ONE, 2, &[0]);
+    assert_eq!(bench.sent_starts().len(), 1);
+    bench.send_heartbeat_from(200, false, 1);
+    bench.order_start(ONE, 3, &[0]);
+    assert_eq!(bench.sent_starts().len(), 2);
 }
 
-/// The worker has started again while a hold is under way: calls reach a life whose room is not known.
+/// The heartbeat of the new incarnation arrives while a hold is pending. Until the worker confirms it, starts
+/// could reach an incarnation whose capacity is not known.
 #[test]
-fn test_executor_starts_nothing_while_it_asks_which_life_it_is() {
-    let mut bench = Bench::used();
-    bench.beat_born(200, false, 1);
-    bench.start(ONE, 2, &[0]);
-    assert_eq!(bench.started().len(), 1);
+fn test_executor_restarted_worker_unconfirmed() {
+    let mut bench = Bench::after_ends();
+    bench.send_heartbeat_from(200, false, 1);
+    bench.order_start(ONE, 2, &[0]);
+    assert_eq!(bench.sent_starts().len(), 1);
 }
 
-/// The word that the life before has left comes late. What runs now would be begun elsewhere at the same time.
+/// The earlier incarnation's notice that it left arrives late. If it were believed, the present run would be
+/// started elsewhere as well.
 #[test]
-fn test_executor_late_leave_of_the_life_before_ends_no_run() {
+fn test_executor_restarted_worker_late_leave() {
     let mut bench = Bench::restarted(200);
-    bench.start(ONE, 2, &[0]);
+    bench.order_start(ONE, 2, &[0]);
     let reply = OrderReply::Done(1);
     bench
         .executor
         .handle_start_reply(bench.now, run(2, 0, 1), reply);
-    for leaves in [false, true] {
-        bench.beat_born(200, leaves, 2);
+    for draining in [false, true] {
+        bench.send_heartbeat_from(200, draining, 2);
         bench.executor.handle_worker_left(bench.now, "w1");
-        bench.lists_born(200, &[run(2, 0, 1)], Vec::new());
-        bench.pass(20);
-        assert_eq!(bench.ends(ONE).len(), 1, "only that of before");
+        bench.report_lists_from(200, &[run(2, 0, 1)], Vec::new());
+        bench.advance(20);
+        assert_eq!(bench.ends(ONE).len(), 1, "only the end before the restart");
     }
 }
 
-/// What was kept of a worker in the store is of the life before: its room may have been another.
+/// The heartbeat saved in the store is of the earlier incarnation, whose capacity may have been different.
 #[test]
-fn test_executor_recalls_no_life_that_is_over_under_the_same_id() {
+fn test_executor_restored_incarnation_same_id() {
     let mut bench = Bench::new();
     let heartbeat = WorkerHeartbeat {
         life: WorkerIncarnation {
@@ -209,40 +212,42 @@
         ..WorkerHeartbeat::default()
     };
     bench.executor.restore_worker(bench.now, heartbeat);
-    bench.take();
-    bench.lists_born(200, &[], Vec::new());
-    bench.link(ONE, "one");
-    bench.start(ONE, 1, &[0]);
-    assert_eq!(bench.started(), []);
-    bench.beat_born(200, false, 1);
+    bench.collect_actions();
+    bench.report_lists_from(200, &[], Vec::new());
+    bench.link_up(ONE, "one");
+    bench.order_start(ONE, 1, &[0]);
+    assert_eq!(bench.sent_starts(), []);
+    bench.send_heartbeat_from(200, false, 1);
     for _ in 0..2 {
-        bench.lists_born(200, &[], Vec::new());
+        bench.report_lists_from(200, &[], Vec::new());
     }
-    bench.start(ONE, 2, &[0]);
-    assert_eq!(bench.started(), [run(2, 0, 1)]);
+    bench.order_start(ONE, 2, &[0]);
+    assert_eq!(bench.sent_starts(), [run(2, 0, 1)]);
 }
 
-/// In one life a worker that leaves does not come back, so that its word counts also if it was held up.
+/// Within one incarnation draining is final, so it counts even if the heartbeat that announces it arrives
+/// late.
 #[test]
-fn test_executor_takes_note_of_a_late_word_that_the_worker_leaves() {
-    let mut bench = Bench::used();
-    bench.beat_born(100, true, 16);
-    bench.start(ONE, 2, &[0]);
-    assert_eq!(bench.started().len(), 1);
+fn test_executor_late_draining_heartbeat() {
+    let mut bench = Bench::after_ends();
+    bench.send_heartbeat_from(100, true, 16);
+    bench.order_start(ONE, 2, &[0]);
+    assert_eq!(bench.sent_starts().len(), 1);
 }
 
-/// The token begins with the time of day, and the clock was set back by an hour while the executor was away.
+/// The fencing token is derived from the time of day. If the clock was set back while the executor was down,
+/// here by an hour, the worker refuses holds until the token exceeds the earlier one.
 #[test]
-fn test_executor_passes_the_fence_of_its_earlier_life_within_some_calls() {
-    let seen = 3_600_000;
+fn test_executor_fence_after_clock_set_back() {
+    let earlier_fence = 3_600_000;
     let mut bench = Bench::new();
-    bench.beat_born(100, false, 1);
+    bench.send_heartbeat_from(100, false, 1);
     let mut refused = 0;
-    while last_fence(&bench) <= seen {
+    while last_fence(&bench) <= earlier_fence {
         refused += 1;
         assert!(refused <= 20, "refused {refused} times");
         bench.handle_hold_reply(HoldReply::Fenced);
-        bench.pass(1);
+        bench.advance(1);
     }
 }
 
--- a/lib/tests/runner/test_executor/speeds.rs
+++ b/lib/tests/runner/test_executor/speeds.rs
@@ -1,4 +1,4 @@
-//! The worker's speed over many runs, as it is reported.
+//! The worker's long-term speed, learned over many runs, and its report to schedulers.
 
 use std::time::Duration;
 
@@ -14,72 +14,73 @@
 use super::finished;
 use super::run;
 
-fn learning(on: bool) -> Bench {
+fn with_speeds(on: bool) -> Bench {
     let mut policy = Policy::default();
     policy.speeds.on = on;
     let mut bench = Bench::with_policy(policy);
-    bench.heartbeat("w1", false, 1);
-    bench.lists(&[], Vec::new());
-    bench.link(ONE, "one");
+    bench.send_heartbeat("w1", false, 1);
+    bench.report_lists(&[], Vec::new());
+    bench.link_up(ONE, "one");
     bench
 }
 
 impl Bench {
-    /// Runs so many tasks of 100 ms one after the other, each of which takes `ms`.
-    fn end_runs(&mut self, life: &str, first: u64, count: u64, ms: u64) {
+    /// Runs `count` tasks with an estimate of 100 ms one after the other, each of which takes `ms`.
+    fn complete_runs(&mut self, worker: &str, first: u64, count: u64, ms: u64) {
         for job in first..first + count {
-            self.heartbeat(life, false, job + 1);
-            self.start(ONE, job, &[0]);
+            self.send_heartbeat(worker, false, job + 1);
+            self.order_start(ONE, job, &[0]);
             let name = run(job, 0, 1);
             self.executor
                 .handle_start_reply(self.now, name, OrderReply::Done(1));
             self.now = self.now + Duration::from_millis(ms);
-            self.orders(ONE, proto::Orders::default());
+            self.send_orders(ONE, proto::Orders::default());
             let end = finished(job, name, RunEnd::Done);
-            self.lists(&[], vec![end]);
+            self.report_lists(&[], vec![end]);
         }
     }
 
-    fn slowness(&mut self) -> u32 {
-        self.orders(ONE, proto::Orders::default());
-        self.pass(100);
+    fn slowness_percent(&mut self) -> u32 {
+        self.send_orders(ONE, proto::Orders::default());
+        self.advance(100);
         let last = self.updates(ONE).pop().expect("an update");
-        last.worker.expect("it reports").slowness_percent
+        last.worker.expect("a worker report").slowness_percent
     }
 }
 
 #[test]
-fn test_executor_reports_how_slow_its_worker_is_if_it_is_asked_to() {
+fn test_executor_reports_slowness() {
     let [on, off] = [true, false].map(|on| {
-        let mut bench = learning(on);
-        bench.end_runs("w1", 1, 20, 180);
-        bench.slowness()
+        let mut bench = with_speeds(on);
+        bench.complete_runs("w1", 1, 20, 180);
+        bench.slowness_percent()
     });
     assert_eq!((on, off), (180, 0));
 }
 
 #[test]
-fn test_executor_notes_a_speed_that_halves_for_good() {
-    let mut bench = learning(true);
-    bench.end_runs("w1", 1, 40, 100);
-    assert_eq!(bench.slowness(), 100);
-    bench.end_runs("w1", 41, 16, 200);
+fn test_executor_logs_speed_change() {
+    let mut bench = with_speeds(true);
+    bench.complete_runs("w1", 1, 40, 100);
+    assert_eq!(bench.slowness_percent(), 100);
+    bench.complete_runs("w1", 41, 16, 200);
     let changed = |a: &Action| matches!(a, Action::Log(e) if e.kind == Kind::SpeedChanged);
     assert!(bench.actions.iter().any(changed));
-    assert!(bench.slowness() > 190);
+    assert!(bench.slowness_percent() > 190);
 }
 
-/// A machine that comes back is taken for what it was until its runs say otherwise.
+/// The machine is usually the same after a restart, so its last speed applies until its runs show another
+/// one.
 #[test]
-fn test_executor_begins_a_new_life_with_the_speed_of_the_earlier_one() {
-    let mut bench = learning(true);
-    bench.end_runs("w1", 1, 40, 200);
+fn test_executor_new_incarnation_keeps_speed() {
+    let mut bench = with_speeds(true);
+    bench.complete_runs("w1", 1, 40, 200);
     bench.executor.handle_worker_left(bench.now, "w1");
-    bench.take();
-    bench.heartbeat("w2", false, 1);
-    bench.lists(&[], Vec::new());
-    assert_eq!(bench.slowness(), 200);
-    bench.end_runs("w2", 60, 8, 100);
-    let after = bench.slowness();
-    assert!(after < 130, "{after}");
+    bench.collect_actions();
+    bench.send_heartbeat("w2", false, 1);
+    bench.report_lists(&[], Vec::new());
+    assert_eq!(bench.slowness_percent(), 200);
+    bench.complete_runs("w2", 60, 8, 100);
+    let after = bench.slowness_percent();
+    assert!(after < 130, "{after} %");
 }
