--- a/lib/daemon/tests/runner/main.rs
+++ b/lib/daemon/tests/runner/main.rs
@@ -1,4 +1,4 @@
-//! The daemons' integration tests.
+//! The daemon crate's integration tests.
 
 mod test_boot_clock;
 mod test_channel;
--- a/lib/daemon/tests/runner/test_boot_clock.rs
+++ b/lib/daemon/tests/runner/test_boot_clock.rs
@@ -10,37 +10,38 @@
     static READING: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-fn set(ms: u64) {
+fn set_reading(ms: u64) {
     READING.set(Duration::from_millis(ms));
 }
 
 #[test]
-fn test_boot_clock_counts_a_jump_of_its_readings() {
-    set(5_000);
+fn test_boot_clock_suspension() {
+    set_reading(5_000);
     let clock = BootClock::reading(|| READING.get());
     assert_eq!(clock.now(), Mono(1));
-    set(5_010);
+    set_reading(5_010);
     assert_eq!(clock.now(), Mono(10_001));
-    set(9_010);
+    set_reading(9_010);
     assert_eq!(clock.now(), Mono(4_010_001), "the machine was suspended");
 }
 
 #[test]
-fn test_boot_clock_goes_on_from_the_time_since_boot() {
+fn test_boot_clock_uptime() {
     let uptime = || {
-        let text = std::fs::read_to_string("/proc/uptime").expect("the system tells its uptime");
+        let text = std::fs::read_to_string("/proc/uptime").expect("the system uptime");
         let seconds = text.split(' ').next().and_then(|s| s.parse::<f64>().ok());
-        seconds.expect("seconds, with a fraction")
+        seconds.expect("a number of seconds")
     };
-    // The system tells hundredths of a second.
-    const STEP: f64 = 0.011;
-    let before = uptime();
+    // The uptime has a resolution of 10 ms.
+    const RESOLUTION: f64 = 0.011;
+    let before_start = uptime();
     let clock = BootClock::start();
-    let begun = uptime();
+    let after_start = uptime();
     std::thread::sleep(Duration::from_millis(120));
-    let ending = uptime();
+    let before_reading = uptime();
     let counted = clock.elapsed().as_secs_f64();
-    let after = uptime();
-    let bounds = ending - begun - STEP..=after - before + STEP;
+    let after_reading = uptime();
+    let bounds =
+        before_reading - after_start - RESOLUTION..=after_reading - before_start + RESOLUTION;
     assert!(bounds.contains(&counted), "{counted} is not in {bounds:?}");
 }
--- a/lib/daemon/tests/runner/test_channel.rs
+++ b/lib/daemon/tests/runner/test_channel.rs
@@ -1,4 +1,4 @@
-//! Links over real connections.
+//! Links over TCP connections.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -23,14 +23,15 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
+/// Keeps the sender of its link and how the link ended.
 #[derive(Default)]
-struct Owner {
+struct TestHandler {
     sender: RefCell<Option<ChannelSender>>,
     traffic: Rc<Traffic>,
-    ended_here: Cell<bool>,
+    closed_locally: Cell<bool>,
 }
 
-impl Listener for Owner {
+impl Listener for TestHandler {
     fn policy(&self) -> LinkPolicy {
         LinkPolicy::default()
     }
@@ -50,7 +51,7 @@
     fn message(&self, _link: LinkId, _body: Body) {}
 
     fn down(&self, _link: LinkId, _theirs: &proto::Greeting, end: LinkEnd) {
-        self.ended_here.set(matches!(end, LinkEnd::Here));
+        self.closed_locally.set(matches!(end, LinkEnd::Here));
     }
 
     fn traffic(&self) -> Rc<Traffic> {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Accepts one link, greets, and never reads.
+/// Accepts one link, sends the greeting and never reads.
 async fn accept_and_stall(listener: TcpListener) {
     let (stream, _) = listener.accept().await.expect("a connection");
     let mut wire = Framed::new(stream, LengthDelimitedCodec::new());
@@ -71,18 +72,18 @@
     std::future::pending::<()>().await;
 }
 
-/// A link that was given up because its other end had fallen silent went on with its queue for as long as
-/// that took, up to 28 s in the logs of a fleet, and was not dialled anew meanwhile.
+/// A link that is closed because its peer is silent must drop its queue. Otherwise it stays open until the
+/// queue is written, and the peer is not dialled again meanwhile.
 #[actix_rt::test]
-async fn test_channel_that_is_closed_does_not_wait_for_its_queue() {
+async fn test_channel_close_drops_queue() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("a bound address");
     actix_rt::spawn(accept_and_stall(listener));
-    let owner = Rc::new(Owner::default());
-    let stream = TcpStream::connect(address).await.expect("it listens");
-    let listening = owner.clone();
-    let serving = actix_rt::spawn(async move { channel::serve(stream, &*listening).await });
-    while owner.sender.borrow().is_none() {
+    let handler = Rc::new(TestHandler::default());
+    let stream = TcpStream::connect(address).await.expect("a connection");
+    let link_handler = handler.clone();
+    let serving = actix_rt::spawn(async move { channel::serve(stream, &*link_handler).await });
+    while handler.sender.borrow().is_none() {
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
     let large = proto::PeerUpdate {
@@ -90,15 +91,18 @@
         ..proto::PeerUpdate::default()
     };
     for _ in 0..32 {
-        let sender = owner.sender.borrow();
+        let sender = handler.sender.borrow();
         let sender = sender.as_ref().expect("the link is up");
         sender.send(Body::Peer(large.clone()));
     }
     actix_rt::time::sleep(Duration::from_millis(100)).await;
-    assert!(owner.traffic.waiting()[1] > 8 << 20, "the queue is full");
-    owner.sender.replace(None);
+    assert!(
+        handler.traffic.waiting()[1] > 8 << 20,
+        "the queue holds more than 8 MiB"
+    );
+    handler.sender.replace(None);
     let ended = actix_rt::time::timeout(Duration::from_secs(2), serving).await;
-    assert!(ended.is_ok(), "the link waits for its queue");
-    assert!(owner.ended_here.get());
-    assert_eq!(owner.traffic.waiting(), [0, 0], "nothing is left of it");
+    assert!(ended.is_ok(), "the link waits until its queue is written");
+    assert!(handler.closed_locally.get());
+    assert_eq!(handler.traffic.waiting(), [0, 0], "the queue is dropped");
 }
--- a/lib/daemon/tests/runner/test_division.rs
+++ b/lib/daemon/tests/runner/test_division.rs
@@ -1,4 +1,4 @@
-//! How a fleet is divided for the first time, and how a process learns it.
+//! The division of a new fleet into partitions: how it is established, and how a process learns it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
             .insert(key, Bytes::from_static(value.as_bytes()));
     }
 
-    /// Registers a process of a role: `members/` or `executors/`.
+    /// Registers a process under the prefix of its role, `members/` or `executors/`.
     fn register(&self, role: &str, name: &str) {
         self.write(format!("{role}{}", partition::path_of(name)), "{}");
     }
@@ -98,7 +98,7 @@
     }
 }
 
-/// A process that notes whom it dials.
+/// A process that records which addresses it dials.
 #[derive(Clone)]
 struct Process {
     division: Rc<Division>,
@@ -126,8 +126,8 @@
     fn log(&self, _kind: Kind, _detail: String) {}
 }
 
-/// Waits short enough for a test.
-fn hasty() -> PartitionPolicy {
+/// Returns a policy with short delays.
+fn short_delays() -> PartitionPolicy {
     PartitionPolicy {
         executors: 2,
         schedulers: 1,
@@ -137,40 +137,42 @@
     }
 }
 
-fn names(role: &str, count: usize) -> Vec<String> {
+fn process_names(role: &str, count: usize) -> Vec<String> {
     (0..count).map(|i| format!("{role}-{i}")).collect()
 }
 
 #[actix_rt::test]
-async fn test_division_is_not_founded_before_the_processes_have_registered() {
+async fn test_division_waits_for_registrations() {
     let store = Rc::new(MemoryStore::default());
     let process = Process::new("edge-0", Vec::new());
-    let founding = division::found(process.clone(), store.clone(), hasty());
-    let founding = actix_rt::spawn(founding);
-    let learning = actix_rt::spawn(division::learn(process.clone(), store.clone()));
-    names("edge", 6)
+    let establishing = division::found(process.clone(), store.clone(), short_delays());
+    let establishing = actix_rt::spawn(establishing);
+    let waiting = actix_rt::spawn(division::learn(process.clone(), store.clone()));
+    process_names("edge", 6)
         .iter()
         .for_each(|name| store.register(division::SCHEDULERS, name));
     actix_rt::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(store.items(KEY), vec![], "no executor is there yet");
-    names("side", 8)
+    assert_eq!(store.items(KEY), vec![], "no executor has registered yet");
+    process_names("side", 8)
         .iter()
         .for_each(|name| store.register(division::EXECUTORS, name));
-    let partitions = learning.await.expect("it is learned");
+    let partitions = waiting.await.expect("the division");
     assert!(partitions.count() > 1, "{partitions:?}");
-    founding.await.expect("it ends once the division is known");
+    establishing
+        .await
+        .expect("it ends once the division is known");
     assert_eq!(store.items(KEY).len(), 1);
 }
 
 #[actix_rt::test]
-async fn test_division_that_somebody_has_spoilt_is_asked_for_at_the_seeds() {
+async fn test_division_invalid_record() {
     let store = Rc::new(MemoryStore::default());
     store.write(KEY.to_owned(), "{\"bits\": 99}");
     let seed: SocketAddr = "127.0.0.1:7700".parse().expect("an address");
     let process = Process::new("edge-0", vec![seed]);
-    let learning = actix_rt::spawn(division::learn(process.clone(), store));
+    let waiting = actix_rt::spawn(division::learn(process.clone(), store));
     actix_rt::time::sleep(Duration::from_millis(50)).await;
     assert_eq!(process.dialled.borrow().first(), Some(&seed));
     assert_eq!(process.division.get(), None);
-    learning.abort();
+    waiting.abort();
 }
--- a/lib/daemon/tests/runner/test_follow.rs
+++ b/lib/daemon/tests/runner/test_follow.rs
@@ -1,4 +1,4 @@
-//! Following keys of the store.
+//! Following keys of the store, and keeping a key registered there, across outages of the store.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,21 +17,21 @@
 
 const KEY: &str = "op/config";
 
-/// A store with one key, that turns all calls away until a moment.
-struct LateStore {
-    back_at: Instant,
+/// A store with one key that rejects all calls until `available_at`.
+struct RecoveringStore {
+    available_at: Instant,
 }
 
-impl LateStore {
+impl RecoveringStore {
     fn answer<T>(&self, value: T) -> Result<T, StoreError> {
-        if Instant::now() < self.back_at {
+        if Instant::now() < self.available_at {
             return Err(StoreError::Refused(503));
         }
         Ok(value)
     }
 }
 
-impl KeyStore for LateStore {
+impl KeyStore for RecoveringStore {
     async fn get(&self, _key: &str) -> Result<(Option<Item>, u64), StoreError> {
         self.answer((None, 1))
     }
@@ -77,14 +77,15 @@
     }
 }
 
-/// Notes when it has its first value, which it can't do without.
-struct Needy {
-    got: Rc<Cell<Option<Instant>>>,
+/// Records when it receives its first value. It cannot work without one, so it limits the retry delay.
+struct ImpatientFollower {
+    received: Rc<Cell<Option<Instant>>>,
 }
 
-impl Follower for Needy {
+impl Follower for ImpatientFollower {
     fn value(&self, _item: &Item) {
-        self.got.set(self.got.get().or(Some(Instant::now())));
+        self.received
+            .set(self.received.get().or(Some(Instant::now())));
     }
 
     fn log(&self, _kind: Kind, _detail: String) {}
@@ -94,51 +95,54 @@
     }
 }
 
-/// After all machines had lost power, entries had the configuration up to 0.4 s after the store had answered
-/// other calls of theirs, and refused all jobs meanwhile: the pauses between tries had doubled.
+/// After a power failure of all machines, entries reject all jobs until they have read the configuration.
+/// If their retry delay doubled up to the default limit, they would read it up to 0.4 s after the store's
+/// recovery.
 #[actix_rt::test]
-async fn test_follow_comes_back_soon_where_it_can_not_wait() {
+async fn test_follow_limited_retry_delay() {
     tokio::time::pause();
-    let back_at = Instant::now() + Duration::from_millis(720);
-    let got: Vec<_> = (0..8).map(|_| Rc::new(Cell::new(None))).collect();
-    for got in &got {
-        let store = Rc::new(LateStore { back_at });
-        let needy = Needy { got: got.clone() };
+    let available_at = Instant::now() + Duration::from_millis(720);
+    let received: Vec<_> = (0..8).map(|_| Rc::new(Cell::new(None))).collect();
+    for received in &received {
+        let store = Rc::new(RecoveringStore { available_at });
+        let follower = ImpatientFollower {
+            received: received.clone(),
+        };
         actix_rt::spawn(follow::follow(
             store,
             KEY.to_owned(),
             Duration::from_secs(1),
-            needy,
+            follower,
         ));
     }
     tokio::time::sleep(Duration::from_millis(1000)).await;
-    for got in got {
-        let at = got.get().expect("the value is read within 280 ms");
-        let late = at.saturating_duration_since(back_at);
+    for received in received {
+        let at = received.get().expect("the value is read within 280 ms");
+        let delay = at.saturating_duration_since(available_at);
         assert!(
-            late < Duration::from_millis(150),
-            "{late:?} after the store"
+            delay < Duration::from_millis(150),
+            "{delay:?} after the recovery"
         );
     }
 }
 
-/// A store that is away for a span, after which all leases that were granted before are over and their keys gone.
-struct ForgetfulStore {
-    away: std::ops::Range<Instant>,
+/// A store that is unavailable for a time span, during which all leases expire and their keys are deleted.
+struct LeaseLosingStore {
+    outage: std::ops::Range<Instant>,
     /// When the key was last written.
     written: Rc<Cell<Option<Instant>>>,
 }
 
-impl ForgetfulStore {
+impl LeaseLosingStore {
     fn answer<T>(&self, value: T) -> Result<T, StoreError> {
-        if self.away.contains(&Instant::now()) {
+        if self.outage.contains(&Instant::now()) {
             return Err(StoreError::Away);
         }
         Ok(value)
     }
 }
 
-impl KeyStore for ForgetfulStore {
+impl KeyStore for LeaseLosingStore {
     async fn get(&self, key: &str) -> Result<(Option<Item>, u64), StoreError> {
         let item = Item {
             key: key.to_owned(),
@@ -173,14 +177,14 @@
     }
 
     async fn grant(&self, _ttl: Duration) -> Result<Lease, StoreError> {
-        let number = u64::from(Instant::now() >= self.away.end);
+        let number = u64::from(Instant::now() >= self.outage.end);
         self.answer(Lease(number))
     }
 
     async fn renew(&self, lease: Lease) -> Result<(), StoreError> {
         self.answer(())?;
-        let lapsed = lease.0 == 0 && Instant::now() >= self.away.end;
-        if lapsed {
+        let expired = lease.0 == 0 && Instant::now() >= self.outage.end;
+        if expired {
             Err(StoreError::NoLease)
         } else {
             Ok(())
@@ -192,16 +196,17 @@
     }
 }
 
-/// A process whose key has lapsed while the store was away has it there again within two seconds of its return.
+/// If a process's key expires while the store is unavailable, the process writes it again within two seconds
+/// of the store's recovery.
 #[actix_rt::test]
-async fn test_registered_key_that_has_lapsed_is_back_within_two_seconds() {
+async fn test_registration_after_outage() {
     tokio::time::pause();
-    let begun = Instant::now();
-    let away = begun + Duration::from_millis(1000)..begun + Duration::from_millis(15_300);
+    let start = Instant::now();
+    let outage = start + Duration::from_millis(1000)..start + Duration::from_millis(15_300);
     let written: Vec<_> = (0..20).map(|_| Rc::new(Cell::new(None))).collect();
     for written in &written {
-        let store = Rc::new(ForgetfulStore {
-            away: away.clone(),
+        let store = Rc::new(LeaseLosingStore {
+            outage: outage.clone(),
             written: written.clone(),
         });
         let value = tokio::sync::watch::channel(Bytes::from_static(b"here")).1;
@@ -212,8 +217,11 @@
     tokio::time::sleep(Duration::from_secs(20)).await;
     for written in written {
         let at = written.get().expect("it was written");
-        let back = at.checked_duration_since(away.end);
-        let back = back.expect("it is written again after the return");
-        assert!(back < Duration::from_secs(2), "{back:?} after the return");
+        let delay = at.checked_duration_since(outage.end);
+        let delay = delay.expect("it is written again after the recovery");
+        assert!(
+            delay < Duration::from_secs(2),
+            "{delay:?} after the recovery"
+        );
     }
 }
--- a/lib/daemon/tests/runner/test_log_sink.rs
+++ b/lib/daemon/tests/runner/test_log_sink.rs
@@ -1,4 +1,4 @@
-//! Log lines never hold a process up.
+//! The log sink: it never blocks the process, and counts the lines that it leaves out.
 
 use std::io;
 use std::io::Write;
@@ -15,48 +15,56 @@
 
 #[derive(Default)]
 struct Pipe {
-    /// Whether the reader takes what comes.
+    /// Whether the reader accepts data.
     open: bool,
-    taken: Vec<u8>,
+    received: Vec<u8>,
 }
 
-/// A reader that takes nothing until it is let go.
+/// A reader that blocks until it is released.
 #[derive(Clone, Default)]
-struct Stuck {
+struct BlockingReader {
     pipe: Arc<Mutex<Pipe>>,
     changed: Arc<Condvar>,
 }
 
-impl Stuck {
-    fn let_go(&self) {
-        self.pipe.lock().expect("a lock").open = true;
+impl BlockingReader {
+    fn release(&self) {
+        self.pipe.lock().expect("an unpoisoned lock").open = true;
         self.changed.notify_all();
     }
 
-    /// What it has taken, once that holds `word`.
+    /// Waits until the reader has received `word` and returns all that it has received.
     fn wait_for(&self, word: &str) -> String {
-        let end = Instant::now() + Duration::from_secs(20);
+        let deadline = Instant::now() + Duration::from_secs(20);
         loop {
             let text = self.text();
             if text.contains(word) {
                 return text;
             }
-            assert!(Instant::now() < end, "{word} does not come");
+            assert!(Instant::now() < deadline, "{word} is not written");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     fn text(&self) -> String {
-        let bytes = self.pipe.lock().expect("a lock").taken.clone();
+        let bytes = self
+            .pipe
+            .lock()
+            .expect("an unpoisoned lock")
+            .received
+            .clone();
         String::from_utf8(bytes).expect("text")
     }
 }
 
-impl Write for Stuck {
+impl Write for BlockingReader {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let pipe = self.pipe.lock().expect("a lock");
+        let pipe = self.pipe.lock().expect("an unpoisoned lock");
         let waited = self.changed.wait_while(pipe, |p| !p.open);
-        waited.expect("a lock").taken.extend_from_slice(bytes);
+        waited
+            .expect("an unpoisoned lock")
+            .received
+            .extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -70,24 +78,28 @@
 }
 
 #[test]
-fn test_log_sink_drops_and_counts_while_its_reader_stands_still() {
-    let stuck = Stuck::default();
-    let mut sink = LogSink::new("n", stuck.clone());
-    let begun = Instant::now();
-    // A second of many events each, so that the queue, not the budget, is what is full.
+fn test_log_sink_blocked_reader() {
+    let reader = BlockingReader::default();
+    let mut sink = LogSink::new("n", reader.clone());
+    let start = Instant::now();
+    // The events are spread over many seconds, so that the queue is exhausted rather than the budget of a
+    // second.
     for second in 0..60u64 {
         for _ in 0..120 {
             sink.log(Mono(second * 1_000_000), &Event::new(Kind::JobTaken, "x"));
         }
     }
-    assert!(begun.elapsed() < Duration::from_secs(2), "nothing waited");
+    assert!(
+        start.elapsed() < Duration::from_secs(2),
+        "logging does not block"
+    );
     assert!(sink.dropped() > 0);
-    stuck.let_go();
-    // The queue empties, so that the last line finds room.
+    reader.release();
+    // The queue drains, so that the last line fits.
     std::thread::sleep(Duration::from_millis(400));
     let dropped = sink.dropped();
     sink.log(Mono(99_000_000), &Event::new(Kind::JobTaken, "last"));
-    let text = stuck.wait_for("\"last\"");
+    let text = reader.wait_for("\"last\"");
     let last = text.lines().last().expect("a line");
     assert!(last.contains(&format!("\"dropped\":{dropped}")), "{last}");
     let written = text.lines().count() as u64;
@@ -99,16 +111,16 @@
 }
 
 #[test]
-fn test_log_sink_leaves_out_what_comes_too_often_and_says_how_much() {
-    let stuck = Stuck::default();
-    stuck.let_go();
-    let mut sink = LogSink::new("n", stuck.clone());
+fn test_log_sink_rate_limit() {
+    let reader = BlockingReader::default();
+    reader.release();
+    let mut sink = LogSink::new("n", reader.clone());
     for _ in 0..500 {
         sink.log(Mono(1), &Event::new(Kind::JobTaken, "often"));
         sink.log(Mono(1), &Event::new(Kind::LeaseOver, "warning"));
     }
     sink.log(Mono(1_500_000), &Event::new(Kind::JobTaken, "later"));
-    let text = stuck.wait_for("later");
+    let text = reader.wait_for("later");
     let (often, warnings) = (lines_with(&text, "often"), lines_with(&text, "\"warning\""));
     assert!(
         often < warnings,
--- a/lib/daemon/tests/runner/test_sight.rs
+++ b/lib/daemon/tests/runner/test_sight.rs
@@ -1,4 +1,4 @@
-//! What a process tells of itself: its delay, and the traffic of its links.
+//! Metrics of a process: the delay of its event loop, the traffic of its links and its use of the processor.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 }
 
 #[test]
-fn test_lag_lines_are_bounded_and_lose_no_delay() {
+fn test_lag_log_interval() {
     let lag = LoopLag::default();
-    let begin = Instant::now();
-    assert_eq!(lag.note(millis(5), begin), None);
-    assert_eq!(lag.note(millis(300), begin), Some(millis(300)));
-    // Longer delays within the same second wait for the next line, the longest is told.
-    assert_eq!(lag.note(millis(900), begin + millis(400)), None);
-    assert_eq!(lag.note(millis(250), begin + millis(800)), None);
-    let later = begin + millis(1100);
+    let start = Instant::now();
+    assert_eq!(lag.note(millis(5), start), None);
+    assert_eq!(lag.note(millis(300), start), Some(millis(300)));
+    // Further delays within the same second are held back; the next line reports the longest of them.
+    assert_eq!(lag.note(millis(900), start + millis(400)), None);
+    assert_eq!(lag.note(millis(250), start + millis(800)), None);
+    let later = start + millis(1100);
     assert_eq!(lag.note(millis(1), later), Some(millis(900)));
     assert_eq!(lag.note(millis(1), later + millis(1100)), None);
     assert_eq!(lag.take(), [millis(1), millis(900)]);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn test_traffic_counts_what_waits_until_it_is_dropped() {
+fn test_traffic_queued_frames() {
     let traffic = Rc::new(Traffic::default());
     let orders = Body::Orders(proto::Orders::default());
     let first = traffic.enqueue(&orders, vec![0; 10].into());
@@ -44,27 +44,34 @@
     assert_eq!(traffic.waiting(), [0, 0]);
     traffic.count_received(&Body::Peer(proto::PeerUpdate::default()), 7);
     assert_eq!(traffic.bytes(), [15, 7]);
-    let of = |name: &str, mut counts: Vec<(&'static str, u64)>| {
+    let count_of = |name: &str, mut counts: Vec<(&'static str, u64)>| {
         counts.retain(|(kind, _)| *kind == name);
         counts[0].1
     };
-    assert_eq!(of("orders", traffic.sent().collect()), 2);
-    assert_eq!(of("peer", traffic.received().collect()), 1);
+    assert_eq!(count_of("orders", traffic.sent().collect()), 2);
+    assert_eq!(count_of("peer", traffic.received().collect()), 1);
 }
 
 #[test]
-fn test_processor_use_is_a_share_of_what_the_process_may_use() {
+fn test_processor_use_share() {
     assert_eq!(share_percent(millis(60), millis(1000), 0.12), Some(50));
     assert_eq!(share_percent(millis(500), millis(1000), 0.5), Some(100));
     assert_eq!(share_percent(millis(1), millis(0), 0.5), None);
     let steady = share_percent(millis(1000), millis(1000), 0.5);
-    assert_eq!(steady, None, "a clock that runs with time tells nothing");
+    assert_eq!(
+        steady, None,
+        "a reading of the steady clock is not processor time"
+    );
 }
 
 #[test]
-fn test_processor_use_is_read_once_a_second_where_the_share_is_known() {
+fn test_processor_use_interval() {
     let known = ProcessorUse::new(Some(1000.0));
-    assert_eq!(known.read(millis(5000)), None, "nothing to compare with");
+    assert_eq!(
+        known.read(millis(5000)),
+        None,
+        "the first reading has no predecessor"
+    );
     assert_eq!(known.read(millis(5999)), None);
     assert!(known.read(millis(6000)).is_some());
     assert_eq!(known.read(millis(6999)), None);
