--- a/lib/tests/runner/test_executor.rs
+++ b/lib/tests/runner/test_executor.rs
@@ -478,7 +478,7 @@
     assert_eq!(
         bench.sent_starts(),
         [],
-        "the echoed reading is older than the lease"
+        "the scheduler was paused for longer than its lease"
     );
 }
 
