--- a/lib/src/names.rs
+++ b/lib/src/names.rs
@@ -1,16 +1,16 @@
-//! Interned names: services, teams and the like, shared instead of copied into each record.
+//! Interns names, such as those of services and teams, so that records share them instead of holding copies.
 
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// A set of names, each stored once.
+/// An interner: holds each distinct name once.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     set: HashSet<Arc<str>>,
 }
 
 impl Names {
-    /// The shared copy of a name.
+    /// Returns the shared copy of a name, and stores the name if it is new.
     pub fn get(&mut self, name: &str) -> Arc<str> {
         if let Some(known) = self.set.get(name) {
             return known.clone();
--- a/lib/src/prelude.rs
+++ b/lib/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! The types that most modules of this crate use.
 
 pub use crate::clock::Mono;
 pub use crate::clock::Now;
@@ -12,6 +12,6 @@
 pub use crate::shard::ShardId;
 pub use std::time::Duration;
 
-/// A connection between two processes, numbered by the process that holds this end of it.
+/// The id of a connection to another process. It is assigned by, and unique within, the process at this end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
