--- a/lib/daemon/src/dispatch/day_watch.rs
+++ b/lib/daemon/src/dispatch/day_watch.rs
@@ -39,13 +39,13 @@
         }
         self.due.set(now + PAUSE);
         let mut steps = self.steps.get();
-        let step = steps.look(self.ticker.now().step_ms());
+        let step = steps.detect_step(self.ticker.now().step_ms());
         self.steps.set(steps);
         step
     }
 
     /// How far the box's clock is ahead of the time at the start, carried on; in milliseconds.
     pub fn ahead_ms(&self) -> i64 {
-        self.steps.get().told_ms()
+        self.steps.get().reported_ms()
     }
 }
--- a/lib/daemon/src/entry_actor.rs
+++ b/lib/daemon/src/entry_actor.rs
@@ -7,7 +7,7 @@
 use stackcourse_lib::entry::Action;
 use stackcourse_lib::entry::Entry;
 use stackcourse_lib::entry::Submission;
-use stackcourse_lib::outcome::Verdict;
+use stackcourse_lib::outcome::JobReply;
 use stackcourse_lib::prelude::LinkId;
 use stackcourse_lib::prelude::wire;
 use stackcourse_lib::store::StoreReply;
@@ -34,7 +34,7 @@
     store: AnyStore,
     links: HashMap<LinkId, LinkSender>,
     names: HashMap<LinkId, String>,
-    callers: HashMap<u64, oneshot::Sender<Verdict>>,
+    callers: HashMap<u64, oneshot::Sender<JobReply>>,
     next: u64,
 }
 
@@ -135,7 +135,7 @@
     /// What is asked.
     pub submission: Submission,
     /// Where the answer goes. When its other end is dropped the caller has gone.
-    pub answer: oneshot::Sender<Verdict>,
+    pub answer: oneshot::Sender<JobReply>,
 }
 
 impl Handler<Submit> for EntryActor {
@@ -159,7 +159,7 @@
     type Result = ();
 
     fn handle(&mut self, _: SweepCallers, _: &mut Context<EntryActor>) {
-        let gone = |c: &oneshot::Sender<Verdict>| c.is_closed();
+        let gone = |c: &oneshot::Sender<JobReply>| c.is_closed();
         let ids: Vec<u64> = self
             .callers
             .iter()
--- a/lib/daemon/src/problem.rs
+++ b/lib/daemon/src/problem.rs
@@ -7,19 +7,19 @@
 use serde_json::json;
 use stackcourse_lib::job_id::JobId;
 use stackcourse_lib::outcome::Cause;
+use stackcourse_lib::outcome::JobReply;
 use stackcourse_lib::outcome::Outcome;
 use stackcourse_lib::outcome::Refusal;
-use stackcourse_lib::outcome::Verdict;
 
 /// The media type of a problem document.
 const PROBLEM: &str = "application/problem+json";
 
 /// The response that goes with a verdict on a job.
-pub fn response(job: JobId, verdict: Verdict) -> HttpResponse {
+pub fn response(job: JobId, verdict: JobReply) -> HttpResponse {
     match verdict {
-        Verdict::Complete(answers) => complete(job, &answers),
-        Verdict::Other(refusal) if refusal.cause == Cause::Running => running(job),
-        Verdict::Other(refusal) => problem(Some(job), &refusal),
+        JobReply::Complete(answers) => complete(job, &answers),
+        JobReply::Other(refusal) if refusal.cause == Cause::Running => running(job),
+        JobReply::Other(refusal) => problem(Some(job), &refusal),
     }
 }
 
--- a/lib/daemon/src/status.rs
+++ b/lib/daemon/src/status.rs
@@ -74,8 +74,8 @@
                 zone: w.zone.clone(),
                 hall: w.hall.clone(),
                 config: w.config,
-                usable: w.linked(),
-                sick: w.health.sick(),
+                usable: w.is_available(),
+                sick: w.health.is_unhealthy(),
                 used: w.used().slots,
                 slots: w.room.slots,
             })
--- a/lib/examples/follow_configuration.rs
+++ b/lib/examples/follow_configuration.rs
@@ -24,8 +24,8 @@
 
 fn main() {
     let mut follower = Follower::default();
-    assert!(follower.offer(2, version(2, "h2")).expect("readable"));
-    assert!(!follower.offer(1, version(1, "h1")).expect("older"));
+    assert!(follower.apply(2, version(2, "h2")).expect("readable"));
+    assert!(!follower.apply(1, version(1, "h1")).expect("older"));
     println!(
         "version {} is in force, and an older one changes nothing",
         follower.version()
--- a/lib/examples/load_estimate.rs
+++ b/lib/examples/load_estimate.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use stackcourse_lib::admission::Admission;
-use stackcourse_lib::admission::Crowd;
+use stackcourse_lib::admission::QueueLoad;
 use stackcourse_lib::admission::retry_ms;
 
 fn main() {
@@ -17,7 +17,7 @@
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for waiting in [0, 100, 200, 400] {
-        let crowd = Crowd {
+        let crowd = QueueLoad {
             waiting,
             slots: 80,
             team_waiting: 0,
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -24,7 +24,7 @@
 
 /// What the decision rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct Crowd {
+pub struct QueueLoad {
     /// Tasks in front, waiting or running, of all that share the slots.
     pub waiting: usize,
     /// The slots that may work on them.
@@ -65,7 +65,7 @@
     }
 
     /// The wait of a task that comes in now.
-    pub fn wait(&self, crowd: &Crowd) -> Duration {
+    pub fn wait(&self, crowd: &QueueLoad) -> Duration {
         let behind = |tasks: usize, slots: usize| self.mean * tasks as f64 / slots.max(1) as f64;
         let all = behind(crowd.waiting, crowd.slots);
         let team = crowd
@@ -81,7 +81,7 @@
     /// The cause of the refusal, and the wait it rests on.
     pub fn admit(
         &self,
-        crowd: &Crowd,
+        crowd: &QueueLoad,
         tasks: usize,
         left: Duration,
     ) -> Result<(), (Cause, Duration)> {
--- a/lib/src/admission/tests.rs
+++ b/lib/src/admission/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn crowd(waiting: usize) -> Crowd {
-    Crowd {
+fn crowd(waiting: usize) -> QueueLoad {
+    QueueLoad {
         waiting,
         slots: 80,
         team_waiting: 0,
--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 
 use crate::clock::micros;
-use crate::clock_check::Answered;
+use crate::clock_check::ClockAnswer;
 use crate::clock_check::ClockCheck;
 use crate::clock_step::StepWatch;
 use crate::configuration::AgentPart;
@@ -265,7 +265,7 @@
     /// How far the box's clock is ahead of the time that this agent carries on, and how far the
     /// clock of the entry that differs most is, in milliseconds.
     pub fn clock_gaps_ms(&self) -> [i64; 2] {
-        [self.steps.told_ms(), self.clocks.widest_ms()]
+        [self.steps.reported_ms(), self.clocks.widest_ms()]
     }
 
     /// Whether a leaving agent has nothing left to finish.
@@ -320,7 +320,7 @@
     /// Time has passed.
     pub fn tick(&mut self, now: Now) {
         self.record.expire(now);
-        if let Some(step) = self.steps.look(now.step_ms()) {
+        if let Some(step) = self.steps.detect_step(now.step_ms()) {
             let event = Event::new(Kind::ClockStepped, step.to_string());
             self.actions.push(Action::Log(event));
         }
@@ -427,7 +427,7 @@
         entry.unanswered = None;
         let first = entry.granted.replace((grant.seq, now.mono)).is_none();
         let number = entry.number;
-        let answered = entry.grant.sent(grant.seq).map(|sent| Answered {
+        let answered = entry.grant.sent(grant.seq).map(|sent| ClockAnswer {
             clock_ms: grant.clock_ms,
             sent,
             held: Duration::ZERO,
@@ -448,12 +448,12 @@
 
     /// Compares the time that an entry carries on with the own, and goes by the entries' time for
     /// as long as nothing was started by the own.
-    fn compare_clock(&mut self, now: Now, entry: u64, answered: Answered) {
+    fn compare_clock(&mut self, now: Now, entry: u64, answered: ClockAnswer) {
         if let Some(ahead_ms) = self.clocks.note(now, entry, answered) {
             let event = Event::new(Kind::ClockDiffers, format!("an entry's by {ahead_ms} ms"));
             self.actions.push(Action::Log(event));
         }
-        let Some(shift_ms) = self.clocks.settle() else {
+        let Some(shift_ms) = self.clocks.take_correction() else {
             return;
         };
         self.steps.reset();
--- a/lib/src/clock_check.rs
+++ b/lib/src/clock_check.rs
@@ -24,7 +24,7 @@
 
 /// A peer's time of day in an answer of its.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered {
+pub struct ClockAnswer {
     /// What it carried on when it answered, in Unix milliseconds.
     pub clock_ms: u64,
     /// When the message that it answers was sent.
@@ -56,7 +56,7 @@
 
     /// Notes what a process's clock said in an answer. Returns how far it is ahead of the own
     /// time, if that is more than clocks may differ and was not known yet.
-    pub fn note(&mut self, now: Now, process: u64, answered: Answered) -> Option<i64> {
+    pub fn note(&mut self, now: Now, process: u64, answered: ClockAnswer) -> Option<i64> {
         let way_ms = millis(now.mono.since(answered.sent).saturating_sub(answered.held));
         if answered.clock_ms == 0 || way_ms > self.bound_ms {
             return None;
@@ -87,7 +87,7 @@
 
     /// By how much the own time is to change: to that of the processes whose time is proven, else
     /// to that of most processes, this one among them. What was noted before is forgotten then.
-    pub fn settle(&mut self) -> Option<i64> {
+    pub fn take_correction(&mut self) -> Option<i64> {
         if self.proven {
             return None;
         }
--- a/lib/src/clock_step.rs
+++ b/lib/src/clock_step.rs
@@ -25,18 +25,18 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepWatch {
     /// How far it was ahead when that was told last.
-    told_ms: Option<i64>,
+    reported_ms: Option<i64>,
 }
 
 impl StepWatch {
     /// Looks at how far the box's clock is ahead of the time carried on. Returns the step since
     /// the last one that was told, if there was one.
-    pub fn look(&mut self, ahead_ms: i64) -> Option<ClockStep> {
-        let before = *self.told_ms.get_or_insert(ahead_ms);
+    pub fn detect_step(&mut self, ahead_ms: i64) -> Option<ClockStep> {
+        let before = *self.reported_ms.get_or_insert(ahead_ms);
         if ahead_ms.abs_diff(before) < LEAST_MS {
             return None;
         }
-        self.told_ms = Some(ahead_ms);
+        self.reported_ms = Some(ahead_ms);
         Some(ClockStep {
             by_ms: ahead_ms - before,
             total_ms: ahead_ms,
@@ -45,12 +45,12 @@
 
     /// The time carried on was changed: what the next look shows is no step.
     pub fn reset(&mut self) {
-        self.told_ms = None;
+        self.reported_ms = None;
     }
 
     /// How far the box's clock was ahead when that was told last.
-    pub fn told_ms(&self) -> i64 {
-        self.told_ms.unwrap_or(0)
+    pub fn reported_ms(&self) -> i64 {
+        self.reported_ms.unwrap_or(0)
     }
 }
 
--- a/lib/src/clock_step/tests.rs
+++ b/lib/src/clock_step/tests.rs
@@ -5,11 +5,11 @@
 #[test]
 fn test_clock_step_is_told_once_with_its_size() {
     let mut watch = StepWatch::default();
-    assert_eq!(watch.look(0), None);
-    let ahead = watch.look(600_000).expect("a step");
+    assert_eq!(watch.detect_step(0), None);
+    let ahead = watch.detect_step(600_000).expect("a step");
     assert_eq!((ahead.by_ms, ahead.total_ms), (600_000, 600_000));
-    assert_eq!(watch.look(600_000), None);
-    let back = watch.look(-10_000).expect("a step");
+    assert_eq!(watch.detect_step(600_000), None);
+    let back = watch.detect_step(-10_000).expect("a step");
     assert_eq!(
         back.to_string(),
         "by -610000 ms, -10000 ms from the time carried on"
@@ -19,16 +19,16 @@
 #[test]
 fn test_clock_step_passes_over_small_corrections() {
     let mut watch = StepWatch::default();
-    watch.look(0);
-    assert_eq!(watch.look(499), None);
-    assert!(watch.look(500).is_some(), "they add up");
+    watch.detect_step(0);
+    assert_eq!(watch.detect_step(499), None);
+    assert!(watch.detect_step(500).is_some(), "they add up");
 }
 
 #[test]
 fn test_clock_step_is_none_after_the_time_carried_on_was_changed() {
     let mut watch = StepWatch::default();
-    watch.look(0);
+    watch.detect_step(0);
     watch.reset();
-    assert_eq!(watch.look(7_000), None);
-    assert_eq!(watch.told_ms(), 7_000);
+    assert_eq!(watch.detect_step(7_000), None);
+    assert_eq!(watch.reported_ms(), 7_000);
 }
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -56,7 +56,7 @@
 use crate::lead::Leads;
 use crate::names::Names;
 use crate::outcome::Cause;
-use crate::outcome::Verdict;
+use crate::outcome::JobReply;
 use crate::ownership::OwnershipRecord;
 use crate::ownership::Roster;
 use crate::placement::Placer;
@@ -156,7 +156,7 @@
     /// Send a message on a link.
     Send(LinkId, Body),
     /// Answer a caller's request.
-    Respond(u64, Verdict),
+    Respond(u64, JobReply),
     /// Carry on a time of day that is so many milliseconds later.
     ShiftClock(i64),
     /// Carry out a store operation; its end is reported by [`Entry::store_done`] with the tag.
@@ -586,7 +586,7 @@
     pub fn frame(&mut self, now: Now, link: LinkId, body: Body) {
         self.begin(now);
         // What still arrives on a link that was replaced may be long out of date.
-        if !self.peers.contains_key(&link) && self.fleet.at(link).is_none() {
+        if !self.peers.contains_key(&link) && self.fleet.key_by_link(link).is_none() {
             return self.waste("old-link");
         }
         match body {
@@ -610,7 +610,7 @@
 
     /// A configuration version was read from the store or came from a peer.
     pub fn configure(&mut self, now: Now, version: u64, value: Bytes) {
-        match self.follower.offer(version, value) {
+        match self.follower.apply(version, value) {
             Ok(false) => {}
             Ok(true) => {
                 self.log(Kind::ConfigInForce, format!("version {version}"));
@@ -625,7 +625,7 @@
     /// The platform's list of boxes was read: `leaving` are the names of agents whose boxes leave.
     pub fn boxes(&mut self, leaving: &HashSet<String>) {
         for (_, worker) in self.fleet.iter_mut() {
-            worker.parting = leaving.contains(&*worker.name);
+            worker.box_leaving = leaving.contains(&*worker.name);
         }
     }
 
--- a/lib/src/entry/account.rs
+++ b/lib/src/entry/account.rs
@@ -26,8 +26,8 @@
     pub(super) fn track(&mut self, now: Now, task: TaskKey, mut placed: Placed) {
         placed.scale = 1.0 / self.expected(&placed.lane.service);
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
-            worker.take(placed.need);
-            worker.health.begin(now.mono, placed.scale);
+            worker.reserve(placed.need);
+            worker.health.record_start(now.mono, placed.scale);
         }
         self.share_take(&placed.lane);
         let Some(old) = self.placed.insert(task, placed) else {
@@ -35,8 +35,8 @@
         };
         self.share_give(&old.lane);
         if let Some(worker) = self.fleet.get_mut(old.agent) {
-            worker.give(old.need);
-            worker.health.cancel(now.mono, old.at, old.scale);
+            worker.release(old.need);
+            worker.health.record_cancel(now.mono, old.at, old.scale);
         }
     }
 
@@ -53,7 +53,7 @@
         }
         let placed = self.placed.remove(&task)?;
         if let Some(worker) = self.fleet.get_mut(agent) {
-            worker.give(placed.need);
+            worker.release(placed.need);
         }
         self.share_give(&placed.lane);
         Some(placed)
@@ -92,7 +92,9 @@
             if let Some(placed) = self.untrack(task, agent, attempt)
                 && let Some(worker) = self.fleet.get_mut(agent)
             {
-                worker.health.cancel(now.mono, placed.at, placed.scale);
+                worker
+                    .health
+                    .record_cancel(now.mono, placed.at, placed.scale);
                 // Counted twice for a while rather than not at all: the next owner has to tell
                 // the allocator first.
                 let told = now.mono + SHARE_SPAN + RESERVE;
--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/changing.rs
@@ -8,7 +8,7 @@
 use super::links::CUT_OFF;
 use crate::clock::millis;
 use crate::event::Kind;
-use crate::fleet::SILENCE;
+use crate::fleet::MAX_SILENCE;
 use crate::ownership::Member;
 use crate::ownership::OwnershipRecord;
 use crate::ownership::Parting;
@@ -215,7 +215,7 @@
         let sees_all = self.sees_all_owners(now);
         let mut names = Vec::new();
         for (_, worker) in self.fleet.iter() {
-            let here = worker.link.is_some() && now.mono < worker.heard + SILENCE;
+            let here = worker.link.is_some() && now.mono < worker.last_heard + MAX_SILENCE;
             if !here || worker.leaving {
                 continue;
             }
@@ -226,7 +226,7 @@
                 name: worker.name.to_string(),
                 incarnation: worker.incarnation,
                 slots: worker.room.slots,
-                born_ms: worker.born_ms(now),
+                born_ms: worker.started_ms(now),
             };
             if roster.enrol(agent, parting) {
                 names.push(worker.name.to_string());
@@ -304,8 +304,11 @@
             .iter()
             .map(|a| a.incarnation)
             .filter(|inc| {
-                let worker = self.fleet.of(*inc).and_then(|k| self.fleet.get(k));
-                let heard = worker.map_or(Mono(0), |w| w.heard);
+                let worker = self
+                    .fleet
+                    .key_by_incarnation(*inc)
+                    .and_then(|k| self.fleet.get(k));
+                let heard = worker.map_or(Mono(0), |w| w.last_heard);
                 now.mono >= heard.max(listed(inc)) + strike
             })
             .collect();
--- a/lib/src/entry/clocks.rs
+++ b/lib/src/entry/clocks.rs
@@ -6,7 +6,7 @@
 use super::Submission;
 use crate::clock::micros;
 use crate::clock::millis;
-use crate::clock_check::Answered;
+use crate::clock_check::ClockAnswer;
 use crate::event::Kind;
 use crate::ownership::OwnershipRecord;
 use crate::ownership::Roster;
@@ -21,7 +21,7 @@
         if self.owns() || !self.incoming.is_empty() {
             self.clocks.prove();
         }
-        if let Some(step) = self.steps.look(now.step_ms()) {
+        if let Some(step) = self.steps.detect_step(now.step_ms()) {
             self.log(Kind::ClockStepped, step.to_string());
         }
         if self.leads.observe(now, self.tenure.others()) {
@@ -32,7 +32,7 @@
     /// How far the box's clock is ahead of the time that this entry carries on, and how far the
     /// clock of the process that differs most is, in milliseconds.
     pub fn clock_gaps_ms(&self) -> [i64; 2] {
-        [self.steps.told_ms(), self.clocks.widest_ms()]
+        [self.steps.reported_ms(), self.clocks.widest_ms()]
     }
 
     /// The latest mint time of an id that is taken now, in Unix milliseconds.
@@ -93,7 +93,7 @@
         self.watch_clock(now);
         let sent = self.beats.iter().rev().find(|(seq, _)| *seq == beat.echo);
         if let Some(&(_, sent)) = sent {
-            let answered = Answered {
+            let answered = ClockAnswer {
                 clock_ms: beat.clock_ms,
                 sent,
                 held: Duration::from_micros(beat.since_us),
@@ -107,12 +107,12 @@
     }
 
     /// Goes by the fleet's time instead of the own for as long as nothing was decided by that.
-    pub(super) fn compare_clock(&mut self, now: Now, process: u64, answered: Answered) {
+    pub(super) fn compare_clock(&mut self, now: Now, process: u64, answered: ClockAnswer) {
         if let Some(ahead_ms) = self.clocks.note(now, process, answered) {
             let name = self.name_of(process);
             self.log(Kind::ClockDiffers, format!("{name}'s by {ahead_ms} ms"));
         }
-        let Some(shift_ms) = self.clocks.settle() else {
+        let Some(shift_ms) = self.clocks.take_correction() else {
             return;
         };
         self.steps.reset();
@@ -125,7 +125,7 @@
         self.leads.forget(now);
         let (peers, fleet) = (&self.peers, &self.fleet);
         let linked = |inc| {
-            let agent = fleet.of(inc).and_then(|key| fleet.get(key));
+            let agent = fleet.key_by_incarnation(inc).and_then(|key| fleet.get(key));
             agent.is_some_and(|w| w.link.is_some()) || peers.values().any(|p| p.incarnation == inc)
         };
         self.clocks.retain(linked);
@@ -136,7 +136,10 @@
         if let Some(peer) = peers.find(|p| p.incarnation == process) {
             return peer.name.clone();
         }
-        let agent = self.fleet.of(process).and_then(|key| self.fleet.get(key));
+        let agent = self
+            .fleet
+            .key_by_incarnation(process)
+            .and_then(|key| self.fleet.get(key));
         agent.map(|w| w.name.to_string()).unwrap_or_default()
     }
 }
--- a/lib/src/entry/ending.rs
+++ b/lib/src/entry/ending.rs
@@ -8,7 +8,7 @@
 use crate::job_table::JobKey;
 use crate::job_table::TaskState;
 use crate::outcome::Cause;
-use crate::outcome::Verdict;
+use crate::outcome::JobReply;
 use crate::prelude::*;
 use crate::store::StoreOp;
 
@@ -115,7 +115,7 @@
         }
         let deadline = job.deadline;
         let mut verdict = job.verdict(cause, detail);
-        if let Verdict::Other(refusal) = &mut verdict {
+        if let JobReply::Other(refusal) = &mut verdict {
             if refusal.outcome == Some(Outcome::NotRun) {
                 refusal.outcome = Some(self.idle_outcome(now));
                 refusal.retry_ms = retry_ms;
@@ -125,8 +125,8 @@
             }
         }
         let outcome = match &verdict {
-            Verdict::Complete(_) => Outcome::Complete,
-            Verdict::Other(refusal) => refusal.outcome.unwrap_or(Outcome::Unknown),
+            JobReply::Complete(_) => Outcome::Complete,
+            JobReply::Other(refusal) => refusal.outcome.unwrap_or(Outcome::Unknown),
         };
         self.counts.outcomes[outcome.code() as usize] += 1;
         self.deadlines.remove(&(deadline, key));
--- a/lib/src/entry/handing.rs
+++ b/lib/src/entry/handing.rs
@@ -11,8 +11,8 @@
 use crate::job_table::TaskState;
 use crate::lanes::LaneName;
 use crate::outcome::Cause;
+use crate::outcome::JobReply;
 use crate::outcome::Refusal;
-use crate::outcome::Verdict;
 use crate::ownership::OwnershipRecord;
 use crate::prelude::*;
 use crate::takeover::Phase;
@@ -151,14 +151,14 @@
             ..Default::default()
         };
         match &job.ended {
-            Some(Verdict::Complete(body)) => {
+            Some(JobReply::Complete(body)) => {
                 record.outcome = Outcome::Complete.code();
                 record.tasks.push(wire::RecordTask {
                     body: body.clone(),
                     ..Default::default()
                 });
             }
-            Some(Verdict::Other(refusal)) => {
+            Some(JobReply::Other(refusal)) => {
                 record.outcome = refusal.outcome.map_or(0, Outcome::code);
                 record.cause = refusal.cause.name().to_owned();
                 record.detail = refusal.detail.clone();
@@ -391,7 +391,7 @@
     }
 
     fn read_task(&self, now: Now, task: &wire::RecordTask) -> Task {
-        let agent = self.fleet.of(task.incarnation);
+        let agent = self.fleet.key_by_incarnation(task.incarnation);
         let state = match (task.status(), agent) {
             (wire::Status::Ok, _) => TaskState::Answered(task.body.clone()),
             (wire::Status::Failed, _) => TaskState::Failed(task.body.clone()),
@@ -411,14 +411,14 @@
     }
 }
 
-fn ended_of(record: &wire::Record) -> Option<Verdict> {
+fn ended_of(record: &wire::Record) -> Option<JobReply> {
     let outcome = Outcome::from_code(record.outcome)?;
     if outcome == Outcome::Complete {
         let body = record.tasks.first().map(|t| t.body.clone());
-        return Some(Verdict::Complete(body.unwrap_or_default()));
+        return Some(JobReply::Complete(body.unwrap_or_default()));
     }
     let cause = Cause::from_name(&record.cause).unwrap_or(Cause::Unreadable);
-    Some(Verdict::Other(Refusal::new(
+    Some(JobReply::Other(Refusal::new(
         outcome,
         cause,
         record.detail.clone(),
--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -5,7 +5,7 @@
 use super::Entry;
 use super::Peer;
 use crate::clock::micros;
-use crate::clock_check::Answered;
+use crate::clock_check::ClockAnswer;
 use crate::event::Kind;
 use crate::fleet::AgentKey;
 use crate::prelude::*;
@@ -102,14 +102,14 @@
     }
 
     pub(super) fn on_renew(&mut self, now: Now, link: LinkId, renew: wire::Renew) {
-        let Some(key) = self.fleet.at(link) else {
+        let Some(key) = self.fleet.key_by_link(link) else {
             return;
         };
         let Some(worker) = self.fleet.get_mut(key) else {
             return;
         };
-        worker.heard = now.mono;
-        worker.renewed = Some((renew.seq, now.mono));
+        worker.last_heard = now.mono;
+        worker.last_request = Some((renew.seq, now.mono));
         worker.leaving |= renew.leaving;
         worker.config = renew.config;
         if let Some(load) = &renew.load {
@@ -117,13 +117,13 @@
         }
         let enrolled = worker.enrolled;
         let incarnation = worker.incarnation;
-        let echoed = worker.granted.filter(|(seq, _)| *seq == renew.echo);
-        worker.granted = Some((renew.seq, now.mono));
+        let echoed = worker.last_grant.filter(|(seq, _)| *seq == renew.echo);
+        worker.last_grant = Some((renew.seq, now.mono));
         if let Some((_, sent)) = echoed {
             self.compare_clock(
                 now,
                 incarnation,
-                Answered {
+                ClockAnswer {
                     clock_ms: renew.clock_ms,
                     sent,
                     held: Duration::from_micros(renew.since_us),
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placing.rs
@@ -15,7 +15,7 @@
 use crate::lanes::LaneName;
 use crate::outcome::Cause;
 use crate::placement::Placement;
-use crate::placement::Scene;
+use crate::placement::PlacementRequest;
 use crate::prelude::*;
 use crate::tenure::Standing;
 
@@ -75,7 +75,7 @@
             return Front::Passed;
         }
         let permitted = self.permitted(&lane.service, service);
-        let scene = Scene {
+        let scene = PlacementRequest {
             now: now.mono,
             fleet: &self.fleet,
             permitted: &permitted,
@@ -127,7 +127,7 @@
             self.tenure.stand(now.mono) != Standing::Lapsed && self.holdings.active(shard),
             "invariant: only the owner in its right starts tasks"
         );
-        let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.renewed) else {
+        let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.last_request) else {
             return;
         };
         let tenure = self.tenure.number();
@@ -189,14 +189,14 @@
     }
 
     pub(super) fn on_answer(&mut self, now: Now, link: LinkId, answer: wire::Answer) {
-        let Some(agent) = self.fleet.at(link) else {
+        let Some(agent) = self.fleet.key_by_link(link) else {
             return;
         };
         let Some(job) = JobId::from_wire(answer.job) else {
             return;
         };
         if let Some(worker) = self.fleet.get_mut(agent) {
-            worker.heard = now.mono;
+            worker.last_heard = now.mono;
         }
         let task = TaskKey {
             job,
@@ -241,9 +241,9 @@
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             let (at, scale) = (placed.at, placed.scale);
             if broken {
-                worker.health.end(now.mono, at, scale, true, None);
+                worker.health.record_end(now.mono, at, scale, true, None);
             } else {
-                worker.health.cancel(now.mono, at, scale);
+                worker.health.record_cancel(now.mono, at, scale);
             }
         }
         if why == wire::Refusal::Fenced {
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -6,8 +6,8 @@
 use crate::clock::micros;
 use crate::job_table::Waiter;
 use crate::outcome::Cause;
+use crate::outcome::JobReply;
 use crate::outcome::Refusal;
-use crate::outcome::Verdict;
 use crate::prelude::*;
 use crate::takeover::Phase;
 use crate::tenure::Standing;
@@ -188,22 +188,22 @@
 
     fn no_owner(&mut self, id: u64, detail: &str) {
         let refusal = Refusal::new(Outcome::Unknown, Cause::NoOwner, detail);
-        self.respond(id, Verdict::Other(refusal.retry(NO_OWNER_RETRY_MS)));
+        self.respond(id, JobReply::Other(refusal.retry(NO_OWNER_RETRY_MS)));
     }
 
     /// Answers a caller.
-    fn respond(&mut self, id: u64, verdict: Verdict) {
+    fn respond(&mut self, id: u64, verdict: JobReply) {
         if self.requests.remove(&id).is_none() {
             return;
         }
-        if let Verdict::Other(refusal) = &verdict {
+        if let JobReply::Other(refusal) = &verdict {
             self.count_refusal(refusal.cause);
         }
         self.actions.push(super::Action::Respond(id, verdict));
     }
 
     /// Answers whoever waits.
-    pub(super) fn tell(&mut self, waiter: Waiter, verdict: Verdict) {
+    pub(super) fn tell(&mut self, waiter: Waiter, verdict: JobReply) {
         match waiter {
             Waiter::Local(id) => self.respond(id, verdict),
             Waiter::Peer(link, request) => {
@@ -433,15 +433,15 @@
     }
 }
 
-fn wire_reply(request: u64, verdict: Verdict) -> wire::Reply {
+fn wire_reply(request: u64, verdict: JobReply) -> wire::Reply {
     match verdict {
-        Verdict::Complete(body) => wire::Reply {
+        JobReply::Complete(body) => wire::Reply {
             request,
             outcome: Outcome::Complete.code(),
             body,
             ..Default::default()
         },
-        Verdict::Other(refusal) => wire::Reply {
+        JobReply::Other(refusal) => wire::Reply {
             request,
             outcome: refusal.outcome.map_or(0, Outcome::code),
             cause: refusal.cause.name().to_owned(),
@@ -452,12 +452,12 @@
     }
 }
 
-fn verdict_of(reply: wire::Reply) -> Verdict {
+fn verdict_of(reply: wire::Reply) -> JobReply {
     let outcome = Outcome::from_code(reply.outcome);
     if outcome == Some(Outcome::Complete) {
-        return Verdict::Complete(reply.body);
+        return JobReply::Complete(reply.body);
     }
-    Verdict::Other(Refusal {
+    JobReply::Other(Refusal {
         outcome,
         cause: Cause::from_name(&reply.cause).unwrap_or(Cause::Unreadable),
         detail: reply.detail,
--- a/lib/src/entry/sealing.rs
+++ b/lib/src/entry/sealing.rs
@@ -116,14 +116,14 @@
     }
 
     pub(super) fn on_sealed(&mut self, now: Now, link: LinkId, sealed: wire::Sealed) {
-        let Some(agent) = self.fleet.at(link) else {
+        let Some(agent) = self.fleet.key_by_link(link) else {
             return;
         };
         let Some(incarnation) = self.fleet.get(agent).map(|w| w.incarnation) else {
             return;
         };
         if let Some(worker) = self.fleet.get_mut(agent) {
-            worker.heard = now.mono;
+            worker.last_heard = now.mono;
         }
         for started in &sealed.started {
             self.take_evidence(now, agent, started);
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -5,7 +5,7 @@
 
 use super::Entry;
 use super::requests::Submission;
-use crate::admission::Crowd;
+use crate::admission::QueueLoad;
 use crate::admission::retry_ms;
 use crate::clock::millis;
 use crate::configuration::Favour;
@@ -20,8 +20,8 @@
 use crate::job_table::Waiter;
 use crate::lanes::LaneName;
 use crate::outcome::Cause;
+use crate::outcome::JobReply;
 use crate::outcome::Refusal;
-use crate::outcome::Verdict;
 use crate::prelude::*;
 use crate::shard::body_digest;
 
@@ -62,7 +62,7 @@
             return;
         }
         if let Some(refusal) = self.refused_lately(now, submission.job, digest) {
-            return self.tell(waiter, Verdict::Other(refusal));
+            return self.tell(waiter, JobReply::Other(refusal));
         }
         if self.awaits_lead(now, &submission) {
             return self.hold(now, waiter, submission);
@@ -71,7 +71,7 @@
             Ok(plan) => self.take_in(now, waiter, submission.job, plan),
             Err(refusal) => {
                 self.note_refusal(now, &submission, digest, &refusal);
-                self.tell(waiter, Verdict::Other(refusal));
+                self.tell(waiter, JobReply::Other(refusal));
             }
         }
     }
@@ -112,14 +112,14 @@
     }
 
     /// What is known of a job, without starting anything.
-    fn look(&self, now: Now, job: JobId) -> Verdict {
+    fn look(&self, now: Now, job: JobId) -> JobReply {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         if let Some(job) = known {
             if job.told_more() {
                 return job.verdict(Cause::WorkerLost, "send it again to have the rest done");
             }
             return job.ended.clone().unwrap_or_else(|| {
-                Verdict::Other(Refusal {
+                JobReply::Other(Refusal {
                     outcome: None,
                     cause: Cause::Running,
                     detail: "the job has not ended".into(),
@@ -134,7 +134,7 @@
         } else {
             Outcome::Unknown
         };
-        Verdict::Other(Refusal::new(
+        JobReply::Other(Refusal::new(
             outcome,
             Cause::NotFound,
             "no such job is known",
@@ -149,17 +149,17 @@
         if job.digest != digest {
             let detail = "this id belongs to another body or service; that job is not affected";
             let refusal = Refusal::new(Outcome::NotRun, Cause::Reused, detail);
-            self.tell(waiter, Verdict::Other(refusal));
+            self.tell(waiter, JobReply::Other(refusal));
             return true;
         }
         match &job.ended {
-            Some(Verdict::Other(r)) if r.outcome == Some(Outcome::NotRun) => {
+            Some(JobReply::Other(r)) if r.outcome == Some(Outcome::NotRun) => {
                 let wait_ms = millis(now.mono.until(job.again));
                 if wait_ms == 0 {
                     return false;
                 }
                 let again = r.clone().retry(wait_ms);
-                self.tell(waiter, Verdict::Other(again));
+                self.tell(waiter, JobReply::Other(again));
                 true
             }
             Some(_) if job.told_more() => false,
@@ -280,7 +280,7 @@
     fn usable_slots(&mut self, now: Now, name: &Arc<str>, service: &Service) -> usize {
         let keys = self.permitted(name, service);
         let workers = keys.iter().filter_map(|k| self.fleet.get(*k));
-        let usable = workers.filter(|w| w.usable(now.mono));
+        let usable = workers.filter(|w| w.is_usable(now.mono));
         let slots = usable.map(|w| w.room.slots as usize).sum::<usize>();
         match service.capacity {
             0 => slots,
@@ -312,7 +312,7 @@
             return Err((Cause::Memory, detail.into(), NO_WORKER_RETRY_MS));
         }
         let running = self.placed.len().saturating_sub(slots);
-        let crowd = Crowd {
+        let crowd = QueueLoad {
             waiting: self.lanes.len() + running,
             slots,
             team_waiting: self.lanes.waiting(&lane.team),
--- a/lib/src/entry/watching.rs
+++ b/lib/src/entry/watching.rs
@@ -4,9 +4,9 @@
 use super::Placed;
 use crate::event::Kind;
 use crate::fleet::AgentKey;
-use crate::fleet::SILENCE;
-use crate::health::Peers;
-use crate::health::SICK_SHARE;
+use crate::fleet::MAX_SILENCE;
+use crate::health::MAX_UNHEALTHY_SHARE;
+use crate::health::PeerMean;
 use crate::prelude::*;
 
 /// How many peers' tasks must have ended before a worker is judged against them.
@@ -21,7 +21,7 @@
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             worker
                 .health
-                .end(now.mono, placed.at, placed.scale, failed, peers);
+                .record_end(now.mono, placed.at, placed.scale, failed, peers);
         }
         if !failed && took_us > 0 {
             self.learn(&placed.lane.service, Duration::from_micros(took_us));
@@ -35,8 +35,8 @@
             .fleet
             .iter()
             .filter(|(_, w)| {
-                let down = w.lost.is_some_and(|at| now.mono >= at + grace);
-                down || now.mono >= w.heard + SILENCE + grace
+                let down = w.lost_at.is_some_and(|at| now.mono >= at + grace);
+                down || now.mono >= w.last_heard + MAX_SILENCE + grace
             })
             .map(|(key, _)| key)
             .collect();
@@ -55,12 +55,16 @@
         let all = self.fleet_sums(now);
         self.fleet_work = all;
         let count = self.fleet.iter().count();
-        let mut sick = self.fleet.iter().filter(|(_, w)| w.health.sick()).count();
-        let most = (count as f64 * SICK_SHARE).floor() as usize;
+        let mut sick = self
+            .fleet
+            .iter()
+            .filter(|(_, w)| w.health.is_unhealthy())
+            .count();
+        let most = (count as f64 * MAX_UNHEALTHY_SHARE).floor() as usize;
         let mut changes = Vec::new();
         for (_, worker) in self.fleet.iter_mut() {
-            let own = worker.health.sums(now.mono);
-            let others = if worker.health.sick() {
+            let own = worker.health.totals(now.mono);
+            let others = if worker.health.is_unhealthy() {
                 all
             } else {
                 (all.0 - own.0, all.1 - own.1, all.2 - own.2)
@@ -68,7 +72,7 @@
             let Some(peers) = peers_mean(others) else {
                 continue;
             };
-            match worker.health.judge(now.mono, peers, sick < most) {
+            match worker.health.update_state(now.mono, peers, sick < most) {
                 Some(true) => {
                     sick += 1;
                     changes.push((Kind::WorkerUnhealthy, worker.name.to_string()));
@@ -83,24 +87,24 @@
     }
 
     /// The mean of a worker's peers; `None` while too few of their tasks have ended.
-    fn peers_of(&self, agent: AgentKey) -> Option<Peers> {
+    fn peers_of(&self, agent: AgentKey) -> Option<PeerMean> {
         // Only trials are judged by it, and a worker on trial is not part of the sums.
-        let sick = self.fleet.get(agent)?.health.sick();
+        let sick = self.fleet.get(agent)?.health.is_unhealthy();
         sick.then(|| peers_mean(self.fleet_work))?
     }
 
     fn fleet_sums(&self, now: Now) -> (f64, f64, f64) {
-        let healthy = self.fleet.iter().filter(|(_, w)| !w.health.sick());
-        let sums = healthy.map(|(_, w)| w.health.sums(now.mono));
+        let healthy = self.fleet.iter().filter(|(_, w)| !w.health.is_unhealthy());
+        let sums = healthy.map(|(_, w)| w.health.totals(now.mono));
         sums.fold((0.0, 0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1, a.2 + b.2))
     }
 }
 
-fn peers_mean((time, done, failed): (f64, f64, f64)) -> Option<Peers> {
+fn peers_mean((time, done, failed): (f64, f64, f64)) -> Option<PeerMean> {
     if done < LEAST_TASKS {
         return None;
     }
-    Some(Peers {
+    Some(PeerMean {
         mean: (time + PEER_PRIOR) / (done + PEER_PRIOR),
         failures: failed / done,
     })
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -26,7 +26,7 @@
 }
 
 /// How long an agent may be silent before it gets nothing new.
-pub const SILENCE: Duration = Duration::from_millis(2_900);
+pub const MAX_SILENCE: Duration = Duration::from_millis(2_900);
 
 /// One agent and its backend server.
 #[derive(Debug)]
@@ -47,13 +47,13 @@
     /// The link to it, while there is one.
     pub link: Option<LinkId>,
     /// When it was heard last.
-    pub heard: Mono,
+    pub last_heard: Mono,
     /// When its link went down.
-    pub lost: Option<Mono>,
+    pub lost_at: Option<Mono>,
     /// Whether it said that it leaves.
     pub leaving: bool,
     /// Whether the platform's list says that its box leaves.
-    pub parting: bool,
+    pub box_leaving: bool,
     /// Whether the roster that was confirmed last lists it.
     pub enrolled: bool,
     /// The configuration version in force there.
@@ -71,9 +71,9 @@
     /// How many starts were sent on this link.
     pub sent: u64,
     /// The last request for the right that came on this link: its number, and when it came.
-    pub renewed: Option<(u64, Mono)>,
+    pub last_request: Option<(u64, Mono)>,
     /// When the grant that answers it was sent.
-    pub granted: Option<(u64, Mono)>,
+    pub last_grant: Option<(u64, Mono)>,
     /// How it does against its peers.
     pub health: Health,
 }
@@ -90,10 +90,10 @@
             zone: hello.zone.clone(),
             room: Room::from_wire(hello.room),
             link: Some(link),
-            heard: now,
-            lost: None,
+            last_heard: now,
+            lost_at: None,
             leaving: false,
-            parting: false,
+            box_leaving: false,
             enrolled: false,
             config: 0,
             own: Room::default(),
@@ -102,15 +102,15 @@
             reported_own: Room::default(),
             queued: 0,
             sent: 0,
-            renewed: None,
-            granted: None,
+            last_request: None,
+            last_grant: None,
             health: Health::default(),
         }
     }
 
     /// When it started, in Unix milliseconds of this entry's time: boxes' clocks may be set between
     /// two starts of an agent.
-    pub fn born_ms(&self, now: Now) -> u64 {
+    pub fn started_ms(&self, now: Now) -> u64 {
         let up_ms = self.up_ms + millis(now.mono.since(self.met));
         now.wall_ms.saturating_sub(up_ms)
     }
@@ -125,14 +125,14 @@
     }
 
     /// Whether it is linked and enrolled, and not leaving.
-    pub fn linked(&self) -> bool {
-        let here = self.link.is_some() && self.renewed.is_some() && self.enrolled;
-        here && !self.leaving && !self.parting
+    pub fn is_available(&self) -> bool {
+        let here = self.link.is_some() && self.last_request.is_some() && self.enrolled;
+        here && !self.leaving && !self.box_leaving
     }
 
     /// Whether new work may be sent to it.
-    pub fn usable(&self, now: Mono) -> bool {
-        self.linked() && now < self.heard + SILENCE
+    pub fn is_usable(&self, now: Mono) -> bool {
+        self.is_available() && now < self.last_heard + MAX_SILENCE
     }
 
     /// Room taken there: own tasks exactly, those of other entries as reported last.
@@ -164,13 +164,13 @@
     }
 
     /// Takes room for a task of this entry.
-    pub fn take(&mut self, need: Room) {
+    pub fn reserve(&mut self, need: Room) {
         self.own = self.own.plus(need);
         self.placed += 1;
     }
 
     /// Gives back the room of a task of this entry.
-    pub fn give(&mut self, need: Room) {
+    pub fn release(&mut self, need: Room) {
         self.own = self.own.minus(need);
         self.placed = self.placed.saturating_sub(1);
     }
@@ -196,11 +196,11 @@
             if let Some(old) = worker.link.replace(link) {
                 self.by_link.remove(&old);
             }
-            worker.heard = now;
-            worker.lost = None;
+            worker.last_heard = now;
+            worker.lost_at = None;
             worker.sent = 0;
-            worker.renewed = None;
-            worker.granted = None;
+            worker.last_request = None;
+            worker.last_grant = None;
             self.by_link.insert(link, key);
             return key;
         }
@@ -215,7 +215,7 @@
         let key = self.by_link.remove(&link)?;
         let worker = self.workers.get_mut(key)?;
         worker.link = None;
-        worker.lost = Some(now);
+        worker.lost_at = Some(now);
         Some(key)
     }
 
@@ -240,12 +240,12 @@
     }
 
     /// The agent at the other end of a link.
-    pub fn at(&self, link: LinkId) -> Option<AgentKey> {
+    pub fn key_by_link(&self, link: LinkId) -> Option<AgentKey> {
         self.by_link.get(&link).copied()
     }
 
     /// The agent of an incarnation.
-    pub fn of(&self, incarnation: u64) -> Option<AgentKey> {
+    pub fn key_by_incarnation(&self, incarnation: u64) -> Option<AgentKey> {
         self.by_incarnation.get(&incarnation).copied()
     }
 
--- a/lib/src/fleet/tests.rs
+++ b/lib/src/fleet/tests.rs
@@ -17,6 +17,6 @@
     let first = Worker::new(&hello(1, 5_000), LinkId(1), now(10_000).mono);
     let second = Worker::new(&hello(2, 300), LinkId(2), now(20_000).mono);
     let later = now(30_000);
-    assert_eq!(first.born_ms(later), 1_005_000);
-    assert_eq!(second.born_ms(later), 1_019_700);
+    assert_eq!(first.started_ms(later), 1_005_000);
+    assert_eq!(second.started_ms(later), 1_019_700);
 }
--- a/lib/src/follower.rs
+++ b/lib/src/follower.rs
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// When the version can't be used. It is passed over: the node stays on the one in force.
-    pub fn offer(&mut self, version: u64, value: Bytes) -> Result<bool, VersionError> {
+    pub fn apply(&mut self, version: u64, value: Bytes) -> Result<bool, VersionError> {
         if version <= self.tried {
             return Ok(false);
         }
--- a/lib/src/follower/tests.rs
+++ b/lib/src/follower/tests.rs
@@ -21,15 +21,15 @@
 fn test_follower_moves_only_upward() {
     let mut follower = Follower::default();
     let empty = json!({"services": {}});
-    assert_matches!(follower.offer(2, value(2, empty.clone())), Ok(true));
-    assert_matches!(follower.offer(1, value(1, empty)), Ok(false));
+    assert_matches!(follower.apply(2, value(2, empty.clone())), Ok(true));
+    assert_matches!(follower.apply(1, value(1, empty)), Ok(false));
     assert_eq!((follower.version(), follower.next()), (2, 3));
 }
 
 #[test]
 fn test_follower_passes_over_what_it_cannot_read() {
     let mut follower = Follower::default();
-    let bad = follower.offer(1, value(1, json!({"services": 4})));
+    let bad = follower.apply(1, value(1, json!({"services": 4})));
     assert_matches!(bad, Err(VersionError::Findings { version: 1, .. }));
     assert_eq!((follower.version(), follower.next()), (0, 2));
 }
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -26,7 +26,7 @@
 /// The longest pause between trials.
 const LONGEST_PAUSE: Duration = Duration::from_secs(8);
 /// At most this share of the permitted workers is sick at a time.
-pub const SICK_SHARE: f64 = 0.34;
+pub const MAX_UNHEALTHY_SHARE: f64 = 0.34;
 
 /// How one worker does.
 #[derive(Clone, Debug, Default)]
@@ -53,7 +53,7 @@
 
 /// The mean of a worker's peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Peers {
+pub struct PeerMean {
     /// Time at work for each task finished, in expected times.
     pub mean: f64,
     /// The share of failures.
@@ -62,7 +62,7 @@
 
 impl Health {
     /// A task was sent to it. `scale` is 1 over the expected time of such a task, in seconds.
-    pub fn begin(&mut self, now: Mono, scale: f64) {
+    pub fn record_start(&mut self, now: Mono, scale: f64) {
         self.fade(now);
         self.running += scale;
         self.begun += scale * seconds(now);
@@ -72,7 +72,7 @@
     }
 
     /// A task came back unstarted: it says nothing about the worker.
-    pub fn cancel(&mut self, now: Mono, began: Mono, scale: f64) {
+    pub fn record_cancel(&mut self, now: Mono, began: Mono, scale: f64) {
         self.fade(now);
         self.drop_running(began, scale);
         if let Some(sick) = &mut self.sick {
@@ -81,7 +81,14 @@
     }
 
     /// A task has ended. `peers` judges trials.
-    pub fn end(&mut self, now: Mono, began: Mono, scale: f64, failed: bool, peers: Option<Peers>) {
+    pub fn record_end(
+        &mut self,
+        now: Mono,
+        began: Mono,
+        scale: f64,
+        failed: bool,
+        peers: Option<PeerMean>,
+    ) {
         self.fade(now);
         self.drop_running(began, scale);
         let took = now.since(began).as_secs_f64() * scale;
@@ -111,24 +118,24 @@
     }
 
     /// Whether a task may be sent to it as far as its health goes.
-    pub fn open(&self, now: Mono) -> bool {
+    pub fn accepts_tasks(&self, now: Mono) -> bool {
         self.sick.is_none_or(|s| !s.trial && now >= s.next)
     }
 
     /// Whether it gets trial tasks only.
-    pub fn sick(&self) -> bool {
+    pub fn is_unhealthy(&self) -> bool {
         self.sick.is_some()
     }
 
     /// Time at work and tasks finished, for the mean of the peers.
-    pub fn sums(&self, now: Mono) -> (f64, f64, f64) {
+    pub fn totals(&self, now: Mono) -> (f64, f64, f64) {
         let fade = self.fading(now);
         let time = self.time * fade + self.running_time(now);
         (time, self.done * fade, self.failed * fade)
     }
 
     /// Looks whether the worker has become sick or well. Returns the new state if it changed.
-    pub fn judge(&mut self, now: Mono, peers: Peers, may_sicken: bool) -> Option<bool> {
+    pub fn update_state(&mut self, now: Mono, peers: PeerMean, may_sicken: bool) -> Option<bool> {
         if let Some(sick) = self.sick {
             if !sick.well {
                 return None;
@@ -153,8 +160,8 @@
         Some(true)
     }
 
-    fn is_outlier(&self, now: Mono, peers: Peers) -> bool {
-        let (time, done, failed) = self.sums(now);
+    fn is_outlier(&self, now: Mono, peers: PeerMean) -> bool {
+        let (time, done, failed) = self.totals(now);
         let mean = (time + PRIOR_TASKS * peers.mean) / (done + PRIOR_TASKS);
         let slow = mean > peers.mean * SICK_RATIO;
         let share = failed / (done + 2.0);
--- a/lib/src/health/tests.rs
+++ b/lib/src/health/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const PEERS: Peers = Peers {
+const PEERS: PeerMean = PeerMean {
     mean: 0.4,
     failures: 0.0,
 };
@@ -15,40 +15,40 @@
 fn test_health_notices_a_stall_without_any_answer() {
     let mut health = Health::default();
     for _ in 0..8 {
-        health.begin(at(0), 1.0);
+        health.record_start(at(0), 1.0);
     }
-    assert_eq!(health.judge(at(200), PEERS, true), None);
-    assert_eq!(health.judge(at(1_500), PEERS, true), Some(true));
-    assert!(!health.open(at(1_600)));
+    assert_eq!(health.update_state(at(200), PEERS, true), None);
+    assert_eq!(health.update_state(at(1_500), PEERS, true), Some(true));
+    assert!(!health.accepts_tasks(at(1_600)));
 }
 
 #[test]
 fn test_health_notices_fast_failures() {
     let mut health = Health::default();
     for i in 0..6 {
-        health.begin(at(i * 10), 1.0);
-        health.end(at(i * 10 + 5), at(i * 10), 1.0, true, Some(PEERS));
+        health.record_start(at(i * 10), 1.0);
+        health.record_end(at(i * 10 + 5), at(i * 10), 1.0, true, Some(PEERS));
     }
-    assert_eq!(health.judge(at(100), PEERS, true), Some(true));
+    assert_eq!(health.update_state(at(100), PEERS, true), Some(true));
 }
 
 #[test]
 fn test_health_comes_back_after_good_trials() {
     let mut health = Health::default();
     for _ in 0..8 {
-        health.begin(at(0), 1.0);
+        health.record_start(at(0), 1.0);
     }
-    health.judge(at(2_000), PEERS, true);
+    health.update_state(at(2_000), PEERS, true);
     for _ in 0..8 {
-        health.end(at(2_100), at(0), 1.0, false, Some(PEERS));
+        health.record_end(at(2_100), at(0), 1.0, false, Some(PEERS));
     }
     let mut now = 10_000;
-    while health.sick() {
+    while health.is_unhealthy() {
         assert!(now < 20_000, "the worker never came back");
-        if health.open(at(now)) {
-            health.begin(at(now), 1.0);
-            health.end(at(now + 300), at(now), 1.0, false, Some(PEERS));
-            health.judge(at(now + 300), PEERS, true);
+        if health.accepts_tasks(at(now)) {
+            health.record_start(at(now), 1.0);
+            health.record_end(at(now + 300), at(now), 1.0, false, Some(PEERS));
+            health.update_state(at(now + 300), PEERS, true);
         }
         now += 400;
     }
@@ -57,6 +57,6 @@
 #[test]
 fn test_health_bears_one_long_task() {
     let mut health = Health::default();
-    health.begin(at(0), 1.0);
-    assert_eq!(health.judge(at(2_000), PEERS, true), None);
+    health.record_start(at(0), 1.0);
+    assert_eq!(health.update_state(at(2_000), PEERS, true), None);
 }
--- a/lib/src/job_table.rs
+++ b/lib/src/job_table.rs
@@ -12,9 +12,9 @@
 use crate::job_id::JobId;
 use crate::lanes::LaneName;
 use crate::outcome::Cause;
+use crate::outcome::JobReply;
 use crate::outcome::Outcome;
 use crate::outcome::Refusal;
-use crate::outcome::Verdict;
 use crate::prelude::LinkId;
 use crate::room::Room;
 use crate::shard::Epoch;
@@ -95,7 +95,7 @@
     /// Who waits for it.
     pub waiters: Vec<Waiter>,
     /// Its end, once it has one.
-    pub ended: Option<Verdict>,
+    pub ended: Option<JobReply>,
     /// When a resubmission is taken in again, after it ended as `not_run`.
     pub again: Mono,
     /// Whether the bodies of its tasks are held, so that they can be sent.
@@ -115,7 +115,7 @@
         };
         let tasks: usize = self.tasks.iter().map(held).sum();
         let ended = match &self.ended {
-            Some(Verdict::Complete(body)) => body.len(),
+            Some(JobReply::Complete(body)) => body.len(),
             _ => 0,
         };
         tasks + ended
@@ -142,8 +142,8 @@
     pub fn undecided(&self) -> bool {
         match &self.ended {
             None => true,
-            Some(Verdict::Other(refusal)) => refusal.outcome == Some(Outcome::Unknown),
-            Some(Verdict::Complete(_)) => false,
+            Some(JobReply::Other(refusal)) => refusal.outcome == Some(Outcome::Unknown),
+            Some(JobReply::Complete(_)) => false,
         }
     }
 
@@ -155,17 +155,17 @@
 
     /// How the job ends if nothing more is done for it, with a cause for the case that nothing
     /// ran.
-    pub fn verdict(&self, cause: Cause, detail: &str) -> Verdict {
+    pub fn verdict(&self, cause: Cause, detail: &str) -> JobReply {
         let all = self
             .tasks
             .iter()
             .all(|t| matches!(t.state, TaskState::Answered(_)));
         if all {
-            return Verdict::Complete(self.answers());
+            return JobReply::Complete(self.answers());
         }
         if let Some((reason, cause)) = self.first_failure() {
             let detail = format!("{reason}; {} tasks in all", self.tasks.len());
-            return Verdict::Other(Refusal::new(Outcome::Failed, cause, detail));
+            return JobReply::Other(Refusal::new(Outcome::Failed, cause, detail));
         }
         let outcome = if self.ran() {
             Outcome::Failed
@@ -174,7 +174,7 @@
         } else {
             Outcome::NotRun
         };
-        Verdict::Other(Refusal::new(outcome, cause, detail))
+        JobReply::Other(Refusal::new(outcome, cause, detail))
     }
 
     fn first_failure(&self) -> Option<(String, Cause)> {
@@ -210,9 +210,9 @@
     }
 
     /// Drops what a job that ends with this verdict does not need any more.
-    pub fn shrink(&mut self, verdict: &Verdict) {
+    pub fn shrink(&mut self, verdict: &JobReply) {
         self.submitted = false;
-        if matches!(verdict, Verdict::Complete(_)) {
+        if matches!(verdict, JobReply::Complete(_)) {
             self.tasks = Vec::new();
             return;
         }
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -156,7 +156,7 @@
 
 /// The answer to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum JobReply {
     /// The job is complete: a JSON list with one answer a task, in task order.
     Complete(Bytes),
     /// Anything else.
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -13,7 +13,7 @@
 use crate::room::Room;
 
 /// What a placement decides on.
-pub struct Scene<'a> {
+pub struct PlacementRequest<'a> {
     /// The present.
     pub now: Mono,
     /// All workers.
@@ -24,10 +24,10 @@
     pub need: Room,
 }
 
-impl Scene<'_> {
+impl PlacementRequest<'_> {
     fn open(&self, key: AgentKey) -> Option<&Worker> {
         let worker = self.fleet.get(key)?;
-        let open = worker.usable(self.now) && worker.health.open(self.now);
+        let open = worker.is_usable(self.now) && worker.health.accepts_tasks(self.now);
         open.then_some(worker)
     }
 }
@@ -35,7 +35,7 @@
 /// A way to choose a worker.
 pub trait Placement {
     /// The worker for the next task; `None` to let it wait.
-    fn pick(&mut self, scene: &Scene<'_>, rng: &mut dyn RngCore) -> Option<AgentKey>;
+    fn pick(&mut self, scene: &PlacementRequest<'_>, rng: &mut dyn RngCore) -> Option<AgentKey>;
 }
 
 /// The ways there are. All but [`Policy::Random`] and [`Policy::RoundRobin`] send a task only to
@@ -69,7 +69,7 @@
         Placer { policy, turn: 0 }
     }
 
-    fn round_robin(&mut self, scene: &Scene<'_>) -> Option<AgentKey> {
+    fn round_robin(&mut self, scene: &PlacementRequest<'_>) -> Option<AgentKey> {
         let count = scene.permitted.len();
         for _ in 0..count {
             self.turn = (self.turn + 1) % count;
@@ -83,7 +83,7 @@
 }
 
 impl Placement for Placer {
-    fn pick(&mut self, scene: &Scene<'_>, rng: &mut dyn RngCore) -> Option<AgentKey> {
+    fn pick(&mut self, scene: &PlacementRequest<'_>, rng: &mut dyn RngCore) -> Option<AgentKey> {
         match self.policy {
             Policy::Random => random(scene, rng),
             Policy::RoundRobin => self.round_robin(scene),
@@ -98,7 +98,7 @@
     worker.room.fits(worker.own, need)
 }
 
-fn random(scene: &Scene<'_>, rng: &mut dyn RngCore) -> Option<AgentKey> {
+fn random(scene: &PlacementRequest<'_>, rng: &mut dyn RngCore) -> Option<AgentKey> {
     let count = scene.permitted.len();
     if count == 0 {
         return None;
@@ -108,7 +108,7 @@
     order.into_iter().find(|key| scene.open(*key).is_some())
 }
 
-fn two_choices(scene: &Scene<'_>, rng: &mut dyn RngCore) -> Option<AgentKey> {
+fn two_choices(scene: &PlacementRequest<'_>, rng: &mut dyn RngCore) -> Option<AgentKey> {
     let one = random(scene, rng)?;
     let two = random(scene, rng)?;
     let fill = |key: AgentKey| scene.fleet.get(key).map_or(u32::MAX, Worker::fill);
@@ -122,7 +122,7 @@
 ///
 /// Among many workers a sample is looked at first; all of them only if none of it has room.
 fn least(
-    scene: &Scene<'_>,
+    scene: &PlacementRequest<'_>,
     rng: &mut dyn RngCore,
     measure: fn(&Worker) -> u32,
     fits: fn(&Worker, Room) -> bool,
@@ -150,7 +150,7 @@
 const SAMPLE: usize = 32;
 
 fn least_of(
-    scene: &Scene<'_>,
+    scene: &PlacementRequest<'_>,
     keys: impl Iterator<Item = AgentKey>,
     measure: fn(&Worker) -> u32,
     fits: fn(&Worker, Room) -> bool,
--- a/lib/testutils/src/bin/capacity.rs
+++ b/lib/testutils/src/bin/capacity.rs
@@ -17,7 +17,7 @@
 use stackcourse_lib::job_table::Job;
 use stackcourse_lib::job_table::JobTable;
 use stackcourse_lib::lanes::LaneName;
-use stackcourse_lib::outcome::Verdict;
+use stackcourse_lib::outcome::JobReply;
 use stackcourse_lib::room::Room;
 use stackcourse_lib::shard::Epoch;
 use stackcourse_lib::shard::ShardId;
@@ -358,7 +358,7 @@
                 arrived: Mono(1),
                 deadline: Mono(1),
                 waiters: Vec::new(),
-                ended: Some(Verdict::Complete(bytes::Bytes::from(vec![b'x'; 2_000]))),
+                ended: Some(JobReply::Complete(bytes::Bytes::from(vec![b'x'; 2_000]))),
                 again: Mono(0),
                 submitted: false,
                 claimed: false,
--- a/lib/testutils/src/witness.rs
+++ b/lib/testutils/src/witness.rs
@@ -6,8 +6,8 @@
 use stackcourse_lib::job_id::JobId;
 use stackcourse_lib::job_id::TaskKey;
 use stackcourse_lib::outcome::Cause;
+use stackcourse_lib::outcome::JobReply;
 use stackcourse_lib::outcome::Outcome;
-use stackcourse_lib::outcome::Verdict;
 
 /// What the witness knows of one job.
 #[derive(Clone, Debug, Default)]
@@ -81,13 +81,13 @@
 
     /// A caller got an answer. Requests whose entry died, or that ended as `unknown`, count as open
     /// for ever: what they asked may still be under way.
-    pub fn answered(&mut self, job: JobId, tasks: u32, before: Before, verdict: &Verdict) {
+    pub fn answered(&mut self, job: JobId, tasks: u32, before: Before, verdict: &JobReply) {
         let outcome = match verdict {
-            Verdict::Complete(_) => Some(Outcome::Complete),
-            Verdict::Other(refusal) => refusal.outcome,
+            JobReply::Complete(_) => Some(Outcome::Complete),
+            JobReply::Other(refusal) => refusal.outcome,
         };
         self.outcomes[outcome.map_or(0, |o| o.code() as usize)] += 1;
-        if let Verdict::Other(refusal) = verdict {
+        if let JobReply::Other(refusal) = verdict {
             let untimely = matches!(refusal.cause, Cause::Ahead | Cause::Expired);
             self.untimely += u64::from(untimely);
         }
@@ -108,7 +108,7 @@
                 self.accuse(format!("{job} was `not_run` but had started"));
             }
         }
-        if let Verdict::Complete(body) = verdict
+        if let JobReply::Complete(body) = verdict
             && *body != expected_answers(job, tasks)
         {
             self.accuse(format!("{job} got another answer than its own"));
--- a/lib/testutils/src/world.rs
+++ b/lib/testutils/src/world.rs
@@ -20,7 +20,7 @@
 use stackcourse_lib::entry::Entry;
 use stackcourse_lib::entry::EntrySetup;
 use stackcourse_lib::entry::Submission;
-use stackcourse_lib::outcome::Verdict;
+use stackcourse_lib::outcome::JobReply;
 use stackcourse_lib::prelude::*;
 use stackcourse_lib::start_record::Broken;
 use stackcourse_lib::store::StoreOp;
@@ -714,7 +714,7 @@
         self.at(due - now, Event::Frame(id, side, body));
     }
 
-    fn respond(&mut self, proc: Proc, id: u64, verdict: &Verdict) {
+    fn respond(&mut self, proc: Proc, id: u64, verdict: &JobReply) {
         let Some(open) = self.requests.remove(&(proc, id)) else {
             let what = format!("request {id} at p{proc} was answered twice");
             return self.witness.accuse(what);
