--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,8 +1,7 @@
-//! Admission: whether a job is taken in, and when a refused caller should come back.
+//! Admission control: decides whether a job is accepted, and when the caller of a refused job should retry.
 //!
-//! The wait is estimated from the tasks in front, the mean time of a task and the slots that work
-//! on them. A job that can't start in time is refused at once, so that work which nobody waits for
-//! any more never takes a slot.
+//! The wait is estimated from the number of tasks ahead, the mean duration of a task and the number of slots. A job
+//! that can't meet its deadline is refused at once, so that tasks whose caller has given up never occupy a slot.
 
 use std::time::Duration;
 
@@ -13,72 +12,73 @@
 use crate::clock::millis;
 use crate::outcome::Cause;
 
-/// How fast the mean time of a task follows: the weight of one more task.
+/// The weight of a new sample in the moving mean of task durations.
 const MEAN_WEIGHT: f64 = 0.02;
-/// The mean assumed before any task has ended.
-const FIRST_MEAN: Duration = Duration::from_millis(300);
-/// The least time after which a refused caller is asked to come back.
-const LEAST_RETRY: Duration = Duration::from_millis(200);
-/// The longest time after which a refused caller is asked to come back.
-const LONGEST_RETRY: Duration = Duration::from_secs(20);
-
-/// What the decision rests on.
+/// The mean task duration that is assumed before any task has ended.
+const INITIAL_MEAN: Duration = Duration::from_millis(300);
+/// The lower bound of a retry delay, before jitter.
+const MIN_RETRY: Duration = Duration::from_millis(200);
+/// The upper bound of a retry delay, before jitter.
+const MAX_RETRY: Duration = Duration::from_secs(20);
+
+/// The load and the limits that an admission decision is based on.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLoad {
-    /// Tasks in front, waiting or running, of all that share the slots.
+    /// The number of tasks ahead: those that wait at the entry, and those placed in excess of the slots.
     pub waiting: usize,
-    /// The slots that may work on them.
+    /// The number of slots that run these tasks.
     pub slots: usize,
-    /// Tasks in front that share the team's quota.
+    /// The number of tasks that wait at the entry and share the quota of the team.
     pub team_waiting: usize,
-    /// The team's quota; `None` for no bound.
+    /// The quota of the team; `None` if it is unlimited.
     pub team_quota: Option<usize>,
-    /// The most tasks that may wait at this entry.
+    /// The maximum of tasks ahead and tasks of the job together. A larger job is accepted only if none are ahead.
     pub queue: usize,
-    /// The longest wait that is taken in.
+    /// The maximum estimated wait of an accepted job.
     pub longest: Duration,
 }
 
-/// Estimates waits.
+/// Estimates queue waits and decides on the admission of jobs.
 #[derive(Debug)]
 pub struct Admission {
+    /// The moving mean of task durations, in seconds.
     mean: f64,
 }
 
 impl Default for Admission {
     fn default() -> Admission {
         Admission {
-            mean: FIRST_MEAN.as_secs_f64(),
+            mean: INITIAL_MEAN.as_secs_f64(),
         }
     }
 }
 
 impl Admission {
-    /// A task has ended.
+    /// Records the duration of a task that has ended.
     pub fn ended(&mut self, took: Duration) {
         self.mean += (took.as_secs_f64() - self.mean) * MEAN_WEIGHT;
     }
 
-    /// The mean time of a task.
+    /// Returns the mean duration of a task.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean)
     }
 
-    /// The wait of a task that comes in now.
+    /// Returns the estimated wait of a task that arrives now.
     pub fn wait(&self, crowd: &QueueLoad) -> Duration {
-        let behind = |tasks: usize, slots: usize| self.mean * tasks as f64 / slots.max(1) as f64;
-        let all = behind(crowd.waiting, crowd.slots);
+        let estimate = |tasks: usize, slots: usize| self.mean * tasks as f64 / slots.max(1) as f64;
+        let all = estimate(crowd.waiting, crowd.slots);
         let team = crowd
             .team_quota
-            .map_or(0.0, |quota| behind(crowd.team_waiting, quota));
+            .map_or(0.0, |quota| estimate(crowd.team_waiting, quota));
         Duration::from_secs_f64(all.max(team))
     }
 
-    /// Decides on a job of `tasks` tasks with `left` until its deadline.
+    /// Decides whether to accept a job of `tasks` tasks with `left` until its deadline.
     ///
     /// # Errors
     ///
-    /// The cause of the refusal, and the wait it rests on.
+    /// Returns the cause of the refusal and the estimated wait.
     pub fn admit(
         &self,
         crowd: &QueueLoad,
@@ -96,48 +96,51 @@
     }
 }
 
-/// When a refused caller should come back: after about the present wait, spread over as much
-/// again so that the refused do not all come back at once.
+/// Returns the time after which a refused caller should retry, in milliseconds.
+///
+/// It is the estimated wait within bounds, with a jitter of half of it to either side so that refused callers do not
+/// all retry at once.
 pub fn retry_ms(wait: Duration, rng: &mut dyn RngCore) -> u64 {
-    let base = wait.clamp(LEAST_RETRY, LONGEST_RETRY);
+    let base = wait.clamp(MIN_RETRY, MAX_RETRY);
     millis(base.mul_f64(rng.random_range(0.5..1.5)))
 }
 
-/// A budget for repeating work that provably did not start: a tenth of what is started, saved up
-/// to a bound. Without it, repeats could feed an overload.
+/// A token bucket that limits immediate retries of tasks that were returned without having started.
+///
+/// It gains tokens with each task that is started and over time. Without it, retries could amplify an overload.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
-    refilled: Mono,
+    refilled_at: Mono,
 }
 
-/// How much each start adds to the budget.
-const TOKENS_A_START: f64 = 0.1;
-/// The most that can be saved up.
-const MOST_TOKENS: f64 = 100.0;
-/// What time alone adds, a second, so that a quiet system can repeat too.
-const TOKENS_A_SECOND: f64 = 10.0;
+/// The number of tokens that each start adds.
+const TOKENS_PER_START: f64 = 0.1;
+/// The capacity of the budget.
+const MAX_TOKENS: f64 = 100.0;
+/// The number of tokens added per second, so that a system with few starts can retry too.
+const TOKENS_PER_SECOND: f64 = 10.0;
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
         RetryBudget {
-            tokens: MOST_TOKENS,
-            refilled: Mono(0),
+            tokens: MAX_TOKENS,
+            refilled_at: Mono(0),
         }
     }
 }
 
 impl RetryBudget {
-    /// A task was started.
+    /// Adds the tokens for a task that was started.
     pub fn started(&mut self) {
-        self.tokens = (self.tokens + TOKENS_A_START).min(MOST_TOKENS);
+        self.tokens = (self.tokens + TOKENS_PER_START).min(MAX_TOKENS);
     }
 
-    /// Takes one repeat from the budget; false when it is spent.
+    /// Takes a token for one retry. Returns false if the budget is exhausted.
     pub fn take(&mut self, now: Mono) -> bool {
-        let idle = now.since(self.refilled).as_secs_f64();
-        self.refilled = now;
-        self.tokens = (self.tokens + idle * TOKENS_A_SECOND).min(MOST_TOKENS);
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed * TOKENS_PER_SECOND).min(MAX_TOKENS);
         if self.tokens < 1.0 {
             return false;
         }
--- a/lib/src/admission/tests.rs
+++ b/lib/src/admission/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn test_admission_refuses_what_cannot_start_in_time() {
+fn test_admission_refusal_causes() {
     let admission = Admission::default();
     let left = Duration::from_millis(700);
     assert_eq!(admission.admit(&crowd(80), 1, left), Ok(()));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn test_admission_counts_the_quota_of_a_team() {
+fn test_admission_team_quota() {
     let mut tight = crowd(0);
     tight.team_waiting = 10;
     tight.team_quota = Some(2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn test_retry_budget_is_spent_and_refilled() {
+fn test_retry_budget_refill() {
     let mut budget = RetryBudget::default();
     let taken = (0..200).filter(|_| budget.take(Mono(0))).count();
     assert_eq!(taken, 100);
--- a/lib/src/clock_step/tests.rs
+++ b/lib/src/clock_step/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn test_clock_step_is_told_once_with_its_size() {
+fn test_clock_step_reported_once() {
     let mut watch = StepWatch::default();
     assert_eq!(watch.detect_step(0), None);
     let ahead = watch.detect_step(600_000).expect("a step");
@@ -17,15 +17,15 @@
 }
 
 #[test]
-fn test_clock_step_passes_over_small_corrections() {
+fn test_clock_step_small_corrections() {
     let mut watch = StepWatch::default();
     watch.detect_step(0);
     assert_eq!(watch.detect_step(499), None);
-    assert!(watch.detect_step(500).is_some(), "they add up");
+    assert!(watch.detect_step(500).is_some(), "corrections add up");
 }
 
 #[test]
-fn test_clock_step_is_none_after_the_time_carried_on_was_changed() {
+fn test_clock_step_after_reset() {
     let mut watch = StepWatch::default();
     watch.detect_step(0);
     watch.reset();
--- a/lib/src/follower.rs
+++ b/lib/src/follower.rs
@@ -1,4 +1,7 @@
-//! The configuration follower: moves a node from version to version, only upward.
+//! Tracks the configuration version in force on a node.
+//!
+//! The input are versions from the store or from peers, in any order; the output is the configuration in force. Its
+//! version never decreases.
 
 use std::sync::Arc;
 
@@ -12,43 +15,44 @@
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
     version: u64,
-    tried: u64,
+    /// The highest version that was applied or skipped.
+    last_tried: u64,
     value: Bytes,
     config: Arc<Configuration>,
 }
 
 impl Follower {
-    /// The version in force; 0 before the first.
+    /// Returns the version in force; 0 before the first.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The configuration in force; empty before the first version.
+    /// Returns the configuration in force; it is empty before the first version.
     pub fn config(&self) -> &Arc<Configuration> {
         &self.config
     }
 
-    /// The value of the version in force as it stands in the store.
+    /// Returns the stored value of the version in force.
     pub fn value(&self) -> &Bytes {
         &self.value
     }
 
-    /// The version to look for next.
+    /// Returns the version to read next.
     pub fn next(&self) -> u64 {
-        self.tried + 1
+        self.last_tried + 1
     }
 
-    /// Takes in the value of a version, from the store or a peer. Returns whether it is in force
-    /// now; a version at or below the one in force changes nothing.
+    /// Applies the value of a version that was received from the store or from a peer. Returns whether this brought
+    /// it into force; a version that is not above all versions received before changes nothing.
     ///
     /// # Errors
     ///
-    /// When the version can't be used. It is passed over: the node stays on the one in force.
+    /// Returns an error if the version can't be used. It is skipped, and the version in force stays.
     pub fn apply(&mut self, version: u64, value: Bytes) -> Result<bool, VersionError> {
-        if version <= self.tried {
+        if version <= self.last_tried {
             return Ok(false);
         }
-        self.tried = version;
+        self.last_tried = version;
         let config = Version::parse(version, &value)?.configuration()?;
         assert!(
             version > self.version,
--- a/lib/src/follower/tests.rs
+++ b/lib/src/follower/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn test_follower_moves_only_upward() {
+fn test_follower_version_never_decreases() {
     let mut follower = Follower::default();
     let empty = json!({"services": {}});
     assert_matches!(follower.apply(2, value(2, empty.clone())), Ok(true));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn test_follower_passes_over_what_it_cannot_read() {
+fn test_follower_invalid_version() {
     let mut follower = Follower::default();
     let bad = follower.apply(1, value(1, json!({"services": 4})));
     assert_matches!(bad, Err(VersionError::Findings { version: 1, .. }));
