--- a/lib/src/configuration.rs
+++ b/lib/src/configuration.rs
@@ -1,8 +1,8 @@
-//! The operators' declarative configuration: which services exist, where their work may run, how
-//! much each may use, and which teams share it.
+//! The declarative configuration that operators write: which services exist, where their tasks may run, how much
+//! capacity each may use, and which teams share it.
 //!
-//! A document is read as a whole or not at all: [`Configuration::parse`] gives either the
-//! configuration or every finding about it.
+//! A document is accepted or rejected as a whole: [`Configuration::parse`] returns either the configuration or all
+//! findings about it.
 
 use std::collections::BTreeMap;
 
@@ -18,71 +18,71 @@
 use crate::findings::kind;
 use crate::room::Room;
 
-/// The largest document, in bytes. The store holds values up to a megabyte, and the version's
-/// own fields need some of it.
+/// The maximum size of a document, in bytes. The store holds values of up to one MiB, and the other fields of the
+/// stored version need some of it.
 pub const MAX_BYTES: usize = 1_000_000;
 
-/// The team of services that name none. It has no quota.
+/// The team of services that don't name one. It has no quota.
 pub const DEFAULT_TEAM: &str = "default";
 
-/// Stands for every hall or zone in a service's lists.
+/// Matches every hall or availability zone in the lists of a service.
 pub const ANYWHERE: &str = "*";
 
-/// Whether a request to a service may be repeated.
+/// Whether requests to a service may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// The rules for every job suffice.
+    /// The guarantees that apply to every job suffice.
     #[default]
     Safe,
-    /// A claim is written to the store before anything starts.
+    /// In addition, a claim is written to the store before any task of a job starts.
     Never,
 }
 
-/// Which of the two measures a deployment weighs more heavily.
+/// What a deployment optimizes for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Favour {
-    /// Response time: queues are kept short, and a job that would wait long is refused at once with
-    /// the time after which to come back.
+    /// Response time: queues are kept short. A job that would wait too long is refused at once, with the time after
+    /// which to retry.
     #[default]
     Time,
-    /// Wasted messages: a job waits for as long as its deadline allows, so that few requests are
-    /// refused and sent again.
+    /// Few wasted messages: a job waits for as long as its deadline allows, so that few requests are refused and sent
+    /// again.
     Messages,
 }
 
-/// One service.
+/// The configuration of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Halls in which its work may run; `*` for all.
+    /// The halls in which its tasks may run; `*` for all.
     pub halls: Vec<String>,
-    /// Availability zones in which its work may run; `*` for all.
+    /// The availability zones in which its tasks may run; `*` for all.
     pub zones: Vec<String>,
-    /// Backend servers, by the names of their agents, on which it may run; all when empty.
+    /// The backend servers on which its tasks may run, by the names of their agents; all if empty.
     #[serde(default)]
     pub backends: Vec<String>,
-    /// What one task takes of a backend server.
+    /// The resources of a backend server that one task takes.
     #[serde(default)]
     pub need: Room,
-    /// Whether requests may be repeated.
+    /// Whether requests to it may be repeated.
     #[serde(default)]
     pub repeat: Repeat,
     /// The team whose quota its tasks use.
     pub team: String,
-    /// How many of its tasks may run at once; 0 for no bound.
+    /// The maximum number of its tasks that run at once; 0 for no limit.
     #[serde(default)]
     pub capacity: u32,
 }
 
-/// One team.
+/// The configuration of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// How many of its tasks may run at once.
+    /// The maximum number of its tasks that run at once.
     pub quota: u32,
-    /// Its weight against other teams when the system is full.
+    /// Its weight relative to other teams when tasks have to wait for a slot.
     #[serde(default = "one")]
     pub weight: u32,
 }
@@ -91,20 +91,20 @@
     1
 }
 
-/// Bounds for the whole system.
+/// Limits for the whole system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// How many tasks may wait at one entry.
+    /// The maximum number of tasks that may wait at one entry.
     pub queue: u32,
-    /// How many entries own shards; 0 for all of them. Fewer owners see more of the load each
-    /// and place better; more owners carry more.
+    /// The number of entries that own shards; 0 for all entries. With fewer owners, each sees more of the load and
+    /// places tasks better; more owners can handle more requests.
     pub owners: u32,
-    /// The deadline of jobs that name none, in milliseconds.
+    /// The deadline of jobs that don't state one, in milliseconds.
     pub deadline_ms: u64,
-    /// The longest deadline a job may name, in milliseconds.
+    /// The longest deadline that a job may state, in milliseconds.
     pub longest_ms: u64,
-    /// Which measure weighs more.
+    /// What the system optimizes for.
     pub favour: Favour,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
@@ -129,24 +129,24 @@
     /// The teams by name.
     #[serde(default)]
     pub teams: BTreeMap<String, Team>,
-    /// Bounds for the whole system.
+    /// Limits for the whole system.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// What a worker is to a service's rules.
+/// The location of a worker, which decides the services that may run there.
 #[derive(Clone, Copy, Debug)]
 pub struct Site<'a> {
     /// The name of its agent.
     pub name: &'a str,
-    /// Its hall.
+    /// The hall it is in.
     pub hall: &'a str,
-    /// Its availability zone.
+    /// The availability zone it is in.
     pub zone: &'a str,
 }
 
 impl Service {
-    /// Whether its work may run at a worker.
+    /// Returns whether its tasks may run at a worker.
     pub fn permits(&self, site: Site<'_>) -> bool {
         let within = |list: &[String], word: &str| list.iter().any(|l| l == ANYWHERE || l == word);
         within(&self.halls, site.hall)
@@ -154,7 +154,7 @@
             && (self.backends.is_empty() || within(&self.backends, site.name))
     }
 
-    /// What one task takes; at least one slot.
+    /// Returns the resources that one task takes; at least one slot.
     pub fn task_room(&self) -> Room {
         Room {
             slots: self.need.slots.max(1),
@@ -164,18 +164,15 @@
 }
 
 impl Configuration {
-    /// Reads a document.
+    /// Parses a document. `file` is its name in findings.
     ///
     /// # Errors
     ///
-    /// Every finding, in the order of the document.
+    /// Returns all findings.
     pub fn parse(file: &str, text: &[u8]) -> Result<Configuration, Vec<Finding>> {
         let mut findings = Findings::new(file);
         if text.len() > MAX_BYTES {
-            let message = format!(
-                "holds {} bytes; at most {MAX_BYTES} can be kept",
-                text.len()
-            );
+            let message = format!("has {} bytes; the maximum is {MAX_BYTES}", text.len());
             findings.add("", message);
             return Err(findings.into_list());
         }
@@ -190,12 +187,12 @@
         }
     }
 
-    /// The JSON schema of a document.
+    /// Returns the JSON schema of a document.
     pub fn schema() -> Value {
         schemars::schema_for!(Configuration).to_value()
     }
 
-    /// The part that concerns one agent.
+    /// Returns the part that applies to one agent.
     pub fn part(&self, version: u64, site: Site<'_>) -> AgentPart {
         let permitted = self.services.iter().filter(|(_, s)| s.permits(site));
         AgentPart {
@@ -206,7 +203,7 @@
         }
     }
 
-    /// What changes from this configuration to `next`, a line each.
+    /// Returns the changes from this configuration to `next`, one line each.
     pub fn diff(&self, next: &Configuration) -> Vec<String> {
         let old = serde_json::to_value(self).unwrap_or_default();
         let new = serde_json::to_value(next).unwrap_or_default();
@@ -260,7 +257,7 @@
         let known = service.team == DEFAULT_TEAM || teams.contains_key(&service.team);
         if !known {
             let place = format!("/services/{}/team", escape(name));
-            let message = format!("no team `{}` stands under /teams", service.team);
+            let message = format!("team `{}` is not defined under /teams", service.team);
             findings.add(&place, message);
         }
     }
@@ -295,10 +292,10 @@
     read
 }
 
-/// Whether a name can stand in a path and a metrics label.
+/// Returns whether a name is valid, that is, usable in URL paths and metric labels.
 pub fn good_name(name: &str) -> bool {
-    let fine = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    (1..=64).contains(&name.len()) && name.chars().all(fine)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    (1..=64).contains(&name.len()) && name.chars().all(is_allowed)
 }
 
 fn read_team(value: &Value, pointer: &str, findings: &mut Findings) -> Option<Team> {
@@ -335,7 +332,7 @@
     Some(service)
 }
 
-/// A list of halls or zones. It is required: that work may run anywhere must be said.
+/// Reads a list of halls or zones. It is required, so that running anywhere is an explicit choice.
 fn read_places(
     fields: &mut Fields<'_>,
     name: &'static str,
@@ -349,7 +346,7 @@
     places.unwrap_or_default()
 }
 
-/// Reads a room; also used for the settings of an agent.
+/// Reads resources, of a service's tasks or in the settings of an agent.
 pub fn read_room(value: &Value, pointer: &str, findings: &mut Findings) -> Room {
     let Some(mut fields) = Fields::new(value, pointer, findings) else {
         return Room::TASK;
@@ -387,38 +384,39 @@
     limits
 }
 
-/// The part of a configuration that concerns one agent: what may run there, and what it takes.
+/// The part of a configuration that applies to one agent: the services that may run there, and the resources that
+/// their tasks take.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentPart {
-    /// The version it is of; 0 before the first.
+    /// The configuration version; 0 before the first.
     #[serde(skip)]
     pub version: u64,
-    /// Room a task takes, for each permitted service.
+    /// The resources that one task takes, by permitted service.
     pub services: BTreeMap<String, Room>,
 }
 
 impl AgentPart {
-    /// Reads a part as it travels.
+    /// Parses a part that was received from an entry.
     ///
     /// # Errors
     ///
-    /// When it is not the JSON that an entry writes.
+    /// Returns an error if the bytes are not the JSON that [`AgentPart::json`] returns.
     pub fn parse(version: u64, json: &[u8]) -> Result<AgentPart, serde_json::Error> {
         let part: AgentPart = serde_json::from_slice(json)?;
         Ok(AgentPart { version, ..part })
     }
 
-    /// The part as it travels.
+    /// Returns the JSON in which an entry sends the part.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a map of numbers is JSON")
     }
 
-    /// Whether the service may run here.
+    /// Returns whether the service may run at this agent.
     pub fn permits(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// What one task of the service takes.
+    /// Returns the resources that one task of the service takes; one slot if the service is unknown.
     pub fn need(&self, service: &str) -> Room {
         self.services.get(service).copied().unwrap_or(Room::TASK)
     }
--- a/lib/src/configuration/tests.rs
+++ b/lib/src/configuration/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn test_service_binds_hall_and_zone() {
+fn test_service_permitted_sites() {
     let text = br#"{"services": {"q": {"halls": ["h1"], "zones": ["z1", "z2"]}}}"#;
     let read = Configuration::parse("c.json", text).unwrap();
     let site = |hall, zone| Site {
--- a/lib/src/findings.rs
+++ b/lib/src/findings.rs
@@ -1,5 +1,7 @@
-//! Findings: what is wrong with a JSON document, each with its file and JSON pointer (RFC 6901),
-//! collected and reported together.
+//! Validates JSON documents.
+//!
+//! Each error is a finding with the file and the JSON pointer (RFC 6901) of its place. All findings about a document
+//! are collected and reported together.
 
 use std::fmt;
 
@@ -7,14 +9,14 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// One thing wrong with a document.
+/// An error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The document's name, usually a file path.
+    /// The name of the document, usually a file path.
     pub file: String,
-    /// The JSON pointer of the place; empty for the whole document.
+    /// The JSON pointer of the invalid value; empty for the whole document.
     pub pointer: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what is expected.
     pub message: String,
 }
 
@@ -37,7 +39,7 @@
 }
 
 impl Findings {
-    /// No findings yet about the document of this name.
+    /// Returns an empty list of findings about the document of this name.
     pub fn new(file: impl Into<String>) -> Findings {
         Findings {
             file: file.into(),
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Adds one.
+    /// Adds a finding.
     pub fn add(&mut self, pointer: &str, message: impl Into<String>) {
         self.list.push(Finding {
             file: self.file.clone(),
@@ -54,17 +56,17 @@
         });
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// All of them, in the order of the document's fields.
+    /// Returns the findings, in the order in which they were added.
     pub fn into_list(self) -> Vec<Finding> {
         self.list
     }
 
-    /// Parses a text. A syntax error becomes a finding with its line and column.
+    /// Parses JSON. A syntax error becomes a finding with its line and column.
     pub fn parse(&mut self, text: &[u8]) -> Option<Value> {
         match serde_json::from_slice(text) {
             Ok(value) => Some(value),
@@ -76,8 +78,9 @@
     }
 }
 
-/// An object being read: each field is asked for by name, and [`Fields::finish`] reports those
-/// that nobody asked for.
+/// Reads the fields of an object.
+///
+/// Each field is read by name, and [`Fields::finish`] reports the fields that were not read as unknown.
 #[derive(Debug)]
 pub struct Fields<'a> {
     pointer: String,
@@ -86,7 +89,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Reads `value` as an object; reports it if it is none.
+    /// Reads `value` as an object; reports any other type.
     pub fn new(value: &'a Value, pointer: &str, findings: &mut Findings) -> Option<Fields<'a>> {
         let Value::Object(map) = value else {
             findings.add(pointer, format!("must be an object, is {}", kind(value)));
@@ -99,18 +102,18 @@
         })
     }
 
-    /// The pointer of a field.
+    /// Returns the JSON pointer of a field.
     pub fn at(&self, name: &str) -> String {
         format!("{}/{}", self.pointer, escape(name))
     }
 
-    /// The raw value of a field.
+    /// Returns the raw value of a field; `None` if it is absent.
     pub fn value(&mut self, name: &'static str) -> Option<&'a Value> {
         self.known.push(name);
         self.map.get(name)
     }
 
-    /// A whole number within a range, or its default.
+    /// Reads a whole number within a range. Returns the default if the field is absent or invalid.
     pub fn number(
         &mut self,
         name: &'static str,
@@ -132,7 +135,7 @@
         }
     }
 
-    /// A number within a range, or its default.
+    /// Reads a number within a range. Returns the default if the field is absent or invalid.
     pub fn ratio(
         &mut self,
         name: &'static str,
@@ -154,7 +157,7 @@
         }
     }
 
-    /// True or false, or the default.
+    /// Reads a boolean. Returns the default if the field is absent or invalid.
     pub fn switch(&mut self, name: &'static str, default: bool, findings: &mut Findings) -> bool {
         let Some(value) = self.value(name) else {
             return default;
@@ -166,7 +169,8 @@
         })
     }
 
-    /// A text, or its default; `None` as default makes the field required.
+    /// Reads a non-empty string. Returns the default if the field is absent; the field is required if the default is
+    /// `None`.
     pub fn text(
         &mut self,
         name: &'static str,
@@ -176,7 +180,7 @@
         match (self.value(name), default) {
             (Some(Value::String(s)), _) if !s.is_empty() => s.clone(),
             (Some(other), _) => {
-                let message = format!("must be a text that is not empty, is {other}");
+                let message = format!("must be a non-empty string, is {other}");
                 findings.add(&self.at(name), message);
                 String::new()
             }
@@ -188,7 +192,7 @@
         }
     }
 
-    /// One of several words, or the first of them as default.
+    /// Reads one of several words. Returns the value of the first one if the field is absent or invalid.
     pub fn word<T: Copy>(
         &mut self,
         name: &'static str,
@@ -208,11 +212,11 @@
         words[0].1
     }
 
-    /// A list of texts; `None` when absent.
+    /// Reads an array of non-empty strings; `None` if the field is absent.
     pub fn texts(&mut self, name: &'static str, findings: &mut Findings) -> Option<Vec<String>> {
         let value = self.value(name)?;
         let Value::Array(items) = value else {
-            let message = format!("must be a list of texts, is {}", kind(value));
+            let message = format!("must be an array of strings, is {}", kind(value));
             findings.add(&self.at(name), message);
             return Some(Vec::new());
         };
@@ -222,17 +226,14 @@
                 Some(s) if !s.is_empty() => texts.push(s.to_owned()),
                 _ => {
                     let place = format!("{}/{i}", self.at(name));
-                    findings.add(
-                        &place,
-                        format!("must be a text that is not empty, is {item}"),
-                    );
+                    findings.add(&place, format!("must be a non-empty string, is {item}"));
                 }
             }
         }
         Some(texts)
     }
 
-    /// Reports the fields that nobody asked for.
+    /// Reports the fields that were not read as unknown.
     pub fn finish(self, findings: &mut Findings) {
         for name in self.map.keys() {
             if !self.known.contains(&name.as_str()) {
@@ -243,19 +244,19 @@
     }
 }
 
-/// Escapes one step of a JSON pointer.
-pub fn escape(step: &str) -> String {
-    step.replace('~', "~0").replace('/', "~1")
+/// Escapes one reference token of a JSON pointer.
+pub fn escape(token: &str) -> String {
+    token.replace('~', "~0").replace('/', "~1")
 }
 
-/// What a value is, in words.
+/// Returns the type of a value for messages.
 pub fn kind(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
-        Value::Bool(_) => "true or false",
+        Value::Bool(_) => "a boolean",
         Value::Number(_) => "a number",
-        Value::String(_) => "a text",
-        Value::Array(_) => "a list",
+        Value::String(_) => "a string",
+        Value::Array(_) => "an array",
         Value::Object(_) => "an object",
     }
 }
