--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The fleet: the backend servers as one entry knows them.
+//! The backend servers and their agents, as known to one entry.
 //!
-//! An entry's own outstanding tasks are known exactly. What other entries have placed is known
-//! from the load reports that ride on answers and heartbeats.
+//! The entry knows the load of its own tasks exactly. It knows the load that other entries have placed from the
+//! reports that agents attach to answers and heartbeats.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,71 +21,72 @@
 use crate::room::Room;
 
 new_key_type! {
-    /// An agent's place in the fleet.
+    /// The key of an agent in the fleet.
     pub struct AgentKey;
 }
 
-/// How long an agent may be silent before it gets nothing new.
+/// The time without a message from an agent after which no new tasks are sent to it.
 pub const MAX_SILENCE: Duration = Duration::from_millis(2_900);
 
-/// One agent and its backend server.
+/// An agent and its backend server.
 #[derive(Debug)]
 pub struct Worker {
-    /// The agent's name.
+    /// The name of the agent.
     pub name: Arc<str>,
-    /// Its incarnation.
+    /// The incarnation of the agent.
     pub incarnation: u64,
-    /// For how long it had been up when it was met.
+    /// How long the agent had been up at `first_seen`, in milliseconds.
     up_ms: u64,
-    met: Mono,
-    /// Its hall.
+    /// When the link of this incarnation came up for the first time.
+    first_seen: Mono,
+    /// The hall it is in.
     pub hall: String,
-    /// Its availability zone.
+    /// The availability zone it is in.
     pub zone: String,
-    /// What it has to give.
+    /// The resources of the backend server.
     pub room: Room,
-    /// The link to it, while there is one.
+    /// The link to the agent, while it is up.
     pub link: Option<LinkId>,
-    /// When it was heard last.
+    /// When the last message from the agent arrived.
     pub last_heard: Mono,
-    /// When its link went down.
+    /// When the link to the agent went down.
     pub lost_at: Option<Mono>,
-    /// Whether it said that it leaves.
+    /// Whether the agent has announced that it is leaving.
     pub leaving: bool,
-    /// Whether the platform's list says that its box leaves.
+    /// Whether its box is leaving, according to the platform's list of boxes.
     pub box_leaving: bool,
-    /// Whether the roster that was confirmed last lists it.
+    /// Whether the last confirmed roster lists the agent.
     pub enrolled: bool,
-    /// The configuration version in force there.
+    /// The configuration version in force at the agent.
     pub config: u64,
-    /// Room taken by this entry's own tasks.
+    /// The resources taken by tasks of this entry.
     pub own: Room,
-    /// How many of this entry's tasks are placed there.
+    /// The number of tasks of this entry that are placed there.
     pub placed: u32,
-    /// Room taken there by all entries, by its last report.
+    /// The resources taken by tasks of all entries, according to the last report.
     reported: Room,
-    /// Room taken by this entry's tasks at that report.
+    /// The resources taken by tasks of this entry at that report.
     reported_own: Room,
-    /// Tasks waiting there, by its last report.
+    /// The number of tasks of other entries that wait there, estimated from the last report.
     pub queued: u32,
-    /// How many starts were sent on this link.
+    /// The number of starts that were sent on the current link.
     pub sent: u64,
-    /// The last request for the right that came on this link: its number, and when it came.
+    /// The last request for the right to start tasks on the current link: its number, and when it arrived.
     pub last_request: Option<(u64, Mono)>,
-    /// When the grant that answers it was sent.
+    /// The last grant on the current link: the number of the request that it answers, and when it was sent.
     pub last_grant: Option<(u64, Mono)>,
-    /// How it does against its peers.
+    /// Its performance compared with that of its peers.
     pub health: Health,
 }
 
 impl Worker {
-    /// A worker whose link has just come up.
+    /// Returns a worker whose link has just come up.
     pub fn new(hello: &wire::Hello, link: LinkId, now: Mono) -> Worker {
         Worker {
             name: Arc::from(hello.name.as_str()),
             incarnation: hello.incarnation,
             up_ms: hello.up_ms,
-            met: now,
+            first_seen: now,
             hall: hello.hall.clone(),
             zone: hello.zone.clone(),
             room: Room::from_wire(hello.room),
@@ -108,14 +109,15 @@
         }
     }
 
-    /// When it started, in Unix milliseconds of this entry's time: boxes' clocks may be set between
-    /// two starts of an agent.
+    /// Returns when the agent started, by the clock of this entry, in milliseconds since the Unix epoch.
+    ///
+    /// It is computed from the uptime of the agent, because the clock of its box may be set between two starts.
     pub fn started_ms(&self, now: Now) -> u64 {
-        let up_ms = self.up_ms + millis(now.mono.since(self.met));
+        let up_ms = self.up_ms + millis(now.mono.since(self.first_seen));
         now.wall_ms.saturating_sub(up_ms)
     }
 
-    /// Where it stands, for a service's rules.
+    /// Returns its location, which decides the services that may run there.
     pub fn site(&self) -> Site<'_> {
         Site {
             name: &self.name,
@@ -124,63 +126,63 @@
         }
     }
 
-    /// Whether it is linked and enrolled, and not leaving.
+    /// Returns whether the agent has requested the right on a link that is up, is enrolled and is not leaving.
     pub fn is_available(&self) -> bool {
-        let here = self.link.is_some() && self.last_request.is_some() && self.enrolled;
-        here && !self.leaving && !self.box_leaving
+        let linked = self.link.is_some() && self.last_request.is_some() && self.enrolled;
+        linked && !self.leaving && !self.box_leaving
     }
 
-    /// Whether new work may be sent to it.
+    /// Returns whether new tasks may be sent to it.
     pub fn is_usable(&self, now: Mono) -> bool {
         self.is_available() && now < self.last_heard + MAX_SILENCE
     }
 
-    /// Room taken there: own tasks exactly, those of other entries as reported last.
+    /// Returns the resources in use: those of this entry's tasks exactly, those of other entries as last reported.
     pub fn used(&self) -> Room {
         self.own.plus(self.reported.minus(self.reported_own))
     }
 
-    /// Slots taken there, in thousandths of all, with the tasks that wait there.
+    /// Returns the slots in use plus the tasks that wait there, in thousandths of all slots.
     pub fn fill(&self) -> u32 {
         let slots = self.room.slots.max(1);
         (self.used().slots + self.queued) * 1000 / slots
     }
 
-    /// Whether one more task fits.
+    /// Returns whether one more task fits.
     pub fn fits(&self, need: Room) -> bool {
         self.room.fits(self.used(), need)
     }
 
-    /// Takes in a load report. Starts that the agent had not seen yet when it wrote the report
-    /// are not part of it.
+    /// Applies a load report. It does not include starts that the agent had not received when it sent the report.
     pub fn report(&mut self, load: &wire::Load) {
-        let flying = self.sent.saturating_sub(load.seen) as u32;
+        let in_flight = self.sent.saturating_sub(load.seen) as u32;
         self.reported = Room::from_wire(load.used);
         self.reported_own = Room {
-            slots: self.own.slots.saturating_sub(flying),
+            slots: self.own.slots.saturating_sub(in_flight),
             ..self.own
         };
         self.queued = load.queued.saturating_sub(self.own_queued());
     }
 
-    /// Takes room for a task of this entry.
+    /// Reserves the resources for a task of this entry.
     pub fn reserve(&mut self, need: Room) {
         self.own = self.own.plus(need);
         self.placed += 1;
     }
 
-    /// Gives back the room of a task of this entry.
+    /// Releases the resources of a task of this entry.
     pub fn release(&mut self, need: Room) {
         self.own = self.own.minus(need);
         self.placed = self.placed.saturating_sub(1);
     }
 
+    /// Returns how many of the slots that this entry's tasks need are not there, so that tasks wait.
     fn own_queued(&self) -> u32 {
         self.own.slots.saturating_sub(self.room.slots)
     }
 }
 
-/// All agents that this entry has heard of.
+/// The agents that this entry knows.
 #[derive(Debug, Default)]
 pub struct Fleet {
     workers: SlotMap<AgentKey, Worker>,
@@ -189,7 +191,7 @@
 }
 
 impl Fleet {
-    /// An agent's link is up. An agent that is known by its incarnation keeps its tasks.
+    /// Records that the link of an agent came up. An agent whose incarnation is known keeps its tasks.
     pub fn link_up(&mut self, hello: &wire::Hello, link: LinkId, now: Mono) -> AgentKey {
         if let Some(&key) = self.by_incarnation.get(&hello.incarnation) {
             let worker = &mut self.workers[key];
@@ -210,7 +212,7 @@
         key
     }
 
-    /// A link is down.
+    /// Records that a link went down. Returns the agent that it led to.
     pub fn link_down(&mut self, link: LinkId, now: Mono) -> Option<AgentKey> {
         let key = self.by_link.remove(&link)?;
         let worker = self.workers.get_mut(key)?;
@@ -219,7 +221,7 @@
         Some(key)
     }
 
-    /// Forgets an agent.
+    /// Removes an agent.
     pub fn remove(&mut self, key: AgentKey) {
         if let Some(worker) = self.workers.remove(key) {
             self.by_incarnation.remove(&worker.incarnation);
@@ -229,43 +231,43 @@
         }
     }
 
-    /// An agent by its key.
+    /// Returns the agent of a key.
     pub fn get(&self, key: AgentKey) -> Option<&Worker> {
         self.workers.get(key)
     }
 
-    /// An agent by its key.
+    /// Returns the agent of a key.
     pub fn get_mut(&mut self, key: AgentKey) -> Option<&mut Worker> {
         self.workers.get_mut(key)
     }
 
-    /// The agent at the other end of a link.
+    /// Returns the agent at the other end of a link.
     pub fn key_by_link(&self, link: LinkId) -> Option<AgentKey> {
         self.by_link.get(&link).copied()
     }
 
-    /// The agent of an incarnation.
+    /// Returns the agent of an incarnation.
     pub fn key_by_incarnation(&self, incarnation: u64) -> Option<AgentKey> {
         self.by_incarnation.get(&incarnation).copied()
     }
 
-    /// All agents.
+    /// Iterates over all agents.
     pub fn iter(&self) -> impl Iterator<Item = (AgentKey, &Worker)> {
         self.workers.iter()
     }
 
-    /// All agents.
+    /// Iterates over all agents.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (AgentKey, &mut Worker)> {
         self.workers.iter_mut()
     }
 
-    /// The agents at which a service's work may run, whether or not they can be used now.
+    /// Returns the agents at which tasks of a service may run, whether or not they are usable now.
     pub fn permitted(&self, service: &Service) -> Vec<AgentKey> {
-        let may = self
+        let permitted = self
             .workers
             .iter()
             .filter(|(_, w)| service.permits(w.site()));
-        may.map(|(key, _)| key).collect()
+        permitted.map(|(key, _)| key).collect()
     }
 }
 
--- a/lib/src/fleet/tests.rs
+++ b/lib/src/fleet/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Guards against an agent that is not used for half a minute, since its box's clock was set back
-/// before it was started again.
+/// Guards against ordering the incarnations of an agent by the clock of its box. If that clock is set back before a
+/// restart, the new incarnation looks older and the agent gets no tasks.
 #[test]
-fn test_fleet_tells_the_later_life_of_an_agent_by_how_long_it_has_been_up() {
+fn test_worker_started_ms_from_uptime() {
     let hello = |incarnation, up_ms| wire::Hello {
         name: "w1".to_owned(),
         incarnation,
--- a/lib/src/health/tests.rs
+++ b/lib/src/health/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn test_health_notices_a_stall_without_any_answer() {
+fn test_health_stall_without_answers() {
     let mut health = Health::default();
     for _ in 0..8 {
         health.record_start(at(0), 1.0);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn test_health_notices_fast_failures() {
+fn test_health_fast_failures() {
     let mut health = Health::default();
     for i in 0..6 {
         health.record_start(at(i * 10), 1.0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn test_health_comes_back_after_good_trials() {
+fn test_health_recovery_after_trials() {
     let mut health = Health::default();
     for _ in 0..8 {
         health.record_start(at(0), 1.0);
@@ -44,7 +44,7 @@
     }
     let mut now = 10_000;
     while health.is_unhealthy() {
-        assert!(now < 20_000, "the worker never came back");
+        assert!(now < 20_000, "the worker never recovered");
         if health.accepts_tasks(at(now)) {
             health.record_start(at(now), 1.0);
             health.record_end(at(now + 300), at(now), 1.0, false, Some(PEERS));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn test_health_bears_one_long_task() {
+fn test_health_single_long_task() {
     let mut health = Health::default();
     health.record_start(at(0), 1.0);
     assert_eq!(health.update_state(at(2_000), PEERS, true), None);
