--- a/lib/src/job_body.rs
+++ b/lib/src/job_body.rs
@@ -1,46 +1,47 @@
-//! The body of a job: `{"tasks": [JSON, ...], "deadline_ms": N}`.
+//! Parses the body of a job: `{"tasks": [JSON, ...], "deadline_ms": N}`.
 //!
-//! Tasks are kept as the bytes the caller sent; they are bounded here and not interpreted.
+//! Tasks are kept as the bytes that the caller sent. Their number and nesting depth are limited here; their content is
+//! not interpreted.
 
 use bytes::Bytes;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// The most tasks a job may have.
+/// The maximum number of tasks of a job.
 pub const MAX_TASKS: usize = 220;
-/// The deepest nesting of JSON lists and objects in a body.
+/// The maximum nesting depth of JSON arrays and objects in a body.
 pub const MAX_DEPTH: usize = 64;
 
-/// A job as its caller sent it.
+/// A job as the caller sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobBody {
-    /// One JSON value a task.
+    /// The tasks, each a JSON value.
     pub tasks: Vec<Bytes>,
-    /// The caller's deadline, in milliseconds from the request.
+    /// The deadline, in milliseconds from the request; `None` if the caller did not state one.
     pub deadline_ms: Option<u64>,
 }
 
-/// Why a body can't be a job.
+/// Why a body is not a valid job.
 #[derive(Debug, Error)]
 pub enum JobBodyError {
-    /// It nests too deeply.
+    /// The body is nested too deeply.
     #[error("the body nests deeper than {MAX_DEPTH} levels")]
     Depth,
-    /// It is not the JSON asked for.
+    /// The body is not JSON of the expected form.
     #[error("the body is not `{{\"tasks\": [...], \"deadline_ms\": N}}`: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// It has no tasks, or too many.
+    /// The job has no tasks, or too many.
     #[error("/tasks holds {0} tasks; a job has 1 to {MAX_TASKS}")]
     Count(usize),
-    /// The deadline is no time at all.
+    /// The deadline is zero.
     #[error("/deadline_ms must be at least 1")]
     Deadline,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw<'a> {
+struct RawBody<'a> {
     #[serde(borrow)]
     tasks: Vec<&'a RawValue>,
     #[serde(default)]
@@ -48,16 +49,16 @@
 }
 
 impl JobBody {
-    /// Reads a body. The tasks share its memory.
+    /// Parses a body. The tasks share its memory.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, and where.
+    /// Returns what is wrong with the body.
     pub fn parse(body: &Bytes) -> Result<JobBody, JobBodyError> {
         if depth(body) > MAX_DEPTH {
             return Err(JobBodyError::Depth);
         }
-        let raw: Raw<'_> = serde_json::from_slice(body)?;
+        let raw: RawBody<'_> = serde_json::from_slice(body)?;
         if raw.tasks.is_empty() || raw.tasks.len() > MAX_TASKS {
             return Err(JobBodyError::Count(raw.tasks.len()));
         }
@@ -72,30 +73,30 @@
     }
 }
 
-/// How deeply lists and objects nest in a JSON text.
+/// Returns the nesting depth of arrays and objects in JSON text.
 pub fn depth(text: &[u8]) -> usize {
     let mut deepest = 0;
-    let mut level: usize = 0;
-    let mut quoted = false;
+    let mut depth: usize = 0;
+    let mut in_string = false;
     let mut escaped = false;
     for &byte in text {
         match byte {
             _ if escaped => escaped = false,
-            b'\\' if quoted => escaped = true,
-            b'"' => quoted = !quoted,
-            _ if quoted => {}
+            b'\\' if in_string => escaped = true,
+            b'"' => in_string = !in_string,
+            _ if in_string => {}
             b'[' | b'{' => {
-                level += 1;
-                deepest = deepest.max(level);
+                depth += 1;
+                deepest = deepest.max(depth);
             }
-            b']' | b'}' => level = level.saturating_sub(1),
+            b']' | b'}' => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
     deepest
 }
 
-/// The JSON list of some JSON values.
+/// Returns the JSON array of some JSON values.
 pub fn json_list<'a>(values: impl Iterator<Item = &'a [u8]>) -> Bytes {
     let mut list = vec![b'['];
     for (i, value) in values.enumerate() {
--- a/lib/src/job_body/tests.rs
+++ b/lib/src/job_body/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn test_job_body_is_bounded() {
+fn test_job_body_limits() {
     assert_matches!(parse(r#"{"tasks": []}"#), Err(JobBodyError::Count(0)));
     let many = format!(r#"{{"tasks": [{}1]}}"#, "1,".repeat(MAX_TASKS));
     assert_matches!(parse(&many), Err(JobBodyError::Count(221)));
@@ -32,6 +32,6 @@
 }
 
 #[test]
-fn test_depth_ignores_brackets_in_texts() {
+fn test_depth_brackets_in_strings() {
     assert_eq!(depth(br#"["[[\"[", {"a": []}]"#), 3);
 }
--- a/lib/src/job_id/tests.rs
+++ b/lib/src/job_id/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn test_job_id_keeps_mint_time() {
+fn test_job_id_mint_time() {
     let id = JobId::mint(1_780_000_000_123, &[7; 10]);
     assert_eq!(id.minted_ms(), 1_780_000_000_123);
     assert_eq!(id.to_string().parse(), Ok(id));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn test_job_id_refuses_other_versions() {
+fn test_job_id_invalid() {
     let v4 = "6fa459ea-ee8a-4ca4-894e-db77e160355e";
     assert_matches!(v4.parse::<JobId>(), Err(JobIdError::Version(_)));
     assert_matches!("x".parse::<JobId>(), Err(JobIdError::Malformed(_)));
--- a/lib/src/lanes/tests.rs
+++ b/lib/src/lanes/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn test_lanes_share_by_weight() {
+fn test_lanes_weights() {
     let mut lanes = Lanes::default();
     for i in 0..90 {
         lanes.push(&name("a"), task(i));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn test_lanes_idle_team_saves_nothing_up() {
+fn test_lanes_idle_team_credit() {
     let mut lanes = Lanes::default();
     for i in 0..50 {
         lanes.push(&name("a"), task(i));
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -1,22 +1,22 @@
-//! How a job ends, and why.
+//! The outcomes of jobs and the replies to requests.
 
 use bytes::Bytes;
 
-/// A job ends as exactly one of these.
+/// The outcome of a job. Every job that ends has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Every task answered; the answers are whole and in task order.
+    /// Every task was answered; the answers are complete and in task order.
     Complete,
-    /// At least one task ran, and the whole did not succeed.
+    /// At least one task ran, and the job did not succeed.
     Failed,
-    /// No task of this job ever started, nor will one unless the job is resubmitted.
+    /// No task of the job has started, and none will unless the job is submitted again.
     NotRun,
-    /// A task may have run.
+    /// A task may have run; it is not known whether one did.
     Unknown,
 }
 
 impl Outcome {
-    /// The word callers see.
+    /// Returns the name of the outcome in responses to callers.
     pub fn word(self) -> &'static str {
         match self {
             Outcome::Complete => "complete",
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The number that travels between processes. 0 stands for a job that is still running.
+    /// Returns the number of the outcome in messages between processes, where 0 is a job that is still running.
     pub fn code(self) -> u32 {
         match self {
             Outcome::Complete => 1,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Reads the number back; `None` for a job that is still running.
+    /// Returns the outcome of a number; `None` for 0 and for unknown numbers.
     pub fn from_code(code: u32) -> Option<Outcome> {
         match code {
             1 => Some(Outcome::Complete),
@@ -48,47 +48,47 @@
     }
 }
 
-/// Why a request got another answer than a complete one. The name is the metrics label.
+/// Why the reply to a request is not [`JobReply::Complete`]. Its name is a metric label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// The body is malformed or out of bounds.
+    /// The body is malformed or exceeds a limit.
     Invalid,
-    /// The id belongs to another body.
+    /// The id was used with another body before.
     Reused,
     /// The id is older than the horizon.
     Expired,
-    /// The id was minted in the future.
+    /// The mint time of the id is in the future.
     Ahead,
-    /// No such service, or no team of that name.
+    /// The service or the team does not exist.
     NoService,
-    /// No permitted worker serves it.
+    /// No worker at which the job may run is usable.
     NoWorker,
-    /// The queue is full.
+    /// The queue is full, the wait would be too long, or the team has no quota.
     QueueFull,
     /// The deadline can't be met.
     Deadline,
-    /// The memory for job records is spent.
+    /// The memory budget for job records is exhausted.
     Memory,
-    /// The store can't take the claim that a once-only request needs.
+    /// The store can't record the claim that a request to a service without repeats needs.
     NoClaim,
-    /// Nobody can own the job for now.
+    /// No entry can own the job at present.
     NoOwner,
-    /// A task failed at its back end.
+    /// A task failed at its backend server.
     TaskFailed,
-    /// A worker was lost with a task.
+    /// A worker with a task of the job was lost.
     WorkerLost,
-    /// What happened before a change of owner can't be read back.
+    /// What happened before a change of owner can't be determined.
     Unreadable,
-    /// The answer is no longer held.
+    /// The answer is no longer stored.
     Dropped,
-    /// The job is not known.
+    /// The job is unknown.
     NotFound,
-    /// The job still runs.
+    /// The job is still running.
     Running,
 }
 
 impl Cause {
-    /// The name in metrics and problem types.
+    /// Returns the name in metrics and problem types.
     pub fn name(self) -> &'static str {
         match self {
             Cause::Invalid => "invalid",
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Cause::Invalid => 400,
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Reads a cause back from its name.
+    /// Returns the cause of a name.
     pub fn from_name(name: &str) -> Option<Cause> {
         Cause::ALL.into_iter().find(|c| c.name() == name)
     }
 
-    /// Every cause.
+    /// All causes.
     pub const ALL: [Cause; 17] = [
         Cause::Invalid,
         Cause::Reused,
@@ -154,30 +154,30 @@
     ];
 }
 
-/// The answer to one request.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobReply {
-    /// The job is complete: a JSON list with one answer a task, in task order.
+    /// The job is complete: a JSON array with one answer per task, in task order.
     Complete(Bytes),
-    /// Anything else.
+    /// Any other reply.
     Other(Refusal),
 }
 
-/// An answer that is not a complete one.
+/// A reply that is not [`JobReply::Complete`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The outcome; `None` for a job that still runs or is not known.
+    /// The outcome; `None` if the job is still running or unknown.
     pub outcome: Option<Outcome>,
-    /// Why.
+    /// Why the reply is not complete.
     pub cause: Cause,
-    /// The reason in words.
+    /// A description of the reason.
     pub detail: String,
-    /// When a retry may help, in milliseconds from now; 0 when it can't.
+    /// The time after which a retry may help, in milliseconds; 0 if a retry can't help.
     pub retry_ms: u64,
 }
 
 impl Refusal {
-    /// A refusal without a hint to retry.
+    /// Returns a refusal without a retry delay.
     pub fn new(outcome: Outcome, cause: Cause, detail: impl Into<String>) -> Refusal {
         Refusal {
             outcome: Some(outcome),
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The same, with the time after which a retry may help.
+    /// Returns the refusal with a retry delay in milliseconds.
     pub fn retry(mut self, ms: u64) -> Refusal {
         self.retry_ms = ms;
         self
--- a/lib/src/room.rs
+++ b/lib/src/room.rs
@@ -1,4 +1,4 @@
-//! Room: what a backend server has to give, and what a task takes of it.
+//! The resources of a backend server, and the resources that a task takes of it.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -6,11 +6,11 @@
 
 use crate::protos::wire;
 
-/// Capacities that bind together: a task runs only where all of them suffice.
+/// Amounts of several resources. A task runs only where all of them suffice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Room {
-    /// Tasks at once.
+    /// Task slots.
     pub slots: u32,
     /// Accelerators.
     pub accelerators: u32,
@@ -21,10 +21,10 @@
 }
 
 impl Room {
-    /// The room that one plain task takes.
+    /// The resources of a task that needs no more than a slot.
     pub const TASK: Room = Room::of_slots(1);
 
-    /// Room counted in slots alone.
+    /// Returns a room of slots only.
     pub const fn of_slots(slots: u32) -> Room {
         Room {
             slots,
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Whether `need` fits on top of `used` within this room.
+    /// Returns whether `need` fits into this room beside `used`.
     ///
-    /// A capacity that a server does not state, other than slots, does not bind tasks that need
-    /// none of it.
+    /// Every task needs at least one slot. Any other resource of which a task needs none does not limit it, so a server
+    /// need not state resources that its tasks don't use.
     pub fn fits(self, used: Room, need: Room) -> bool {
         let fit = |all: u32, used: u32, need: u32| need == 0 || used.saturating_add(need) <= all;
         fit(self.slots, used.slots, need.slots.max(1))
@@ -46,7 +46,7 @@
             && fit(self.memory_mb, used.memory_mb, need.memory_mb)
     }
 
-    /// This room and `other` together.
+    /// Returns the sum of this room and `other`.
     pub fn plus(self, other: Room) -> Room {
         Room {
             slots: self.slots.saturating_add(other.slots),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// This room less `other`, never below nothing.
+    /// Returns this room without `other`; no amount falls below zero.
     pub fn minus(self, other: Room) -> Room {
         Room {
             slots: self.slots.saturating_sub(other.slots),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// This room as it travels between processes.
+    /// Converts the room for a message between processes.
     pub fn wire(self) -> wire::Room {
         wire::Room {
             slots: self.slots,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reads room from a message; an absent one is empty.
+    /// Converts a room from a message; an absent one is empty.
     pub fn from_wire(room: Option<wire::Room>) -> Room {
         let r = room.unwrap_or_default();
         Room {
--- a/lib/src/store.rs
+++ b/lib/src/store.rs
@@ -1,28 +1,28 @@
-//! The platform's store as the state machines see it: operations as values.
+//! The platform's key-value store as the state machines see it: operations and replies are values.
 //!
-//! A machine asks for a [`StoreOp`] and is handed a [`StoreReply`] later, or never. The daemons
-//! carry the operations to a real store through the `Store` trait of `stackcourse-daemon`.
+//! A state machine requests a [`StoreOp`] and receives a [`StoreReply`] later, or never. The daemons execute the
+//! operations on a real store through the `Store` trait of `stackcourse-daemon`.
 
 use bytes::Bytes;
 
-/// What an entry wants of the store.
+/// An operation on the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreOp {
-    /// Read a key.
+    /// Reads a key.
     Get {
         /// The key.
         key: String,
     },
-    /// Write a key if it still stands at `index`; 0 for "it must be absent".
+    /// Writes a key if its index is still `index` (compare-and-swap); 0 requires that the key is absent.
     Swap {
         /// The key.
         key: String,
-        /// The index that the caller last read.
+        /// The index at which the key was read last.
         index: u64,
         /// The new value.
         value: Bytes,
     },
-    /// Remove a key that nobody needs any more. Nothing depends on whether it happens.
+    /// Removes a key that is no longer needed. Nothing depends on its success.
     Remove {
         /// The key.
         key: String,
@@ -34,17 +34,17 @@
 pub struct Stored {
     /// The value.
     pub value: Bytes,
-    /// The store's index of the last change to the key, above 0.
+    /// The store's index of the last change of the key; above 0.
     pub index: u64,
 }
 
-/// What became of an operation.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The key's value; `None` when it is absent.
+    /// The value of the key; `None` if the key is absent.
     Value(Option<Stored>),
-    /// Whether the swap took place.
+    /// Whether the swap was made.
     Swapped(bool),
-    /// No answer: a read told nothing, and a swap may or may not have taken place.
+    /// No answer: a read has no result, and a swap may or may not have been made.
     Lost,
 }
--- a/lib/src/versions.rs
+++ b/lib/src/versions.rs
@@ -1,8 +1,8 @@
-//! Configuration versions: created, never changed.
+//! Configuration versions, which are immutable.
 //!
-//! Version `n` stands under the key `config/<n>`, written only if that key was absent. So racing
-//! operators get one winner, the sequence itself is the audit trail, and a lost answer is settled
-//! by reading the key back and comparing the change id.
+//! Version `n` is stored under the key `config/<n>`, which is written only if it is absent. Therefore only one of
+//! several concurrent operators succeeds, the versions are the audit trail, and a lost answer of the store is resolved
+//! by reading the key and comparing the change id.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,46 +13,46 @@
 
 use crate::configuration::Configuration;
 
-/// The largest value the store holds, in bytes.
+/// The maximum size of a value in the store, in bytes.
 pub const MAX_VALUE: usize = 1024 * 1024;
 
-/// Where a hint at the newest version stands. It may lag; the sequence decides.
+/// The key of a hint at the newest version. The hint may lag; the stored versions are authoritative.
 pub const HEAD_KEY: &str = "config-head";
 
-/// The key of a version.
+/// Returns the key of a version.
 pub fn version_key(version: u64) -> String {
     format!("config/{version}")
 }
 
-/// One version as it stands in the store.
+/// A configuration version as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number, from 1.
+    /// The version number, from 1.
     pub version: u64,
-    /// Drawn at random for each change.
+    /// The change id, random for each change.
     pub change: String,
-    /// Who applied it.
+    /// Who applied the change.
     pub author: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it was applied, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Digest of the previous version's value; empty for the first.
+    /// The digest of the value of the previous version; empty for the first version.
     pub previous: String,
-    /// The configuration as the operator wrote it.
+    /// The configuration document as the operator wrote it.
     pub config: Value,
 }
 
 /// Why a version can't be used.
 #[derive(Debug, Error)]
 pub enum VersionError {
-    /// The value is not a version's JSON.
+    /// The value is not the JSON of a version.
     #[error("version {version} can't be read")]
     Malformed {
-        /// Its number.
+        /// The version number.
         version: u64,
-        /// What is wrong with it.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The value names another version than its key.
+    /// The value holds another version than its key says.
     #[error("the key of version {key} holds version {held}")]
     Misplaced {
         /// The number in the key.
@@ -63,7 +63,7 @@
     /// The configuration has findings.
     #[error("version {version}: {first}")]
     Findings {
-        /// Its number.
+        /// The version number.
         version: u64,
         /// The first finding.
         first: String,
@@ -71,11 +71,11 @@
 }
 
 impl Version {
-    /// Reads a version from its key's value.
+    /// Parses a version from the value of its key.
     ///
     /// # Errors
     ///
-    /// When the value is not a version or not this one.
+    /// Returns an error if the value is not a version, or not this version.
     pub fn parse(version: u64, value: &[u8]) -> Result<Version, VersionError> {
         let read: Result<Version, _> = serde_json::from_slice(value);
         let read = read.map_err(|source| VersionError::Malformed { version, source })?;
@@ -86,11 +86,11 @@
         Ok(read)
     }
 
-    /// The configuration within.
+    /// Returns the configuration of the version.
     ///
     /// # Errors
     ///
-    /// When it has findings, which a newer or older program may see otherwise.
+    /// Returns an error if the configuration has findings. A newer or older release may have accepted it.
     pub fn configuration(&self) -> Result<Configuration, VersionError> {
         let text = serde_json::to_vec(&self.config).unwrap_or_default();
         let read = Configuration::parse("config", &text);
@@ -101,7 +101,7 @@
     }
 }
 
-/// The digest by which a version names its predecessor.
+/// Returns the digest by which a version refers to the previous one.
 pub fn value_digest(value: &[u8]) -> String {
     let hash = Sha256::digest(value);
     hash.iter().map(|b| format!("{b:02x}")).collect()
