--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,7 +1,8 @@
 //! Admission control: decides whether a job is accepted, and when the caller of a refused job should retry.
 //!
-//! The wait is estimated from the number of tasks ahead, the mean duration of a task and the number of slots. A job
-//! that can't meet its deadline is refused at once, so that tasks whose caller has given up never occupy a slot.
+//! The wait is estimated from the number of tasks ahead, the mean duration of a task and the number of slots.
+//! A job that can't meet its deadline is refused at once, so that tasks whose caller has given up never
+//! occupy a slot.
 
 use std::time::Duration;
 
@@ -32,7 +33,8 @@
     pub team_waiting: usize,
     /// The quota of the team; `None` if it is unlimited.
     pub team_quota: Option<usize>,
-    /// The maximum of tasks ahead and tasks of the job together. A larger job is accepted only if none are ahead.
+    /// The maximum of tasks ahead and tasks of the job together. A larger job is accepted only if none are
+    /// ahead.
     pub queue: usize,
     /// The maximum estimated wait of an accepted job.
     pub longest: Duration,
@@ -98,8 +100,8 @@
 
 /// Returns the time after which a refused caller should retry, in milliseconds.
 ///
-/// It is the estimated wait within bounds, with a jitter of half of it to either side so that refused callers do not
-/// all retry at once.
+/// It is the estimated wait within bounds, with a jitter of half of it to either side so that refused callers
+/// do not all retry at once.
 pub fn retry_ms(wait: Duration, rng: &mut dyn RngCore) -> u64 {
     let base = wait.clamp(MIN_RETRY, MAX_RETRY);
     millis(base.mul_f64(rng.random_range(0.5..1.5)))
@@ -107,7 +109,8 @@
 
 /// A token bucket that limits immediate retries of tasks that were returned without having started.
 ///
-/// It gains tokens with each task that is started and over time. Without it, retries could amplify an overload.
+/// It gains tokens with each task that is started and over time. Without it, retries could amplify an
+/// overload.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
--- a/lib/src/clock.rs
+++ b/lib/src/clock.rs
@@ -50,9 +50,9 @@
 
 /// The present time, as passed to a state machine.
 ///
-/// A process reads the time of day once when it starts and advances it by the monotonic clock, so that within one
-/// incarnation a step of the box's clock doesn't change it. The reading of the box's clock is passed along with it;
-/// that clock may be set ahead or back at any moment.
+/// A process reads the time of day once when it starts and advances it by the monotonic clock, so that within
+/// one incarnation a step of the box's clock doesn't change it. The reading of the box's clock is passed
+/// along with it; that clock may be set ahead or back at any moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
     /// The reading of the monotonic clock.
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Returns how far the box's clock is ahead of the process's time, in milliseconds; negative if it is behind.
+    /// Returns how far the box's clock is ahead of the process's time, in milliseconds; negative if it is
+    /// behind.
     pub fn step_ms(self) -> i64 {
         self.box_ms as i64 - self.wall_ms as i64
     }
--- a/lib/src/clock_check.rs
+++ b/lib/src/clock_check.rs
@@ -1,10 +1,10 @@
 //! Checks whether the time of day of a process agrees with that of its fleet.
 //!
-//! A process reads its box's clock once, when it starts, and that clock may be wrong at that moment. The process
-//! therefore compares its time with that of the processes that it is linked to. Its time is *proven* once it agrees
-//! with a proven one, or once a decision was based on it; from then on it never changes. Until then the process
-//! adopts the time of the others, so that a fleet keeps the time of its first processes for as long as any process
-//! with a proven time is left, however often the clocks of boxes are set.
+//! A process reads its box's clock once, when it starts, and that clock may be wrong at that moment. The
+//! process therefore compares its time with that of the processes that it is linked to. Its time is *proven*
+//! once it agrees with a proven one, or once a decision was based on it; from then on it never changes. Until
+//! then the process adopts the time of the others, so that a fleet keeps the time of its first processes for
+//! as long as any process with a proven time is left, however often the clocks of boxes are set.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +38,8 @@
 /// Compares the time of this process with the clocks of the processes that it is linked to.
 #[derive(Clone, Debug)]
 pub struct ClockCheck {
-    /// The maximum difference between clocks that agree, and the maximum travel time of an answer that counts.
+    /// The maximum difference between clocks that agree, and the maximum travel time of an answer that
+    /// counts.
     bound_ms: u64,
     readings: BTreeMap<u64, Reading>,
     proven: bool,
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Records the time in an answer of a process. Returns how far that time is ahead of this process's time, if
-    /// the two disagree and did not disagree at the process's last reading.
+    /// Records the time in an answer of a process. Returns how far that time is ahead of this process's time,
+    /// if the two disagree and did not disagree at the process's last reading.
     pub fn note(&mut self, now: Now, process: u64, answered: ClockAnswer) -> Option<i64> {
         let travel_ms = millis(now.mono.since(answered.sent).saturating_sub(answered.held));
         if answered.clock_ms == 0 || travel_ms > self.bound_ms {
@@ -87,9 +88,9 @@
 
     /// Returns by how much the time of this process is to be changed, if it is.
     ///
-    /// It adopts the time on which a majority agrees: of the processes with a proven time, or, if there are none, of
-    /// all processes including this one. Agreement with proven times proves the own time. A change drops all
-    /// readings, since they compare with the previous time.
+    /// It adopts the time on which a majority agrees: of the processes with a proven time, or, if there are
+    /// none, of all processes including this one. Agreement with proven times proves the own time. A change
+    /// drops all readings, since they compare with the previous time.
     pub fn take_correction(&mut self) -> Option<i64> {
         if self.proven {
             return None;
--- a/lib/src/clock_step.rs
+++ b/lib/src/clock_step.rs
@@ -1,7 +1,7 @@
 //! Detects steps of a box's clock, which may be set ahead or back while a process runs.
 //!
-//! A process advances its own time by the monotonic clock, so a step shows as a change of the difference between the
-//! two.
+//! A process advances its own time by the monotonic clock, so a step shows as a change of the difference
+//! between the two.
 
 use std::fmt;
 
@@ -32,8 +32,8 @@
 }
 
 impl StepWatch {
-    /// Compares how far the box's clock is ahead of the process's time with the last reported value. Returns the
-    /// step, if the difference is large enough.
+    /// Compares how far the box's clock is ahead of the process's time with the last reported value. Returns
+    /// the step, if the difference is large enough.
     pub fn detect_step(&mut self, ahead_ms: i64) -> Option<ClockStep> {
         let before = *self.reported_ms.get_or_insert(ahead_ms);
         if ahead_ms.abs_diff(before) < MIN_STEP_MS {
@@ -46,12 +46,14 @@
         })
     }
 
-    /// Restarts the detection after the process's time was changed, so that the change is not reported as a step.
+    /// Restarts the detection after the process's time was changed, so that the change is not reported as a
+    /// step.
     pub fn reset(&mut self) {
         self.reported_ms = None;
     }
 
-    /// Returns how far the box's clock was ahead at the last reported step, or at the first check if there was none.
+    /// Returns how far the box's clock was ahead at the last reported step, or at the first check if there
+    /// was none.
     pub fn reported_ms(&self) -> i64 {
         self.reported_ms.unwrap_or(0)
     }
--- a/lib/src/configuration.rs
+++ b/lib/src/configuration.rs
@@ -1,8 +1,8 @@
-//! The declarative configuration that operators write: which services exist, where their tasks may run, how much
-//! capacity each may use, and which teams share it.
+//! The declarative configuration that operators write: which services exist, where their tasks may run, how
+//! much capacity each may use, and which teams share it.
 //!
-//! A document is accepted or rejected as a whole: [`Configuration::parse`] returns either the configuration or all
-//! findings about it.
+//! A document is accepted or rejected as a whole: [`Configuration::parse`] returns either the configuration
+//! or all findings about it.
 
 use std::collections::BTreeMap;
 
@@ -18,8 +18,8 @@
 use crate::findings::kind;
 use crate::room::Room;
 
-/// The maximum size of a document, in bytes. The store holds values of up to one MiB, and the other fields of the
-/// stored version need some of it.
+/// The maximum size of a document, in bytes. The store holds values of up to one MiB, and the other fields of
+/// the stored version need some of it.
 pub const MAX_BYTES: usize = 1_000_000;
 
 /// The team of services that don't name one. It has no quota.
@@ -43,12 +43,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Favour {
-    /// Response time: queues are kept short. A job that would wait too long is refused at once, with the time after
-    /// which to retry.
+    /// Response time: queues are kept short. A job that would wait too long is refused at once, with the time
+    /// after which to retry.
     #[default]
     Time,
-    /// Few wasted messages: a job waits for as long as its deadline allows, so that few requests are refused and sent
-    /// again.
+    /// Few wasted messages: a job waits for as long as its deadline allows, so that few requests are refused
+    /// and sent again.
     Messages,
 }
 
@@ -97,8 +97,8 @@
 pub struct Limits {
     /// The maximum number of tasks that may wait at one entry.
     pub queue: u32,
-    /// The number of entries that own shards; 0 for all entries. With fewer owners, each sees more of the load and
-    /// places tasks better; more owners can handle more requests.
+    /// The number of entries that own shards; 0 for all entries. With fewer owners, each sees more of the
+    /// load and places tasks better; more owners can handle more requests.
     pub owners: u32,
     /// The deadline of jobs that don't state one, in milliseconds.
     pub deadline_ms: u64,
@@ -384,8 +384,8 @@
     limits
 }
 
-/// The part of a configuration that applies to one agent: the services that may run there, and the resources that
-/// their tasks take.
+/// The part of a configuration that applies to one agent: the services that may run there, and the resources
+/// that their tasks take.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentPart {
     /// The configuration version; 0 before the first.
--- a/lib/src/findings.rs
+++ b/lib/src/findings.rs
@@ -1,7 +1,7 @@
 //! Validates JSON documents.
 //!
-//! Each error is a finding with the file and the JSON pointer (RFC 6901) of its place. All findings about a document
-//! are collected and reported together.
+//! Each error is a finding with the file and the JSON pointer (RFC 6901) of its place. All findings about a
+//! document are collected and reported together.
 
 use std::fmt;
 
@@ -169,8 +169,8 @@
         })
     }
 
-    /// Reads a non-empty string. Returns the default if the field is absent; the field is required if the default is
-    /// `None`.
+    /// Reads a non-empty string. Returns the default if the field is absent; the field is required if the
+    /// default is `None`.
     pub fn text(
         &mut self,
         name: &'static str,
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The backend servers and their agents, as known to one entry.
 //!
-//! The entry knows the load of its own tasks exactly. It knows the load that other entries have placed from the
-//! reports that agents attach to answers and heartbeats.
+//! The entry knows the load of its own tasks exactly. It knows the load that other entries have placed from
+//! the reports that agents attach to answers and heartbeats.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -111,7 +111,8 @@
 
     /// Returns when the agent started, by the clock of this entry, in milliseconds since the Unix epoch.
     ///
-    /// It is computed from the uptime of the agent, because the clock of its box may be set between two starts.
+    /// It is computed from the uptime of the agent, because the clock of its box may be set between two
+    /// starts.
     pub fn started_ms(&self, now: Now) -> u64 {
         let up_ms = self.up_ms + millis(now.mono.since(self.first_seen));
         now.wall_ms.saturating_sub(up_ms)
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Returns whether the agent has requested the right on a link that is up, is enrolled and is not leaving.
+    /// Returns whether the agent has requested the right on a link that is up, is enrolled and is not
+    /// leaving.
     pub fn is_available(&self) -> bool {
         let linked = self.link.is_some() && self.last_request.is_some() && self.enrolled;
         linked && !self.leaving && !self.box_leaving
@@ -137,7 +139,8 @@
         self.is_available() && now < self.last_heard + MAX_SILENCE
     }
 
-    /// Returns the resources in use: those of this entry's tasks exactly, those of other entries as last reported.
+    /// Returns the resources in use: those of this entry's tasks exactly, those of other entries as last
+    /// reported.
     pub fn used(&self) -> Room {
         self.own.plus(self.reported.minus(self.reported_own))
     }
@@ -153,7 +156,8 @@
         self.room.fits(self.used(), need)
     }
 
-    /// Applies a load report. It does not include starts that the agent had not received when it sent the report.
+    /// Applies a load report. It does not include starts that the agent had not received when it sent the
+    /// report.
     pub fn report(&mut self, load: &wire::Load) {
         let in_flight = self.sent.saturating_sub(load.seen) as u32;
         self.reported = Room::from_wire(load.used);
--- a/lib/src/fleet/tests.rs
+++ b/lib/src/fleet/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Guards against ordering the incarnations of an agent by the clock of its box. If that clock is set back before a
-/// restart, the new incarnation looks older and the agent gets no tasks.
+/// Guards against ordering the incarnations of an agent by the clock of its box. If that clock is set back
+/// before a restart, the new incarnation looks older and the agent gets no tasks for half a minute.
 #[test]
 fn test_worker_started_ms_from_uptime() {
     let hello = |incarnation, up_ms| wire::Hello {
--- a/lib/src/follower.rs
+++ b/lib/src/follower.rs
@@ -1,7 +1,7 @@
 //! Tracks the configuration version in force on a node.
 //!
-//! The input are versions from the store or from peers, in any order; the output is the configuration in force. Its
-//! version never decreases.
+//! The input are versions from the store or from peers, in any order; the output is the configuration in
+//! force. Its version never decreases.
 
 use std::sync::Arc;
 
@@ -42,8 +42,8 @@
         self.last_tried + 1
     }
 
-    /// Applies the value of a version that was received from the store or from a peer. Returns whether this brought
-    /// it into force; a version that is not above all versions received before changes nothing.
+    /// Applies the value of a version that was received from the store or from a peer. Returns whether this
+    /// brought it into force; a version that is not above all versions received before changes nothing.
     ///
     /// # Errors
     ///
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -1,9 +1,10 @@
 //! Compares a worker with its peers, and decides which workers get trial tasks only.
 //!
-//! The measure is the working time per finished task, in units of the expected duration of such a task. Running tasks
-//! count with their age so far: for a worker that answers nothing the time grows and the count does not, so a stall is
-//! detected as soon as slowness is. Time and count decay with a half-life, and a few tasks at the mean of the peers
-//! are added, so that a worker with few tasks is not judged by a single long one.
+//! The measure is the working time per finished task, in units of the expected duration of such a task.
+//! Running tasks count with their age so far: for a worker that answers nothing the time grows and the count
+//! does not, so a stall is detected as soon as slowness is. Time and count decay with a half-life, and a few
+//! tasks at the mean of the peers are added, so that a worker with few tasks is not judged by a single long
+//! one.
 
 use std::time::Duration;
 
@@ -43,6 +44,7 @@
     running: f64,
     /// The sum of the start times of running tasks, in seconds, each multiplied by the scale of the task.
     start_sum: f64,
+    /// Present while the worker is unhealthy.
     trials: Option<Trials>,
 }
 
@@ -73,7 +75,8 @@
 }
 
 impl Health {
-    /// Records that a task was sent to the worker. `scale` is 1 over the expected duration of such a task in seconds.
+    /// Records that a task was sent to the worker. `scale` is 1 over the expected duration of such a task in
+    /// seconds.
     pub fn record_start(&mut self, now: Mono, scale: f64) {
         self.decay(now);
         self.running += scale;
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Records that a task was not run or is no longer tracked. It says nothing about the worker.
+    /// Records that a task was not run or is no longer tracked, and removes it from the statistics.
     pub fn record_cancel(&mut self, now: Mono, began: Mono, scale: f64) {
         self.decay(now);
         self.drop_running(began, scale);
@@ -92,7 +95,8 @@
         }
     }
 
-    /// Records that a task has ended. Trials are compared with `peers`; without it only failures count against them.
+    /// Records that a task has ended. Trials are compared with `peers`; without it only failures count
+    /// against them.
     pub fn record_end(
         &mut self,
         now: Mono,
@@ -129,8 +133,8 @@
         }
     }
 
-    /// Returns whether a task may be sent to the worker as far as its health is concerned. An unhealthy worker accepts
-    /// one trial at a time, and none during a pause.
+    /// Returns whether a task may be sent to the worker as far as its health is concerned. An unhealthy
+    /// worker accepts one trial at a time, and none during a pause.
     pub fn accepts_tasks(&self, now: Mono) -> bool {
         self.trials.is_none_or(|t| !t.running && now >= t.next)
     }
@@ -140,16 +144,16 @@
         self.trials.is_some()
     }
 
-    /// Returns the working time including that of running tasks, the number of finished tasks and the number of failed
-    /// tasks, from which the mean of the peers is computed.
+    /// Returns the working time including that of running tasks, the number of finished tasks and the number
+    /// of failed tasks, from which the mean of the peers is computed.
     pub fn totals(&self, now: Mono) -> (f64, f64, f64) {
         let decay = self.decay_factor(now);
         let time = self.time * decay + self.running_time(now);
         (time, self.finished * decay, self.failed * decay)
     }
 
-    /// Checks whether the worker has become unhealthy or has recovered. Returns the new state if it changed: true if
-    /// unhealthy. A worker can become unhealthy only if `may_become_unhealthy`.
+    /// Checks whether the worker has become unhealthy or has recovered. Returns the new state if it changed:
+    /// true if unhealthy. A worker can become unhealthy only if `may_become_unhealthy`.
     pub fn update_state(
         &mut self,
         now: Mono,
--- a/lib/src/job_body.rs
+++ b/lib/src/job_body.rs
@@ -1,7 +1,7 @@
 //! Parses the body of a job: `{"tasks": [JSON, ...], "deadline_ms": N}`.
 //!
-//! Tasks are kept as the bytes that the caller sent. Their number and nesting depth are limited here; their content is
-//! not interpreted.
+//! Tasks are kept as the bytes that the caller sent. Their number and nesting depth are limited here; their
+//! content is not interpreted.
 
 use bytes::Bytes;
 use serde::Deserialize;
--- a/lib/src/job_id.rs
+++ b/lib/src/job_id.rs
@@ -11,7 +11,8 @@
 
 use crate::protos::wire;
 
-/// The id of a job. Its first 48 bits are the time at which the caller minted it, so ids are ordered by that time.
+/// The id of a job. Its first 48 bits are the time at which the caller minted it, so ids are ordered by that
+/// time.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId(Uuid);
 
--- a/lib/src/lanes.rs
+++ b/lib/src/lanes.rs
@@ -1,8 +1,9 @@
 //! The queue of tasks that wait for a worker, with weighted fair queueing between teams.
 //!
-//! A lane holds the tasks of one team for one service, in order of arrival. Each team has a virtual time that advances
-//! by 1/weight with every task that it starts; the team with the lowest virtual time goes next. The virtual time of a
-//! team that was idle is raised to the present one, so that a team can't accumulate credit while idle.
+//! A lane holds the tasks of one team for one service, in order of arrival. Each team has a virtual time that
+//! advances by 1/weight with every task that it starts; the team with the lowest virtual time goes next. The
+//! virtual time of a team that was idle is raised to the present one, so that a team can't accumulate credit
+//! while idle.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -58,7 +59,8 @@
         self.lanes.entry(name.clone()).or_default().push_back(task);
     }
 
-    /// Adds a task at the front of its lane, because it was sent to a worker and returned without having started.
+    /// Adds a task at the front of its lane, because it was sent to a worker and returned without having
+    /// started.
     pub fn push_front(&mut self, name: &LaneName, task: TaskKey) {
         self.count_waiting(name);
         self.lanes.entry(name.clone()).or_default().push_front(task);
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,13 +1,13 @@
-//! The coordination logic of stackcourse: which process may start a task, where the task runs, when it waits and
-//! when it is refused.
+//! The coordination logic of stackcourse: which process may start a task, where the task runs, when it waits
+//! and when it is refused.
 //!
-//! Every component is a state machine without I/O. It receives the time and a message and returns the actions to
-//! take; it owns no clock, socket, thread or async task. The same code runs in the daemons and in randomised
-//! simulations on a virtual clock. Nothing in this crate depends on HTTP, on an actor framework or on the protocol
-//! of a store.
+//! Every component is a state machine without I/O. It receives the time and a message and returns the actions
+//! to take; it owns no clock, socket, thread or async task. The same code runs in the daemons and in
+//! randomised simulations on a virtual clock. Nothing in this crate depends on HTTP, on an actor framework or
+//! on the protocol of a store.
 //!
-//! Start reading at [`entry`] and [`agent`], the two roles; `docs/ARCHITECTURE.md` walks through the life cycle of
-//! a job.
+//! Start reading at [`entry`] and [`agent`], the two roles; `docs/ARCHITECTURE.md` walks through the life
+//! cycle of a job.
 
 pub mod admission;
 pub mod agent;
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Returns the number of the outcome in messages between processes, where 0 is a job that is still running.
+    /// Returns the number of the outcome in messages between processes, where 0 is a job that is still
+    /// running.
     pub fn code(self) -> u32 {
         match self {
             Outcome::Complete => 1,
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,7 +1,7 @@
 //! Chooses the worker that gets the next task.
 //!
-//! The input is the fleet as known to the entry and the resources that the task needs; a [`Policy`] selects the
-//! algorithm.
+//! The input is the fleet as known to the entry and the resources that the task needs; a [`Policy`] selects
+//! the algorithm.
 
 use rand::Rng;
 use rand::RngCore;
@@ -44,8 +44,8 @@
 
 /// The placement algorithms.
 ///
-/// All but [`Policy::Random`] and [`Policy::RoundRobin`] send a task only to a worker that has room for it as far as
-/// the entry knows; other tasks wait at the entry.
+/// All but [`Policy::Random`] and [`Policy::RoundRobin`] send a task only to a worker that has room for it as
+/// far as the entry knows; other tasks wait at the entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
@@ -129,10 +129,12 @@
     worker.fits(request.need).then_some(best)
 }
 
-/// Returns the worker with the lowest measure among those that have room. The search begins at a random worker and
-/// the first of equal workers is chosen, so that entries with the same information do not all choose the same one.
+/// Returns the worker with the lowest measure among those that have room. The search begins at a random
+/// worker and the first of equal workers is chosen, so that entries with the same information do not all
+/// choose the same one.
 ///
-/// If there are many workers, a sample is searched first, and all of them only if none of the sample has room.
+/// If there are many workers, a sample is searched first, and all of them only if none of the sample has
+/// room.
 fn least_loaded(
     request: &PlacementRequest<'_>,
     rng: &mut dyn RngCore,
--- a/lib/src/room.rs
+++ b/lib/src/room.rs
@@ -36,8 +36,8 @@
 
     /// Returns whether `need` fits into this room beside `used`.
     ///
-    /// Every task needs at least one slot. Any other resource of which a task needs none does not limit it, so a server
-    /// need not state resources that its tasks don't use.
+    /// Every task needs at least one slot. Any other resource of which a task needs none does not limit it,
+    /// so a server need not state resources that its tasks don't use.
     pub fn fits(self, used: Room, need: Room) -> bool {
         let fit = |all: u32, used: u32, need: u32| need == 0 || used.saturating_add(need) <= all;
         fit(self.slots, used.slots, need.slots.max(1))
--- a/lib/src/store.rs
+++ b/lib/src/store.rs
@@ -1,7 +1,7 @@
 //! The platform's key-value store as the state machines see it: operations and replies are values.
 //!
-//! A state machine requests a [`StoreOp`] and receives a [`StoreReply`] later, or never. The daemons execute the
-//! operations on a real store through the `Store` trait of `stackcourse-daemon`.
+//! A state machine requests a [`StoreOp`] and receives a [`StoreReply`] later, or never. The daemons execute
+//! the operations on a real store through the `Store` trait of `stackcourse-daemon`.
 
 use bytes::Bytes;
 
--- a/lib/src/versions.rs
+++ b/lib/src/versions.rs
@@ -1,8 +1,8 @@
 //! Configuration versions, which are immutable.
 //!
-//! Version `n` is stored under the key `config/<n>`, which is written only if it is absent. Therefore only one of
-//! several concurrent operators succeeds, the versions are the audit trail, and a lost answer of the store is resolved
-//! by reading the key and comparing the change id.
+//! Version `n` is stored under the key `config/<n>`, which is written only if it is absent. Therefore only
+//! one of several concurrent operators succeeds, the versions are the audit trail, and a lost answer of the
+//! store is resolved by reading the key and comparing the change id.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -52,7 +52,7 @@
         /// The parse error.
         source: serde_json::Error,
     },
-    /// The value holds another version than its key says.
+    /// The version in the value differs from that in the key.
     #[error("the key of version {key} holds version {held}")]
     Misplaced {
         /// The number in the key.
