--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -57,7 +57,7 @@
 use crate::lead::Leads;
 use crate::names::Names;
 use crate::outcome::Cause;
-use crate::outcome::Verdict;
+use crate::outcome::JobReply;
 use crate::ownership::OwnershipRecord;
 use crate::ownership::Roster;
 use crate::placement::Placer;
@@ -157,7 +157,7 @@
     /// Sends a message on a link.
     Send(LinkId, Body),
     /// Answers the caller's request of this number.
-    Respond(u64, Verdict),
+    Respond(u64, JobReply),
     /// Shifts the process's time of day by this many milliseconds.
     ShiftClock(i64),
     /// Runs a store operation; [`Entry::handle_store_reply`] takes its result with the same tag.
@@ -609,7 +609,7 @@
     pub fn handle_message(&mut self, now: Now, link: LinkId, body: Body) {
         self.observe_time(now);
         // Messages still arriving on a replaced link may be long out of date.
-        if !self.peers.contains_key(&link) && self.fleet.at(link).is_none() {
+        if !self.peers.contains_key(&link) && self.fleet.key_by_link(link).is_none() {
             return self.count_wasted("old-link");
         }
         match body {
@@ -633,7 +633,7 @@
 
     /// Takes in a configuration version from the store or a peer, and sends it to the agents if it is new.
     pub fn apply_config(&mut self, now: Now, version: u64, value: Bytes) {
-        match self.follower.offer(version, value) {
+        match self.follower.apply(version, value) {
             Ok(false) => {}
             Ok(true) => {
                 self.log(Kind::ConfigInForce, format!("version {version}"));
@@ -648,7 +648,7 @@
     /// Marks the workers whose boxes leave; `leaving` holds the names of their agents.
     pub fn set_leaving_boxes(&mut self, leaving: &HashSet<String>) {
         for (_, worker) in self.fleet.iter_mut() {
-            worker.parting = leaving.contains(&*worker.name);
+            worker.box_leaving = leaving.contains(&*worker.name);
         }
     }
 
--- a/lib/src/entry/account.rs
+++ b/lib/src/entry/account.rs
@@ -26,8 +26,8 @@
     pub(super) fn track(&mut self, now: Now, task: TaskKey, mut placed: Placed) {
         placed.scale = 1.0 / self.expected_time(&placed.lane.service);
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
-            worker.take(placed.need);
-            worker.health.begin(now.mono, placed.scale);
+            worker.reserve(placed.need);
+            worker.health.record_start(now.mono, placed.scale);
         }
         self.take_share(&placed.lane);
         let Some(old) = self.placed.insert(task, placed) else {
@@ -35,8 +35,8 @@
         };
         self.return_share(&old.lane);
         if let Some(worker) = self.fleet.get_mut(old.agent) {
-            worker.give(old.need);
-            worker.health.cancel(now.mono, old.at, old.scale);
+            worker.release(old.need);
+            worker.health.record_cancel(now.mono, old.at, old.scale);
         }
     }
 
@@ -53,7 +53,7 @@
         }
         let placed = self.placed.remove(&task)?;
         if let Some(worker) = self.fleet.get_mut(agent) {
-            worker.give(placed.need);
+            worker.release(placed.need);
         }
         self.return_share(&placed.lane);
         Some(placed)
@@ -92,7 +92,9 @@
             if let Some(placed) = self.untrack(task, agent, attempt)
                 && let Some(worker) = self.fleet.get_mut(agent)
             {
-                worker.health.cancel(now.mono, placed.at, placed.scale);
+                worker
+                    .health
+                    .record_cancel(now.mono, placed.at, placed.scale);
                 // The next owner must report the task to the allocator first. Until then the task
                 // stays counted here too, so that it is never missing from the quota.
                 let reported = now.mono + SHARE_SPAN + RESERVE;
--- a/lib/src/entry/clocks.rs
+++ b/lib/src/entry/clocks.rs
@@ -7,7 +7,7 @@
 use super::Submission;
 use crate::clock::micros;
 use crate::clock::millis;
-use crate::clock_check::Answered;
+use crate::clock_check::ClockAnswer;
 use crate::event::Kind;
 use crate::ownership::OwnershipRecord;
 use crate::ownership::Roster;
@@ -22,7 +22,7 @@
         if self.is_owner() || !self.incoming.is_empty() {
             self.clocks.prove();
         }
-        if let Some(step) = self.steps.look(now.step_ms()) {
+        if let Some(step) = self.steps.detect_step(now.step_ms()) {
             self.log(Kind::ClockStepped, step.to_string());
         }
         if self.leads.observe(now, self.tenure.others()) {
@@ -33,7 +33,7 @@
     /// Returns how far the box's clock is ahead of this entry's time, and how far the process whose
     /// clock differs most is ahead of it, both in milliseconds.
     pub fn clock_offsets_ms(&self) -> [i64; 2] {
-        [self.steps.told_ms(), self.clocks.widest_ms()]
+        [self.steps.reported_ms(), self.clocks.widest_ms()]
     }
 
     /// Returns the latest mint time that is accepted now, in Unix milliseconds.
@@ -106,7 +106,7 @@
             .rev()
             .find(|(seq, _)| *seq == heartbeat.echo);
         if let Some(&(_, sent)) = sent {
-            let answered = Answered {
+            let answered = ClockAnswer {
                 clock_ms: heartbeat.clock_ms,
                 sent,
                 held: Duration::from_micros(heartbeat.since_us),
@@ -121,12 +121,12 @@
 
     /// Compares this process's time with another's, and adopts the fleet's time if nothing has been
     /// decided by its own yet.
-    pub(super) fn compare_clock(&mut self, now: Now, process: u64, answered: Answered) {
+    pub(super) fn compare_clock(&mut self, now: Now, process: u64, answered: ClockAnswer) {
         if let Some(ahead_ms) = self.clocks.note(now, process, answered) {
             let name = self.process_name(process);
             self.log(Kind::ClockDiffers, format!("{name}'s by {ahead_ms} ms"));
         }
-        let Some(shift_ms) = self.clocks.settle() else {
+        let Some(shift_ms) = self.clocks.take_correction() else {
             return;
         };
         self.steps.reset();
@@ -139,7 +139,7 @@
         self.leads.forget(now);
         let (peers, fleet) = (&self.peers, &self.fleet);
         let linked = |inc| {
-            let agent = fleet.of(inc).and_then(|key| fleet.get(key));
+            let agent = fleet.key_by_incarnation(inc).and_then(|key| fleet.get(key));
             agent.is_some_and(|w| w.link.is_some()) || peers.values().any(|p| p.incarnation == inc)
         };
         self.clocks.retain(linked);
@@ -150,7 +150,10 @@
         if let Some(peer) = peers.find(|p| p.incarnation == process) {
             return peer.name.clone();
         }
-        let agent = self.fleet.of(process).and_then(|key| self.fleet.get(key));
+        let agent = self
+            .fleet
+            .key_by_incarnation(process)
+            .and_then(|key| self.fleet.get(key));
         agent.map(|w| w.name.to_string()).unwrap_or_default()
     }
 }
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placing.rs
@@ -16,7 +16,7 @@
 use crate::lanes::LaneName;
 use crate::outcome::Cause;
 use crate::placement::Placement;
-use crate::placement::Scene;
+use crate::placement::PlacementRequest;
 use crate::prelude::*;
 use crate::tenure::Standing;
 
@@ -76,7 +76,7 @@
             return PlaceResult::Skipped;
         }
         let permitted = self.permitted(&lane.service, service);
-        let scene = Scene {
+        let scene = PlacementRequest {
             now: now.mono,
             fleet: &self.fleet,
             permitted: &permitted,
@@ -131,7 +131,7 @@
             self.tenure.stand(now.mono) != Standing::Lapsed && self.holdings.active(shard),
             "invariant: only the owner with the right to act starts tasks"
         );
-        let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.renewed) else {
+        let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.last_request) else {
             return;
         };
         let tenure = self.tenure.number();
@@ -193,14 +193,14 @@
     }
 
     pub(super) fn on_answer(&mut self, now: Now, link: LinkId, answer: wire::Answer) {
-        let Some(agent) = self.fleet.at(link) else {
+        let Some(agent) = self.fleet.key_by_link(link) else {
             return;
         };
         let Some(job) = JobId::from_wire(answer.job) else {
             return;
         };
         if let Some(worker) = self.fleet.get_mut(agent) {
-            worker.heard = now.mono;
+            worker.last_heard = now.mono;
         }
         let task = TaskKey {
             job,
@@ -246,9 +246,9 @@
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             let (at, scale) = (placed.at, placed.scale);
             if backend_failed {
-                worker.health.end(now.mono, at, scale, true, None);
+                worker.health.record_end(now.mono, at, scale, true, None);
             } else {
-                worker.health.cancel(now.mono, at, scale);
+                worker.health.record_cancel(now.mono, at, scale);
             }
         }
         if why == wire::Refusal::Fenced {
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -7,8 +7,8 @@
 use crate::clock::micros;
 use crate::job_table::Waiter;
 use crate::outcome::Cause;
+use crate::outcome::JobReply;
 use crate::outcome::Refusal;
-use crate::outcome::Verdict;
 use crate::prelude::*;
 use crate::takeover::Phase;
 use crate::tenure::Standing;
@@ -190,22 +190,22 @@
 
     fn end_without_owner(&mut self, id: u64, detail: &str) {
         let refusal = Refusal::new(Outcome::Unknown, Cause::NoOwner, detail);
-        self.respond(id, Verdict::Other(refusal.retry(NO_OWNER_RETRY_MS)));
+        self.respond(id, JobReply::Other(refusal.retry(NO_OWNER_RETRY_MS)));
     }
 
     /// Answers a caller.
-    fn respond(&mut self, id: u64, verdict: Verdict) {
+    fn respond(&mut self, id: u64, verdict: JobReply) {
         if self.requests.remove(&id).is_none() {
             return;
         }
-        if let Verdict::Other(refusal) = &verdict {
+        if let JobReply::Other(refusal) = &verdict {
             self.count_refusal(refusal.cause);
         }
         self.actions.push(super::Action::Respond(id, verdict));
     }
 
     /// Answers a waiter: a caller of this entry, or a peer that forwarded a request.
-    pub(super) fn answer_waiter(&mut self, waiter: Waiter, verdict: Verdict) {
+    pub(super) fn answer_waiter(&mut self, waiter: Waiter, verdict: JobReply) {
         match waiter {
             Waiter::Local(id) => self.respond(id, verdict),
             Waiter::Peer(link, request) => {
@@ -444,15 +444,15 @@
     }
 }
 
-fn reply_from_verdict(request: u64, verdict: Verdict) -> wire::Reply {
+fn reply_from_verdict(request: u64, verdict: JobReply) -> wire::Reply {
     match verdict {
-        Verdict::Complete(body) => wire::Reply {
+        JobReply::Complete(body) => wire::Reply {
             request,
             outcome: Outcome::Complete.code(),
             body,
             ..Default::default()
         },
-        Verdict::Other(refusal) => wire::Reply {
+        JobReply::Other(refusal) => wire::Reply {
             request,
             outcome: refusal.outcome.map_or(0, Outcome::code),
             cause: refusal.cause.name().to_owned(),
@@ -463,12 +463,12 @@
     }
 }
 
-fn verdict_from_reply(reply: wire::Reply) -> Verdict {
+fn verdict_from_reply(reply: wire::Reply) -> JobReply {
     let outcome = Outcome::from_code(reply.outcome);
     if outcome == Some(Outcome::Complete) {
-        return Verdict::Complete(reply.body);
+        return JobReply::Complete(reply.body);
     }
-    Verdict::Other(Refusal {
+    JobReply::Other(Refusal {
         outcome,
         cause: Cause::from_name(&reply.cause).unwrap_or(Cause::Unreadable),
         detail: reply.detail,
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -6,7 +6,7 @@
 
 use super::Entry;
 use super::requests::Submission;
-use crate::admission::Crowd;
+use crate::admission::QueueLoad;
 use crate::admission::retry_ms;
 use crate::clock::millis;
 use crate::configuration::Favour;
@@ -21,8 +21,8 @@
 use crate::job_table::Waiter;
 use crate::lanes::LaneName;
 use crate::outcome::Cause;
+use crate::outcome::JobReply;
 use crate::outcome::Refusal;
-use crate::outcome::Verdict;
 use crate::prelude::*;
 use crate::shard::body_digest;
 
@@ -63,7 +63,7 @@
             return;
         }
         if let Some(refusal) = self.recent_refusal(now, submission.job, digest) {
-            return self.answer_waiter(waiter, Verdict::Other(refusal));
+            return self.answer_waiter(waiter, JobReply::Other(refusal));
         }
         if self.is_awaiting_lead(now, &submission) {
             return self.hold_request(now, waiter, submission);
@@ -72,7 +72,7 @@
             Ok(checked) => self.accept_job(now, waiter, submission.job, checked),
             Err(refusal) => {
                 self.remember_refusal(now, &submission, digest, &refusal);
-                self.answer_waiter(waiter, Verdict::Other(refusal));
+                self.answer_waiter(waiter, JobReply::Other(refusal));
             }
         }
     }
@@ -112,7 +112,7 @@
     }
 
     /// Returns what is known of a job, without starting anything.
-    fn look_up(&self, now: Now, job: JobId) -> Verdict {
+    fn look_up(&self, now: Now, job: JobId) -> JobReply {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         if let Some(job) = known {
             if job.told_more() {
@@ -122,7 +122,7 @@
                 );
             }
             return job.ended.clone().unwrap_or_else(|| {
-                Verdict::Other(Refusal {
+                JobReply::Other(Refusal {
                     outcome: None,
                     cause: Cause::Running,
                     detail: "the job has not ended".into(),
@@ -139,7 +139,7 @@
         } else {
             Outcome::Unknown
         };
-        Verdict::Other(Refusal::new(
+        JobReply::Other(Refusal::new(
             outcome,
             Cause::NotFound,
             "no such job is known",
@@ -155,17 +155,17 @@
         if job.digest != digest {
             let detail = "this id belongs to another body or service; that job is not affected";
             let refusal = Refusal::new(Outcome::NotRun, Cause::Reused, detail);
-            self.answer_waiter(waiter, Verdict::Other(refusal));
+            self.answer_waiter(waiter, JobReply::Other(refusal));
             return true;
         }
         match &job.ended {
-            Some(Verdict::Other(r)) if r.outcome == Some(Outcome::NotRun) => {
+            Some(JobReply::Other(r)) if r.outcome == Some(Outcome::NotRun) => {
                 let wait_ms = millis(now.mono.until(job.again));
                 if wait_ms == 0 {
                     return false;
                 }
                 let again = r.clone().retry(wait_ms);
-                self.answer_waiter(waiter, Verdict::Other(again));
+                self.answer_waiter(waiter, JobReply::Other(again));
                 true
             }
             Some(_) if job.told_more() => false,
@@ -287,7 +287,7 @@
     fn usable_slots(&mut self, now: Now, name: &Arc<str>, service: &Service) -> usize {
         let keys = self.permitted(name, service);
         let workers = keys.iter().filter_map(|k| self.fleet.get(*k));
-        let usable = workers.filter(|w| w.usable(now.mono));
+        let usable = workers.filter(|w| w.is_usable(now.mono));
         let slots = usable.map(|w| w.room.slots as usize).sum::<usize>();
         match service.capacity {
             0 => slots,
@@ -320,7 +320,7 @@
             return Err((Cause::Memory, detail.into(), NO_WORKER_RETRY_MS));
         }
         let running = self.placed.len().saturating_sub(slots);
-        let crowd = Crowd {
+        let crowd = QueueLoad {
             waiting: self.lanes.len() + running,
             slots,
             team_waiting: self.lanes.waiting(&lane.team),
--- a/lib/src/entry/watching.rs
+++ b/lib/src/entry/watching.rs
@@ -5,9 +5,9 @@
 use super::Placed;
 use crate::event::Kind;
 use crate::fleet::AgentKey;
-use crate::fleet::SILENCE;
-use crate::health::Peers;
-use crate::health::SICK_SHARE;
+use crate::fleet::MAX_SILENCE;
+use crate::health::MAX_UNHEALTHY_SHARE;
+use crate::health::PeerMean;
 use crate::prelude::*;
 
 /// The number of peers' tasks that must have ended before a worker is compared with them.
@@ -23,7 +23,7 @@
         if let Some(worker) = self.fleet.get_mut(placed.agent) {
             worker
                 .health
-                .end(now.mono, placed.at, placed.scale, failed, peers);
+                .record_end(now.mono, placed.at, placed.scale, failed, peers);
         }
         if !failed && took_us > 0 {
             self.record_duration(&placed.lane.service, Duration::from_micros(took_us));
@@ -38,8 +38,8 @@
             .fleet
             .iter()
             .filter(|(_, w)| {
-                let down = w.lost.is_some_and(|at| now.mono >= at + grace);
-                down || now.mono >= w.heard + SILENCE + grace
+                let down = w.lost_at.is_some_and(|at| now.mono >= at + grace);
+                down || now.mono >= w.last_heard + MAX_SILENCE + grace
             })
             .map(|(key, _)| key)
             .collect();
@@ -59,12 +59,16 @@
         let all = self.fleet_sums(now);
         self.fleet_work = all;
         let count = self.fleet.iter().count();
-        let mut unhealthy = self.fleet.iter().filter(|(_, w)| w.health.sick()).count();
-        let most = (count as f64 * SICK_SHARE).floor() as usize;
+        let mut unhealthy = self
+            .fleet
+            .iter()
+            .filter(|(_, w)| w.health.is_unhealthy())
+            .count();
+        let most = (count as f64 * MAX_UNHEALTHY_SHARE).floor() as usize;
         let mut changes = Vec::new();
         for (_, worker) in self.fleet.iter_mut() {
-            let own = worker.health.sums(now.mono);
-            let others = if worker.health.sick() {
+            let own = worker.health.totals(now.mono);
+            let others = if worker.health.is_unhealthy() {
                 all
             } else {
                 (all.0 - own.0, all.1 - own.1, all.2 - own.2)
@@ -72,7 +76,10 @@
             let Some(peers) = peers_mean(others) else {
                 continue;
             };
-            match worker.health.judge(now.mono, peers, unhealthy < most) {
+            match worker
+                .health
+                .update_state(now.mono, peers, unhealthy < most)
+            {
                 Some(true) => {
                     unhealthy += 1;
                     changes.push((Kind::WorkerUnhealthy, worker.name.to_string()));
@@ -88,24 +95,24 @@
 
     /// Returns the mean of an unhealthy worker's peers; `None` for a healthy one and while too few of the
     /// peers' tasks have ended.
-    fn peers_mean_of(&self, agent: AgentKey) -> Option<Peers> {
+    fn peers_mean_of(&self, agent: AgentKey) -> Option<PeerMean> {
         // Only trial tasks are compared with the mean, and a worker on trial is not part of the sums.
-        let unhealthy = self.fleet.get(agent)?.health.sick();
+        let unhealthy = self.fleet.get(agent)?.health.is_unhealthy();
         unhealthy.then(|| peers_mean(self.fleet_work))?
     }
 
     fn fleet_sums(&self, now: Now) -> (f64, f64, f64) {
-        let healthy = self.fleet.iter().filter(|(_, w)| !w.health.sick());
-        let sums = healthy.map(|(_, w)| w.health.sums(now.mono));
+        let healthy = self.fleet.iter().filter(|(_, w)| !w.health.is_unhealthy());
+        let sums = healthy.map(|(_, w)| w.health.totals(now.mono));
         sums.fold((0.0, 0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1, a.2 + b.2))
     }
 }
 
-fn peers_mean((time, done, failed): (f64, f64, f64)) -> Option<Peers> {
+fn peers_mean((time, done, failed): (f64, f64, f64)) -> Option<PeerMean> {
     if done < MIN_PEER_TASKS {
         return None;
     }
-    Some(Peers {
+    Some(PeerMean {
         mean: (time + PRIOR_PEER_TASKS) / (done + PRIOR_PEER_TASKS),
         failures: failed / done,
     })
