--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -1,8 +1,8 @@
-//! The agent's state machine: the only part that has tasks started at a backend server.
+//! The agent's state machine, the only component that starts tasks at its backend server.
 //!
-//! It takes in messages from entries, the ends of running tasks and the time, and gives out
-//! [`Action`]s. A task waits here only while its slot is taken or its owner's right is being
-//! asked for; the owner queues the rest.
+//! Its input is messages from entries, the results of running tasks and the current time; its
+//! output is [`Action`]s. A task is queued here only while no slot is free or while its owner's
+//! right is being confirmed; all longer queues are at the owner.
 
 mod reports;
 mod starts;
@@ -27,42 +27,42 @@
 use crate::start_record::StartAsk;
 use crate::start_record::StartRecord;
 
-/// A link on which a heartbeat has not been answered for this long is given up.
-const DEAD: Duration = Duration::from_secs(6);
+/// A link is closed when a heartbeat on it has been unanswered for this long.
+const LINK_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long an entry counts as active after its last start or seal.
-const ACTIVE: Duration = Duration::from_secs(10);
+const ACTIVE_PERIOD: Duration = Duration::from_secs(10);
 
-/// The agent's settings that concern decisions.
+/// The settings on which the agent's decisions depend.
 #[derive(Clone, Debug)]
 pub struct AgentSetup {
     /// The agent's name, unique among agents.
     pub name: String,
-    /// Drawn at random when the process starts.
+    /// A random number drawn when the process starts; it identifies this run of the agent.
     pub incarnation: u64,
     /// The availability zone of the box.
     pub zone: String,
     /// The hall of the box.
     pub hall: String,
-    /// What the backend server has to give.
+    /// The capacity of the backend server.
     pub room: Room,
-    /// How many tasks may wait for a slot.
+    /// The maximum number of tasks that wait for a slot.
     pub queue: usize,
-    /// Jobs minted longer ago are refused.
+    /// The maximum age of a job; starts of older jobs are refused.
     pub horizon: Duration,
-    /// The bound on the difference between two boxes' wall clocks.
+    /// The maximum difference between the wall clocks of two boxes.
     pub skew: Duration,
-    /// How many bytes of answers are kept for owners that ask again.
+    /// The maximum size in bytes of all stored answers, which are kept for owners that ask again.
     pub budget: usize,
-    /// Time between requests for the right of an active entry.
+    /// The interval between requests to an active entry to confirm its right.
     pub renew: Duration,
-    /// Time between heartbeats to an entry that owns shards and sends no work.
+    /// The interval between heartbeats to an entry that owns shards but sends no work.
     pub idle: Duration,
-    /// Time between heartbeats to an entry that owns no shards.
+    /// The interval between heartbeats to an entry that owns no shards.
     pub standby: Duration,
 }
 
 impl AgentSetup {
-    /// The defaults, for an agent of this name and incarnation.
+    /// Returns the default settings for an agent of this name, incarnation and capacity.
     pub fn new(name: &str, incarnation: u64, room: Room) -> AgentSetup {
         AgentSetup {
             name: name.to_owned(),
@@ -81,79 +81,84 @@
     }
 }
 
-/// What the agent wants done.
+/// An effect that the caller must carry out for the agent.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a message on a link.
     Send(LinkId, Body),
-    /// Hand a task to the back end. Its end must be reported by [`Agent::done`].
+    /// Send a task to the backend server. Its result must be reported by [`Agent::done`].
     Run(RunTask),
-    /// Carry on a time of day that is so many milliseconds later.
+    /// Shift the time of day that the process keeps by this many milliseconds.
     ShiftClock(i64),
     /// Log an event.
     Log(Event),
     /// Close a link.
     Close(LinkId),
-    /// Keep links to the entries that listen at these addresses.
+    /// Maintain links to the entries that listen at these addresses.
     Entries(Vec<String>),
 }
 
-/// A task for the back end.
+/// A task for the backend server.
 #[derive(Clone, Debug)]
 pub struct RunTask {
     /// The task.
     pub key: TaskKey,
-    /// The service's name, the last part of the back end's URL.
+    /// The name of the service, which is the last segment of the backend server's URL.
     pub service: String,
-    /// The task's JSON.
+    /// The task's input as JSON.
     pub payload: Bytes,
-    /// When to give up, on this agent's clock. Whoever carries the task out looks at the clock once
-    /// more right before the call, because the process may have been paused since.
+    /// The deadline on this agent's monotonic clock. The caller must check it again right before
+    /// the call to the backend server, because the process may have been paused in between.
     pub until: Mono,
 }
 
-/// Why a task has no answer.
+/// The reason why a task has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunFailure {
-    /// The back end could not be connected to: nothing of the task reached it.
+    /// The connection to the backend server failed, so nothing of the task reached it.
     NeverSent(String),
-    /// The task may have run.
+    /// The call failed after the task may have run.
     Failed(String),
 }
 
-/// Counters of the agent's decisions, for metrics.
+/// Counters of the agent's decisions, exported as metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AgentCounts {
-    /// Tasks handed to the back end.
+    /// Tasks sent to the backend server.
     pub started: u64,
-    /// Tasks that the back end answered.
+    /// Tasks answered by the backend server.
     pub answered: u64,
-    /// Tasks that failed at the back end.
+    /// Tasks that failed at the backend server.
     pub failed: u64,
-    /// Starts refused because the right had lapsed or the epoch had passed.
+    /// Starts refused because the owner's right had expired or its epoch was outdated.
     pub fenced: u64,
-    /// Starts refused for any other reason.
+    /// Starts refused for any other reason, failed connections to the backend server included.
     pub refused: u64,
-    /// Seals answered.
+    /// Seals received.
     pub sealed: u64,
 }
 
-/// An entry at the other end of a link.
+/// A link to an entry.
 #[derive(Debug)]
 struct EntryLink {
-    /// The number under which its clock is noted.
-    number: u64,
+    /// The key of the entry's readings in the clock check.
+    clock_id: u64,
     grant: Grant,
-    renewed: Mono,
-    active: Option<Mono>,
+    /// When the last `Renew` was sent.
+    renewed_at: Mono,
+    /// When the last start or seal was received.
+    last_active: Option<Mono>,
+    /// Whether the entry owns no shards.
     standby: bool,
+    /// When the oldest `Renew` without a reply was sent.
     unanswered: Option<Mono>,
-    /// The last grant: the number of the request that it answers, and when it came.
-    granted: Option<(u64, Mono)>,
-    seen: u64,
+    /// The sequence number of the last grant and when it was received.
+    last_grant: Option<(u64, Mono)>,
+    /// The number of starts received.
+    received: u64,
 }
 
-/// A start that waits for a slot or for its owner's right.
+/// A start that waits for a slot or for the confirmation of its owner's right.
 #[derive(Debug)]
 struct Waiting {
     start: wire::Start,
@@ -163,7 +168,7 @@
     deadline: Mono,
 }
 
-/// A task at the back end.
+/// A task that runs at the backend server.
 #[derive(Debug)]
 struct Running {
     shard: ShardId,
@@ -173,28 +178,29 @@
     team: String,
 }
 
-/// The agent.
+/// The agent's state machine.
 #[derive(Debug)]
 pub struct Agent {
     setup: AgentSetup,
     record: StartRecord,
     part: AgentPart,
     links: BTreeMap<LinkId, EntryLink>,
-    holders: HashMap<ShardId, LinkId>,
+    /// The link to the last known owner of each shard.
+    owner_links: HashMap<ShardId, LinkId>,
     queue: VecDeque<Waiting>,
     running: HashMap<TaskKey, Running>,
     used: Room,
     clocks: ClockCheck,
     steps: StepWatch,
-    next: u64,
+    last_clock_id: u64,
     leaving: bool,
-    unfenced: bool,
+    fence_disabled: bool,
     counts: AgentCounts,
     actions: Vec<Action>,
 }
 
 impl Agent {
-    /// An agent that has started nothing yet.
+    /// Creates an agent with an empty start record.
     pub fn new(setup: AgentSetup) -> Agent {
         let clocks = ClockCheck::new(setup.skew);
         Agent {
@@ -202,105 +208,106 @@
             setup,
             part: AgentPart::default(),
             links: BTreeMap::new(),
-            holders: HashMap::new(),
+            owner_links: HashMap::new(),
             queue: VecDeque::new(),
             running: HashMap::new(),
             used: Room::default(),
             clocks,
             steps: StepWatch::default(),
-            next: 0,
+            last_clock_id: 0,
             leaving: false,
-            unfenced: false,
+            fence_disabled: false,
             counts: AgentCounts::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Leaves out one check, for the randomised runs.
+    /// Disables one check, so that randomised runs can prove that they detect its absence.
     pub fn break_for_test(&mut self, broken: Broken) {
-        self.unfenced = broken == Broken::Fence;
+        self.fence_disabled = broken == Broken::Fence;
         self.record.break_for_test(broken);
     }
 
-    /// Takes what the agent wants done.
+    /// Takes the pending actions.
     pub fn actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The agent's name.
+    /// Returns the agent's name.
     pub fn name(&self) -> &str {
         &self.setup.name
     }
 
-    /// Its incarnation.
+    /// Returns the agent's incarnation.
     pub fn incarnation(&self) -> u64 {
         self.setup.incarnation
     }
 
-    /// The counters so far.
+    /// Returns the counters.
     pub fn counts(&self) -> AgentCounts {
         self.counts
     }
 
-    /// The start record.
+    /// Returns the start record.
     pub fn record(&self) -> &StartRecord {
         &self.record
     }
 
-    /// The configuration version in force here.
+    /// Returns the configuration version in force at this agent.
     pub fn config(&self) -> u64 {
         self.part.version
     }
 
-    /// How many tasks run, and how many wait.
+    /// Returns the number of running tasks and the number of queued ones.
     pub fn busy(&self) -> (usize, usize) {
         (self.running.len(), self.queue.len())
     }
 
-    /// How many tasks of a team run.
+    /// Returns the number of running tasks of a team.
     pub fn running_of(&self, team: &str) -> usize {
         self.running.values().filter(|r| r.team == team).count()
     }
 
-    /// How far the box's clock is ahead of the time that this agent carries on, and how far the
-    /// clock of the entry that differs most is, in milliseconds.
+    /// Returns how far two clocks are ahead of the time of day that this agent keeps, in
+    /// milliseconds: the box's clock as last logged, and the clock of the entry that differs most.
     pub fn clock_gaps_ms(&self) -> [i64; 2] {
         [self.steps.told_ms(), self.clocks.widest_ms()]
     }
 
-    /// Whether a leaving agent has nothing left to finish.
+    /// Returns whether the agent is leaving and has no running or queued task.
     pub fn drained(&self) -> bool {
         self.leaving && self.running.is_empty() && self.queue.is_empty()
     }
 
-    /// A link to an entry is up.
+    /// Registers a link to an entry and requests its right.
     pub fn link_up(&mut self, now: Now, link: LinkId) {
-        self.next += 1;
+        self.last_clock_id += 1;
         let entry = EntryLink {
-            number: self.next,
+            clock_id: self.last_clock_id,
             grant: Grant::default(),
-            renewed: now.mono,
-            active: None,
+            renewed_at: now.mono,
+            last_active: None,
             standby: false,
             unanswered: None,
-            granted: None,
-            seen: 0,
+            last_grant: None,
+            received: 0,
         };
         self.links.insert(link, entry);
         self.renew(now, link);
     }
 
-    /// A link is down. Starts that came by it and still wait are forgotten: their owner asks.
+    /// Removes a link and drops the queued starts received on it; their owner asks about them with
+    /// `Recall` once it is linked again.
     pub fn link_down(&mut self, link: LinkId) {
         self.links.remove(&link);
         let links = &self.links;
-        let linked = |number| links.values().any(|e| e.number == number);
+        let linked = |id| links.values().any(|e| e.clock_id == id);
         self.clocks.retain(linked);
         self.queue.retain(|w| w.link != link);
-        self.holders.retain(|_, l| *l != link);
+        self.owner_links.retain(|_, l| *l != link);
     }
 
-    /// The process is to leave: nothing new is started, what runs is finished.
+    /// Begins to drain the agent: refuses queued and new starts, while running tasks finish.
     pub fn leave(&mut self, now: Now) {
         if self.leaving {
             return;
@@ -317,7 +324,8 @@
         }
     }
 
-    /// Time has passed.
+    /// Handles the passing of time: expires jobs, sends heartbeats, closes unresponsive links and
+    /// decides queued starts.
     pub fn tick(&mut self, now: Now) {
         self.record.expire(now);
         if let Some(step) = self.steps.look(now.step_ms()) {
@@ -327,34 +335,35 @@
         let due: Vec<LinkId> = self
             .links
             .iter()
-            .filter(|(_, e)| now.mono >= e.renewed + self.pace(now, e))
+            .filter(|(_, e)| now.mono >= e.renewed_at + self.renew_interval(now, e))
             .map(|(l, _)| *l)
             .collect();
         for link in due {
             self.renew(now, link);
         }
-        self.close_dead(now);
-        self.pump(now);
+        self.close_unresponsive(now);
+        self.start_waiting(now);
     }
 
-    /// A message came in.
+    /// Handles a message from an entry. Ignores messages on links that are no longer registered.
     pub fn frame(&mut self, now: Now, link: LinkId, body: Body) {
         if !self.links.contains_key(&link) {
             return;
         }
         match body {
-            Body::Grant(grant) => self.on_grant(now, link, grant),
-            Body::Start(start) => self.on_start(now, link, start),
-            Body::Seal(seal) => self.on_seal(now, link, seal),
-            Body::Recall(recall) => self.on_recall(now, link, recall),
-            Body::Part(part) => self.on_part(now, link, part),
+            Body::Grant(grant) => self.handle_grant(now, link, grant),
+            Body::Start(start) => self.handle_start(now, link, start),
+            Body::Seal(seal) => self.handle_seal(now, link, seal),
+            Body::Recall(recall) => self.handle_recall(now, link, recall),
+            Body::Part(part) => self.handle_part(now, link, part),
             _ => {}
         }
     }
 
-    /// Closes links on which a heartbeat has not been answered: they are half-open.
-    fn close_dead(&mut self, now: Now) {
-        let dead = |e: &EntryLink| e.unanswered.is_some_and(|at| now.mono >= at + DEAD);
+    /// Closes links on which a heartbeat has been unanswered for too long, as half-open
+    /// connections report no error.
+    fn close_unresponsive(&mut self, now: Now) {
+        let dead = |e: &EntryLink| e.unanswered.is_some_and(|at| now.mono >= at + LINK_TIMEOUT);
         let links = self.links.iter().filter(|(_, e)| dead(e));
         let links: Vec<LinkId> = links.map(|(l, _)| *l).collect();
         for link in links {
@@ -363,9 +372,11 @@
         }
     }
 
-    fn pace(&self, now: Now, entry: &EntryLink) -> Duration {
-        let active = entry.active.is_some_and(|at| now.mono < at + ACTIVE);
-        if active {
+    fn renew_interval(&self, now: Now, entry: &EntryLink) -> Duration {
+        let is_active = entry
+            .last_active
+            .is_some_and(|at| now.mono < at + ACTIVE_PERIOD);
+        if is_active {
             self.setup.renew
         } else if entry.standby {
             self.setup.standby
@@ -378,31 +389,31 @@
         let Some(entry) = self.links.get_mut(&link) else {
             return;
         };
-        entry.renewed = now.mono;
+        entry.renewed_at = now.mono;
         entry.unanswered.get_or_insert(now.mono);
         let seq = entry.grant.ask(now.mono);
-        let granted = entry.granted;
+        let last_grant = entry.last_grant;
         let mut renew = wire::Renew {
             seq,
-            load: Some(self.load(link)),
+            load: Some(self.load_report(link)),
             leaving: self.leaving,
             config: self.part.version,
             clock_ms: now.wall_ms,
             proven: self.clocks.is_proven(),
             ..Default::default()
         };
-        if let Some((echo, at)) = granted {
+        if let Some((echo, at)) = last_grant {
             renew.echo = echo;
             renew.since_us = micros(now.mono.since(at));
         }
         self.send(link, Body::Renew(renew));
     }
 
-    fn load(&self, link: LinkId) -> wire::Load {
+    fn load_report(&self, link: LinkId) -> wire::Load {
         wire::Load {
             used: Some(self.used.wire()),
             queued: self.queue.len() as u32,
-            seen: self.links.get(&link).map_or(0, |e| e.seen),
+            seen: self.links.get(&link).map_or(0, |e| e.received),
         }
     }
 
@@ -410,12 +421,12 @@
         self.actions.push(Action::Send(link, body));
     }
 
-    fn answer(&mut self, link: LinkId, mut answer: wire::Answer) {
-        answer.load = Some(self.load(link));
+    fn send_answer(&mut self, link: LinkId, mut answer: wire::Answer) {
+        answer.load = Some(self.load_report(link));
         self.send(link, Body::Answer(answer));
     }
 
-    fn on_grant(&mut self, now: Now, link: LinkId, grant: wire::Grant) {
+    fn handle_grant(&mut self, now: Now, link: LinkId, grant: wire::Grant) {
         let Some(entry) = self.links.get_mut(&link) else {
             return;
         };
@@ -425,29 +436,29 @@
         entry.grant.granted(grant.seq, grant.tenure, span);
         entry.standby = grant.standby;
         entry.unanswered = None;
-        let first = entry.granted.replace((grant.seq, now.mono)).is_none();
-        let number = entry.number;
-        let answered = entry.grant.sent(grant.seq).map(|sent| Answered {
+        let first = entry.last_grant.replace((grant.seq, now.mono)).is_none();
+        let clock_id = entry.clock_id;
+        let answered = entry.grant.sent_at(grant.seq).map(|sent| Answered {
             clock_ms: grant.clock_ms,
             sent,
             held: Duration::ZERO,
             proven: grant.proven,
         });
         if let Some(answered) = answered {
-            self.compare_clock(now, number, answered);
+            self.compare_clock(now, clock_id, answered);
         }
         if first {
-            // The entry may have just started, and learns the time from this.
+            // The entry may have just started; the second request lets it measure this agent's clock.
             self.renew(now, link);
         }
         if !grant.entries.is_empty() {
             self.actions.push(Action::Entries(grant.entries));
         }
-        self.pump(now);
+        self.start_waiting(now);
     }
 
-    /// Compares the time that an entry carries on with the own, and goes by the entries' time for
-    /// as long as nothing was started by the own.
+    /// Compares an entry's time of day with that of this agent. Adopts the fleet's time as long as
+    /// the agent's own is unproven, that is, before any start was accepted under it.
     fn compare_clock(&mut self, now: Now, entry: u64, answered: Answered) {
         if let Some(ahead_ms) = self.clocks.note(now, entry, answered) {
             let event = Event::new(Kind::ClockDiffers, format!("an entry's by {ahead_ms} ms"));
@@ -462,7 +473,7 @@
         self.actions.push(Action::ShiftClock(shift_ms));
     }
 
-    fn on_part(&mut self, now: Now, link: LinkId, part: wire::Part) {
+    fn handle_part(&mut self, now: Now, link: LinkId, part: wire::Part) {
         if part.version <= self.part.version {
             return;
         }
@@ -488,7 +499,7 @@
     }
 }
 
-fn wire_progress(progress: Progress) -> (wire::Status, Bytes) {
+fn status_and_body(progress: Progress) -> (wire::Status, Bytes) {
     match progress {
         Progress::Running => (wire::Status::Running, Bytes::new()),
         Progress::Answered(body) => (wire::Status::Ok, body),
--- a/lib/src/agent/reports.rs
+++ b/lib/src/agent/reports.rs
@@ -1,4 +1,6 @@
-//! Reports: what a new owner is told when it seals, and an old one when it asks.
+//! Reports to owners: the replies to `Seal`, from a new owner of shards, and to `Recall`, from an
+//! owner that asks about a single task. Both raise the shard's epoch first, so that no start of an
+//! earlier owner is accepted after the report.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -7,21 +9,21 @@
 
 use super::Agent;
 use super::Waiting;
-use super::wire_progress;
+use super::status_and_body;
 use crate::prelude::*;
 use crate::start_record::Progress;
 use crate::start_record::StartAsk;
 
-/// How many bytes of answers one `Sealed` message carries at the most.
-const SEALED_BYTES: usize = 512 * 1024;
-/// How many tasks one `Sealed` message tells of at the most.
-const SEALED_TASKS: usize = 2_000;
+/// A `Sealed` message is sent once the answers in it exceed this many bytes.
+const MAX_SEALED_BYTES: usize = 512 * 1024;
+/// The maximum number of tasks in one `Sealed` message.
+const MAX_SEALED_TASKS: usize = 2_000;
 
 impl Agent {
-    pub(super) fn on_seal(&mut self, now: Now, link: LinkId, seal: wire::Seal) {
+    pub(super) fn handle_seal(&mut self, now: Now, link: LinkId, seal: wire::Seal) {
         self.counts.sealed += 1;
         if let Some(entry) = self.links.get_mut(&link) {
-            entry.active = Some(now.mono);
+            entry.last_active = Some(now.mono);
             entry.standby = false;
         }
         self.renew(now, link);
@@ -33,18 +35,18 @@
                 passed.push(*claim);
                 continue;
             }
-            self.holders.insert(shard, link);
+            self.owner_links.insert(shard, link);
             shards.insert(shard);
         }
-        self.drop_waiting(now);
+        self.refuse_fenced(now);
         if seal.report {
-            self.report(link, seal.round, &shards, passed);
+            self.send_report(link, seal.round, &shards, passed);
         }
     }
 
-    /// Gives back the waiting starts that a new epoch has fenced off.
-    fn drop_waiting(&mut self, now: Now) {
-        if self.unfenced {
+    /// Refuses the queued starts whose epoch is outdated.
+    fn refuse_fenced(&mut self, now: Now) {
+        if self.fence_disabled {
             return;
         }
         let all = std::mem::take(&mut self.queue);
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Tells a new owner what has started of its shards, in bounded messages.
-    fn report(
+    /// Reports every started task of the shards to their new owner, split into bounded messages.
+    fn send_report(
         &mut self,
         link: LinkId,
         round: u64,
@@ -71,12 +73,12 @@
         };
         let mut bytes = 0;
         for evidence in self.record.evidence(shards) {
-            if bytes > SEALED_BYTES || part.started.len() >= SEALED_TASKS {
+            if bytes > MAX_SEALED_BYTES || part.started.len() >= MAX_SEALED_TASKS {
                 self.send(link, Body::Sealed(std::mem::take(&mut part)));
                 part.round = round;
                 bytes = 0;
             }
-            let started = wire_started(evidence);
+            let started = started_message(evidence);
             bytes += started.body.len();
             part.started.push(started);
         }
@@ -84,7 +86,7 @@
         self.send(link, Body::Sealed(part));
     }
 
-    pub(super) fn on_recall(&mut self, now: Now, link: LinkId, recall: wire::Recall) {
+    pub(super) fn handle_recall(&mut self, now: Now, link: LinkId, recall: wire::Recall) {
         let Some(job) = JobId::from_wire(recall.job) else {
             return;
         };
@@ -96,7 +98,7 @@
         if !self.record.raise(shard, Epoch(recall.epoch)) {
             return;
         }
-        self.holders.insert(shard, link);
+        self.owner_links.insert(shard, link);
         let mut answer = wire::Answer {
             job: recall.job,
             task: recall.task,
@@ -121,20 +123,20 @@
                 answer.refusal = wire::Refusal::Recalled.into();
                 (wire::Status::NotStarted, Bytes::new())
             }
-            Some(progress) => wire_progress(progress.clone()),
+            Some(progress) => status_and_body(progress.clone()),
         };
         if let Some(running) = self.running.get_mut(&key) {
             running.attempt = recall.attempt;
         }
         answer.status = status.into();
         answer.body = body;
-        self.answer(link, answer);
+        self.send_answer(link, answer);
     }
 }
 
-fn wire_started(evidence: crate::start_record::Evidence) -> wire::Started {
+fn started_message(evidence: crate::start_record::Evidence) -> wire::Started {
     let kept = evidence.progress != Progress::Dropped;
-    let (status, body) = wire_progress(evidence.progress);
+    let (status, body) = status_and_body(evidence.progress);
     wire::Started {
         job: Some(evidence.key.job.wire()),
         task: evidence.key.task,
--- a/lib/src/agent/starts.rs
+++ b/lib/src/agent/starts.rs
@@ -1,4 +1,5 @@
-//! Starts: waiting, judged, handed to the back end, ended or refused.
+//! The life of a start: queued, checked, sent to the backend server, and answered with a result or
+//! a refusal. A refusal is sent only after the start record excludes that the attempt starts later.
 
 use std::collections::VecDeque;
 
@@ -10,42 +11,42 @@
 use super::RunTask;
 use super::Running;
 use super::Waiting;
-use super::wire_progress;
+use super::status_and_body;
 use crate::clock::micros;
 use crate::prelude::*;
 use crate::start_record::Progress;
 use crate::start_record::StartAsk;
 use crate::start_record::StartError;
 
-/// How long a start waits for its owner's right to be confirmed.
-const PARK: Duration = Duration::from_millis(500);
+/// How long a start may wait for the confirmation of its owner's right.
+const RIGHT_WAIT: Duration = Duration::from_millis(500);
 
-/// What is to become of a waiting start.
-enum Fate {
+/// The decision on a queued start.
+enum StartDecision {
     Wait,
     Start,
     Refuse(wire::Refusal),
 }
 
 impl Agent {
-    pub(super) fn on_start(&mut self, now: Now, link: LinkId, start: wire::Start) {
+    pub(super) fn handle_start(&mut self, now: Now, link: LinkId, start: wire::Start) {
         let Some(entry) = self.links.get_mut(&link) else {
             return;
         };
-        entry.seen += 1;
-        entry.active = Some(now.mono);
+        entry.received += 1;
+        entry.last_active = Some(now.mono);
         let Some(ask) = start_ask(&start) else {
             return;
         };
         let since = Duration::from_micros(start.since_us);
         let remain = Duration::from_micros(start.remain_us);
         entry.grant.extend(start.renew, since, start.tenure, remain);
-        let unknown_right = !entry.grant.permits(now.mono, start.tenure);
-        // Counted from a request of this agent's own, so that a start which was under way for long
-        // does not get its time anew.
+        let right_unknown = !entry.grant.permits(now.mono, start.tenure);
+        // The deadline is counted from a request of this agent, so that network delay shortens the
+        // remaining time. A forgotten request counts from the clock's origin, which has usually expired.
         let span = Duration::from_micros(start.since_us.saturating_add(start.left_us));
         let waiting = Waiting {
-            deadline: entry.grant.sent(start.renew).unwrap_or(Mono(0)) + span,
+            deadline: entry.grant.sent_at(start.renew).unwrap_or(Mono(0)) + span,
             start,
             ask,
             link,
@@ -53,7 +54,7 @@
         };
         let held = self.record.raise(ask.shard, ask.epoch);
         if held {
-            self.holders.insert(ask.shard, link);
+            self.owner_links.insert(ask.shard, link);
         }
         if self.leaving {
             return self.refuse(now, waiting, wire::Refusal::Leaving);
@@ -63,57 +64,57 @@
         }
         self.clocks.prove();
         self.queue.push_back(waiting);
-        if unknown_right {
+        if right_unknown {
             self.renew(now, link);
         }
-        self.pump(now);
+        self.start_waiting(now);
     }
 
-    /// Starts what can start, in order of arrival, and gives back what never will.
-    pub(super) fn pump(&mut self, now: Now) {
+    /// Starts the queued tasks that can start, in order of arrival, and refuses those that cannot.
+    pub(super) fn start_waiting(&mut self, now: Now) {
         let mut rest = VecDeque::with_capacity(self.queue.len());
         for waiting in std::mem::take(&mut self.queue) {
-            match self.judge(now, &waiting) {
-                Fate::Wait => rest.push_back(waiting),
-                Fate::Refuse(reason) => self.refuse(now, waiting, reason),
-                Fate::Start => self.run(now, waiting),
+            match self.decide_start(now, &waiting) {
+                StartDecision::Wait => rest.push_back(waiting),
+                StartDecision::Refuse(reason) => self.refuse(now, waiting, reason),
+                StartDecision::Start => self.start_task(now, waiting),
             }
         }
         rest.append(&mut self.queue);
         self.queue = rest;
     }
 
-    fn judge(&self, now: Now, waiting: &Waiting) -> Fate {
+    fn decide_start(&self, now: Now, waiting: &Waiting) -> StartDecision {
         if now.mono >= waiting.deadline {
-            return Fate::Refuse(wire::Refusal::Expired);
+            return StartDecision::Refuse(wire::Refusal::Expired);
         }
         if !self.part.permits(&waiting.start.service) {
-            return Fate::Refuse(wire::Refusal::Place);
+            return StartDecision::Refuse(wire::Refusal::Place);
         }
         let Some(entry) = self.links.get(&waiting.link) else {
-            return Fate::Refuse(wire::Refusal::Fenced);
+            return StartDecision::Refuse(wire::Refusal::Fenced);
         };
-        let right = entry.grant.permits(now.mono, waiting.start.tenure) || self.unfenced;
+        let right = entry.grant.permits(now.mono, waiting.start.tenure) || self.fence_disabled;
         if !right {
-            let patient = now.mono < waiting.arrived + PARK;
-            return if patient {
-                Fate::Wait
+            let can_wait = now.mono < waiting.arrived + RIGHT_WAIT;
+            return if can_wait {
+                StartDecision::Wait
             } else {
-                Fate::Refuse(wire::Refusal::Fenced)
+                StartDecision::Refuse(wire::Refusal::Fenced)
             };
         }
         if let Err(e) = self.record.check(now, &waiting.ask) {
-            return Fate::Refuse(refusal(e));
+            return StartDecision::Refuse(refusal(e));
         }
         let need = self.part.need(&waiting.start.service);
         if self.setup.room.fits(self.used, need) {
-            Fate::Start
+            StartDecision::Start
         } else {
-            Fate::Wait
+            StartDecision::Wait
         }
     }
 
-    fn run(&mut self, now: Now, waiting: Waiting) {
+    fn start_task(&mut self, now: Now, waiting: Waiting) {
         let start = &waiting.start;
         let recorded = self
             .record
@@ -145,7 +146,8 @@
         }));
     }
 
-    /// Answers that an attempt has not started, after making sure that it never will.
+    /// Answers that an attempt has not started, after recording that it never will. If the task
+    /// has started under another attempt, answers with its state instead.
     pub(super) fn refuse(&mut self, now: Now, waiting: Waiting, reason: wire::Refusal) {
         let ask = &waiting.ask;
         let mut answer = wire::Answer {
@@ -160,11 +162,11 @@
         };
         if self.record.give_back(now, ask) == Err(StartError::Started) {
             let progress = self.record.progress(ask.key).cloned();
-            let (status, body) = wire_progress(progress.unwrap_or(Progress::Running));
+            let (status, body) = status_and_body(progress.unwrap_or(Progress::Running));
             answer.status = status.into();
             answer.body = body;
             answer.refusal = wire::Refusal::Unspecified.into();
-            // Its end is told under the attempt that its present owner knows.
+            // The result is reported under the attempt that the current owner knows.
             if let Some(running) = self.running.get_mut(&ask.key) {
                 running.attempt = ask.attempt;
             }
@@ -174,10 +176,10 @@
         } else {
             self.counts.refused += 1;
         }
-        self.answer(waiting.link, answer);
+        self.send_answer(waiting.link, answer);
     }
 
-    /// A task handed out by [`Action::Run`] has ended.
+    /// Handles the result of a task that was started by [`Action::Run`].
     pub fn done(&mut self, now: Now, key: TaskKey, result: Result<Bytes, RunFailure>) {
         let Some(running) = self.running.remove(&key) else {
             return;
@@ -192,15 +194,15 @@
             shard: running.shard.0,
             ..Default::default()
         };
-        self.note_end(key, result, &mut answer);
-        self.pump(now);
-        if let Some(link) = self.holders.get(&running.shard).copied() {
-            self.answer(link, answer);
+        self.record_end(key, result, &mut answer);
+        self.start_waiting(now);
+        if let Some(link) = self.owner_links.get(&running.shard).copied() {
+            self.send_answer(link, answer);
         }
     }
 
-    /// Records how a task ended, and fills the answer in.
-    fn note_end(
+    /// Records the result of a task and copies it into the answer.
+    fn record_end(
         &mut self,
         key: TaskKey,
         result: Result<Bytes, RunFailure>,
--- a/lib/src/grants.rs
+++ b/lib/src/grants.rs
@@ -1,89 +1,91 @@
-//! Grants: an agent's view of which entries may have tasks started right now.
+//! Grants: an agent's view of which entries currently have the right to start tasks.
 //!
-//! The agent asks (`Renew`), the entry answers how long its right still lasts (`Grant`), and the
-//! agent counts that span from the moment *it sent the request*, on its own monotonic clock. The
-//! entry computed the span after the request was sent, so the agent's deadline never lies beyond
-//! the entry's own, however long either was paused or the answer was under way. While work flows
-//! the grants ride on the starts, and requests are heartbeats only.
+//! The agent sends a request (`Renew`), and the entry replies with how long its right still lasts
+//! (`Grant`). The agent counts that span from the moment *it sent the request*, on its own
+//! monotonic clock. The entry computes the span after the request was sent, so the agent's deadline
+//! is never later than the entry's own, regardless of process pauses and network delays. Under load
+//! the starts carry the grants, and the requests serve as heartbeats only.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Mono;
 
-/// How many requests are remembered for each entry.
-const REMEMBERED: usize = 32;
+/// The number of recent requests whose send times are kept for each entry.
+const MAX_REQUESTS: usize = 32;
 
-/// The grant of one entry.
+/// The right of one entry as this agent knows it, and the recent requests for it.
 #[derive(Clone, Debug, Default)]
 pub struct Grant {
-    next: u64,
-    asked: VecDeque<(u64, Mono)>,
-    answered: u64,
+    last_seq: u64,
+    requests: VecDeque<(u64, Mono)>,
+    last_answered: u64,
     tenure: u64,
     until: Option<Mono>,
 }
 
 impl Grant {
-    /// Notes that a request is being sent, and gives its number.
+    /// Records that a request is sent at `now`, and returns its sequence number.
     pub fn ask(&mut self, now: Mono) -> u64 {
-        self.next += 1;
-        self.asked.push_back((self.next, now));
-        if self.asked.len() > REMEMBERED {
-            self.asked.pop_front();
+        self.last_seq += 1;
+        self.requests.push_back((self.last_seq, now));
+        if self.requests.len() > MAX_REQUESTS {
+            self.requests.pop_front();
         }
-        self.next
+        self.last_seq
     }
 
-    /// Takes an answer in. One that answers no remembered request is ignored.
+    /// Applies the entry's reply to request `seq`. Ignores replies to forgotten requests, replies
+    /// that arrive out of order, and those of an earlier tenure.
     pub fn granted(&mut self, seq: u64, tenure: u64, remain: Duration) {
-        if seq <= self.answered {
+        if seq <= self.last_answered {
             return;
         }
-        let Some(sent) = self.sent(seq) else {
+        let Some(sent_at) = self.sent_at(seq) else {
             return;
         };
-        self.answered = seq;
+        self.last_answered = seq;
         if tenure < self.tenure {
             return;
         }
         self.tenure = tenure;
-        self.until = (!remain.is_zero()).then(|| sent + remain);
+        self.until = (!remain.is_zero()).then(|| sent_at + remain);
     }
 
-    /// Takes in a grant that rides on a start: what remains, counted from the request that the
-    /// sender had last and the time since it came there.
+    /// Applies a grant carried by a start. `seq` is the last request that the entry had received,
+    /// `since` the time from its arrival there to the start, and `remain` how long the right lasts
+    /// from then on. Does not shorten the right within a tenure.
     pub fn extend(&mut self, seq: u64, since: Duration, tenure: u64, remain: Duration) {
-        let Some(sent) = self.sent(seq) else {
+        let Some(sent_at) = self.sent_at(seq) else {
             return;
         };
         if tenure < self.tenure {
             return;
         }
-        let until = (!remain.is_zero()).then(|| sent + since + remain);
+        let until = (!remain.is_zero()).then(|| sent_at + since + remain);
         if tenure > self.tenure || until > self.until {
             self.until = until;
         }
         self.tenure = tenure;
     }
 
-    /// When a request was sent, if it is remembered.
-    pub fn sent(&self, seq: u64) -> Option<Mono> {
-        let found = self.asked.iter().rev().find(|(n, _)| *n == seq);
+    /// Returns when request `seq` was sent, unless it has been forgotten.
+    pub fn sent_at(&self, seq: u64) -> Option<Mono> {
+        let found = self.requests.iter().rev().find(|(n, _)| *n == seq);
         found.map(|(_, at)| *at)
     }
 
-    /// Whether a start decided under `tenure` may go ahead at `now`.
+    /// Returns whether a start decided under `tenure` is permitted at `now`.
     pub fn permits(&self, now: Mono, tenure: u64) -> bool {
-        self.tenure == tenure && self.valid(now)
+        self.tenure == tenure && self.is_valid(now)
     }
 
-    /// Whether the entry has a right at all at `now`.
-    pub fn valid(&self, now: Mono) -> bool {
+    /// Returns whether the entry has the right under any tenure at `now`.
+    pub fn is_valid(&self, now: Mono) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// The tenure of the last grant.
+    /// Returns the tenure of the last grant.
     pub fn tenure(&self) -> u64 {
         self.tenure
     }
--- a/lib/src/grants/tests.rs
+++ b/lib/src/grants/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `grants`.
+//! Tests that grants are counted from the request and never extended by a late message.
 
 use super::*;
 
 #[test]
-fn test_grant_counts_from_the_request() {
+fn test_grant_expiry_counted_from_request() {
     let mut grant = Grant::default();
     let seq = grant.ask(Mono(1_000_000));
     grant.granted(seq, 4, Duration::from_secs(3));
@@ -13,20 +13,20 @@
 }
 
 #[test]
-fn test_grant_rides_on_starts() {
+fn test_grant_carried_by_start() {
     let mut grant = Grant::default();
     let seq = grant.ask(Mono(0));
     let (since, remain) = (Duration::from_secs(3), Duration::from_secs(1));
     grant.extend(seq, since, 2, remain);
     assert!(grant.permits(Mono(3_999_999), 2));
     assert!(!grant.permits(Mono(4_000_000), 2));
-    // A start of an earlier tenure that comes late gives nothing back.
+    // A late start of an earlier tenure does not restore the right.
     grant.extend(seq, since * 9, 1, remain);
     assert!(!grant.permits(Mono(4_000_000), 1));
 }
 
 #[test]
-fn test_grant_ignores_answers_to_forgotten_requests() {
+fn test_grant_stale_reply_ignored() {
     let mut grant = Grant::default();
     let first = grant.ask(Mono(0));
     let second = grant.ask(Mono(10));
