--- a/lib/daemon/src/agent_actor.rs
+++ b/lib/daemon/src/agent_actor.rs
@@ -55,7 +55,7 @@
 
     /// Does what the state machine wants done.
     fn flush(&mut self, ctx: &mut Context<AgentActor>) {
-        for action in self.agent.actions() {
+        for action in self.agent.take_actions() {
             match action {
                 Action::Send(link, body) => {
                     if let Some(sender) = self.links.get(&link) {
@@ -68,7 +68,7 @@
                     let ticker = self.ticker;
                     let call = async move { backend.run(task, ticker).await };
                     let done = call.into_actor(self).map(move |result, actor, ctx| {
-                        actor.agent.done(actor.ticker.now(), key, result);
+                        actor.agent.handle_task_end(actor.ticker.now(), key, result);
                         actor.flush(ctx);
                     });
                     ctx.spawn(done);
@@ -111,7 +111,7 @@
                 self.names.insert(link, hello.name);
                 self.agent.link_up(now, link);
             }
-            LinkEvent::Frame(link, body) => self.agent.frame(now, link, body),
+            LinkEvent::Frame(link, body) => self.agent.handle_message(now, link, body),
             LinkEvent::Down(link) => {
                 self.links.remove(&link);
                 self.names.remove(&link);
@@ -140,7 +140,7 @@
     type Result = bool;
 
     fn handle(&mut self, _: IsDrained, _: &mut Context<AgentActor>) -> bool {
-        self.agent.drained()
+        self.agent.is_drained()
     }
 }
 
--- a/lib/daemon/src/metrics.rs
+++ b/lib/daemon/src/metrics.rs
@@ -141,7 +141,7 @@
     ];
     sheet.counters("agent_total", "What the agent did.", "kind", &tasks);
     let (jobs, tasks, bytes) = agent.record().size();
-    let (running, waiting) = agent.busy();
+    let (running, waiting) = agent.task_counts();
     let gauges = [
         ("jobs_remembered", jobs as i64),
         ("tasks_remembered", tasks as i64),
@@ -151,7 +151,7 @@
         ("config_version", agent.config() as i64),
     ];
     sheet.gauges("agent_state", "What the agent holds now.", "of", &gauges);
-    sheet.clocks(agent.clock_gaps_ms());
+    sheet.clocks(agent.clock_offsets_ms());
     sheet.traffic();
     sheet.text()
 }
--- a/lib/daemon/src/settings.rs
+++ b/lib/daemon/src/settings.rs
@@ -157,7 +157,7 @@
     span(
         &mut f,
         "ride_ms",
-        &mut tenure.ride,
+        &mut tenure.max_extension,
         1_000..=3_600_000,
         findings,
     );
@@ -241,7 +241,7 @@
         let message = "must be at most a third of `promise_ms`, or promises lapse between beats";
         findings.add("/beat_ms", message);
     }
-    if setup.tenure.ride < setup.tenure.lease {
+    if setup.tenure.max_extension < setup.tenure.lease {
         findings.add("/ride_ms", "must be at least `lease_ms`");
     }
 }
--- a/lib/daemon/src/status.rs
+++ b/lib/daemon/src/status.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use stackcourse_lib::clock::Now;
 use stackcourse_lib::entry::Entry;
-use stackcourse_lib::tenure::Standing;
+use stackcourse_lib::tenure::RightState;
 
 /// An entry and the nodes it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,9 +60,9 @@
     /// The state of an entry now.
     pub fn of(entry: &Entry, now: Now) -> EntryStatus {
         let right = match entry.standing(now) {
-            Standing::Confirmed => "confirmed",
-            Standing::Promised => "promised",
-            Standing::Lapsed => "lapsed",
+            RightState::Confirmed => "confirmed",
+            RightState::Promised => "promised",
+            RightState::Expired => "lapsed",
         };
         let (owned, served) = entry.shards();
         let (jobs, _, waiting) = entry.load();
--- a/lib/examples/fencing.rs
+++ b/lib/examples/fencing.rs
@@ -11,16 +11,16 @@
 use stackcourse_lib::job_id::TaskKey;
 use stackcourse_lib::shard::Epoch;
 use stackcourse_lib::shard::ShardId;
-use stackcourse_lib::start_record::StartAsk;
 use stackcourse_lib::start_record::StartError;
 use stackcourse_lib::start_record::StartRecord;
+use stackcourse_lib::start_record::StartRequest;
 
 fn main() {
     let horizon = Duration::from_secs(900);
     let margin = Duration::from_secs(1);
     let mut record = StartRecord::new(horizon, margin, 1 << 20);
     let now = Now::steady(Mono(1_000_000), 1_800_000_000_000);
-    let ask = |epoch, attempt| StartAsk {
+    let ask = |epoch, attempt| StartRequest {
         key: TaskKey {
             job: JobId::mint(now.wall_ms, &[7; 10]),
             task: 0,
@@ -41,7 +41,7 @@
     println!("after two seconds the owner of epoch 1 starts nothing here");
 
     // A new owner seals the shard; what the old one sends now is refused.
-    record.raise(ShardId(3), Epoch(2));
+    record.raise_epoch(ShardId(3), Epoch(2));
     assert_eq!(
         record.start(now, &ask(1, 1), "s", "t"),
         Err(StartError::Fenced)
--- a/lib/examples/ownership_record.rs
+++ b/lib/examples/ownership_record.rs
@@ -16,14 +16,14 @@
             zone: String::new(),
         });
     }
-    record.settle(&[1, 2, 3], 0);
+    record.assign_unowned(&[1, 2, 3], 0);
     for incarnation in 1..=3 {
         println!("entry {incarnation} owns {:?}", record.owned(incarnation));
     }
     // Entry 1 dies: its shards get new owners and higher epochs, and remember whom they were cut
     // from, because the new owners have to wait out its right.
     record.cut(1, 1_800_000_000_000);
-    record.settle(&[2, 3], 0);
+    record.assign_unowned(&[2, 3], 0);
     for incarnation in 2..=3 {
         println!(
             "then entry {incarnation} owns {:?}",
--- a/lib/examples/tenure.rs
+++ b/lib/examples/tenure.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stackcourse_lib::clock::Mono;
-use stackcourse_lib::tenure::Standing;
+use stackcourse_lib::tenure::RightState;
 use stackcourse_lib::tenure::Tenure;
 use stackcourse_lib::tenure::TenureSetup;
 
@@ -13,19 +13,19 @@
     let at = |ms: u64| Mono(ms * 1_000);
     let mut tenure = Tenure::new(TenureSetup {
         lease: Duration::from_secs(2),
-        ride: Duration::from_secs(300),
+        max_extension: Duration::from_secs(300),
         promise: Duration::from_millis(1_500),
     });
     // A read sent at 1 s shows this entry as a member beside members 7 and 8.
     tenure.confirm(at(1_000), vec![7, 8]);
-    assert_eq!(tenure.stand(at(2_900)), Standing::Confirmed);
+    assert_eq!(tenure.right_state(at(2_900)), RightState::Confirmed);
 
     // The store goes away. Both members promise to take nothing over.
     for member in [7, 8] {
         let seq = tenure.ask(member, at(2_900));
         tenure.promise(member, seq, true);
     }
-    assert_eq!(tenure.stand(at(4_300)), Standing::Promised);
-    assert_eq!(tenure.stand(at(4_400)), Standing::Lapsed);
+    assert_eq!(tenure.right_state(at(4_300)), RightState::Promised);
+    assert_eq!(tenure.right_state(at(4_400)), RightState::Expired);
     println!("two members' promises carried the right 1.4 s beyond the lease");
 }
--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -22,10 +22,10 @@
 use crate::event::Kind;
 use crate::grants::Grant;
 use crate::prelude::*;
-use crate::start_record::Broken;
+use crate::start_record::DisabledCheck;
 use crate::start_record::Progress;
-use crate::start_record::StartAsk;
 use crate::start_record::StartRecord;
+use crate::start_record::StartRequest;
 
 /// A link is closed when a heartbeat on it has been unanswered for this long.
 const LINK_TIMEOUT: Duration = Duration::from_secs(6);
@@ -86,7 +86,7 @@
 pub enum Action {
     /// Send a message on a link.
     Send(LinkId, Body),
-    /// Send a task to the backend server. Its result must be reported by [`Agent::done`].
+    /// Send a task to the backend server. Its result must be reported by [`Agent::handle_task_end`].
     Run(RunTask),
     /// Shift the time of day that the process keeps by this many milliseconds.
     ShiftClock(i64),
@@ -162,7 +162,7 @@
 #[derive(Debug)]
 struct Waiting {
     start: wire::Start,
-    ask: StartAsk,
+    ask: StartRequest,
     link: LinkId,
     arrived: Mono,
     deadline: Mono,
@@ -223,13 +223,13 @@
     }
 
     /// Disables one check, so that randomised runs can prove that they detect its absence.
-    pub fn break_for_test(&mut self, broken: Broken) {
-        self.fence_disabled = broken == Broken::Fence;
+    pub fn break_for_test(&mut self, broken: DisabledCheck) {
+        self.fence_disabled = broken == DisabledCheck::Fence;
         self.record.break_for_test(broken);
     }
 
     /// Takes the pending actions.
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Returns the number of running tasks and the number of queued ones.
-    pub fn busy(&self) -> (usize, usize) {
+    pub fn task_counts(&self) -> (usize, usize) {
         (self.running.len(), self.queue.len())
     }
 
@@ -270,12 +270,12 @@
 
     /// Returns how far two clocks are ahead of the time of day that this agent keeps, in
     /// milliseconds: the box's clock as last logged, and the clock of the entry that differs most.
-    pub fn clock_gaps_ms(&self) -> [i64; 2] {
+    pub fn clock_offsets_ms(&self) -> [i64; 2] {
         [self.steps.told_ms(), self.clocks.widest_ms()]
     }
 
     /// Returns whether the agent is leaving and has no running or queued task.
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.leaving && self.running.is_empty() && self.queue.is_empty()
     }
 
@@ -346,7 +346,7 @@
     }
 
     /// Handles a message from an entry. Ignores messages on links that are no longer registered.
-    pub fn frame(&mut self, now: Now, link: LinkId, body: Body) {
+    pub fn handle_message(&mut self, now: Now, link: LinkId, body: Body) {
         if !self.links.contains_key(&link) {
             return;
         }
--- a/lib/src/agent/reports.rs
+++ b/lib/src/agent/reports.rs
@@ -12,7 +12,7 @@
 use super::status_and_body;
 use crate::prelude::*;
 use crate::start_record::Progress;
-use crate::start_record::StartAsk;
+use crate::start_record::StartRequest;
 
 /// A `Sealed` message is sent once the answers in it exceed this many bytes.
 const MAX_SEALED_BYTES: usize = 512 * 1024;
@@ -31,7 +31,7 @@
         let mut shards = HashSet::new();
         for claim in &seal.claims {
             let shard = ShardId(claim.shard);
-            if !self.record.raise(shard, Epoch(claim.epoch)) {
+            if !self.record.raise_epoch(shard, Epoch(claim.epoch)) {
                 passed.push(*claim);
                 continue;
             }
@@ -95,7 +95,7 @@
             task: recall.task,
         };
         let shard = ShardId(recall.shard);
-        if !self.record.raise(shard, Epoch(recall.epoch)) {
+        if !self.record.raise_epoch(shard, Epoch(recall.epoch)) {
             return;
         }
         self.owner_links.insert(shard, link);
@@ -111,7 +111,7 @@
             .retain(|w| w.ask.key != key || w.ask.attempt > recall.attempt);
         let (status, body) = match self.record.progress(key) {
             None => {
-                let ask = StartAsk {
+                let ask = StartRequest {
                     key,
                     attempt: recall.attempt,
                     shard,
--- a/lib/src/agent/starts.rs
+++ b/lib/src/agent/starts.rs
@@ -15,8 +15,8 @@
 use crate::clock::micros;
 use crate::prelude::*;
 use crate::start_record::Progress;
-use crate::start_record::StartAsk;
 use crate::start_record::StartError;
+use crate::start_record::StartRequest;
 
 /// How long a start may wait for the confirmation of its owner's right.
 const RIGHT_WAIT: Duration = Duration::from_millis(500);
@@ -52,7 +52,7 @@
             link,
             arrived: now.mono,
         };
-        let held = self.record.raise(ask.shard, ask.epoch);
+        let held = self.record.raise_epoch(ask.shard, ask.epoch);
         if held {
             self.owner_links.insert(ask.shard, link);
         }
@@ -180,7 +180,7 @@
     }
 
     /// Handles the result of a task that was started by [`Action::Run`].
-    pub fn done(&mut self, now: Now, key: TaskKey, result: Result<Bytes, RunFailure>) {
+    pub fn handle_task_end(&mut self, now: Now, key: TaskKey, result: Result<Bytes, RunFailure>) {
         let Some(running) = self.running.remove(&key) else {
             return;
         };
@@ -241,8 +241,8 @@
     }
 }
 
-fn start_ask(start: &wire::Start) -> Option<StartAsk> {
-    Some(StartAsk {
+fn start_ask(start: &wire::Start) -> Option<StartRequest> {
+    Some(StartRequest {
         key: TaskKey {
             job: JobId::from_wire(start.job)?,
             task: start.task,
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -64,10 +64,10 @@
 use crate::prelude::*;
 use crate::quota::Allocators;
 use crate::quota::Share;
-use crate::start_record::Broken;
+use crate::start_record::DisabledCheck;
 use crate::store::StoreOp;
-use crate::takeover::Holdings;
-use crate::tenure::Standing;
+use crate::takeover::OwnedShards;
+use crate::tenure::RightState;
 use crate::tenure::Tenure;
 use crate::tenure::TenureSetup;
 
@@ -130,7 +130,7 @@
             shards: 64,
             tenure: TenureSetup {
                 lease: Duration::from_millis(1_500),
-                ride: Duration::from_secs(300),
+                max_extension: Duration::from_secs(300),
                 promise: Duration::from_millis(1_500),
             },
             confirm: Duration::from_millis(400),
@@ -310,7 +310,7 @@
     leads: Leads,
     clocks: ClockCheck,
     steps: StepWatch,
-    holdings: Holdings,
+    holdings: OwnedShards,
     incoming: BTreeMap<ShardId, handing::Incoming>,
     handing: BTreeMap<ShardId, handing::Outgoing>,
     table: JobTable,
@@ -389,7 +389,7 @@
             leads: Leads::new(setup.horizon),
             clocks: ClockCheck::new(setup.skew),
             steps: StepWatch::default(),
-            holdings: Holdings::default(),
+            holdings: OwnedShards::default(),
             incoming: BTreeMap::new(),
             handing: BTreeMap::new(),
             table: JobTable::default(),
@@ -429,8 +429,8 @@
     }
 
     /// Leaves out one check, for the randomised runs.
-    pub fn break_for_test(&mut self, broken: Broken) {
-        self.forgetful = broken == Broken::Horizon;
+    pub fn break_for_test(&mut self, broken: DisabledCheck) {
+        self.forgetful = broken == DisabledCheck::Horizon;
     }
 
     /// Takes what the entry wants done.
@@ -481,8 +481,8 @@
     }
 
     /// What carries the right to act.
-    pub fn standing(&self, now: Now) -> Standing {
-        self.tenure.stand(now.mono)
+    pub fn standing(&self, now: Now) -> RightState {
+        self.tenure.right_state(now.mono)
     }
 
     /// The members of the record that was read last.
@@ -639,9 +639,9 @@
             return;
         };
         let kind = match (before, after) {
-            (_, Standing::Lapsed) => Kind::RightLapsed,
-            (_, Standing::Promised) => Kind::RightExtended,
-            (_, Standing::Confirmed) => Kind::RightRestored,
+            (_, RightState::Expired) => Kind::RightLapsed,
+            (_, RightState::Promised) => Kind::RightExtended,
+            (_, RightState::Confirmed) => Kind::RightRestored,
         };
         self.log(kind, String::new());
     }
@@ -701,9 +701,9 @@
     /// The outcome of a job of which nothing has started: `not_run` only while the store itself
     /// has confirmed that nobody else owns it.
     fn idle_outcome(&self, now: Now) -> Outcome {
-        match self.tenure.stand(now.mono) {
-            Standing::Confirmed => Outcome::NotRun,
-            Standing::Promised | Standing::Lapsed => Outcome::Unknown,
+        match self.tenure.right_state(now.mono) {
+            RightState::Confirmed => Outcome::NotRun,
+            RightState::Promised | RightState::Expired => Outcome::Unknown,
         }
     }
 
--- a/lib/src/entry/account.rs
+++ b/lib/src/entry/account.rs
@@ -11,8 +11,8 @@
 use crate::job_table::TaskState;
 use crate::lanes::LaneName;
 use crate::prelude::*;
-use crate::quota::RESERVE;
 use crate::quota::SHARE_SPAN;
+use crate::quota::SILENT_RESERVE;
 
 /// A task whose agent has not spoken this long after the deadline is asked for.
 const OVERDUE: Duration = Duration::from_millis(1_000);
@@ -95,7 +95,7 @@
                 worker.health.cancel(now.mono, placed.at, placed.scale);
                 // Counted twice for a while rather than not at all: the next owner has to tell
                 // the allocator first.
-                let told = now.mono + SHARE_SPAN + RESERVE;
+                let told = now.mono + SHARE_SPAN + SILENT_RESERVE;
                 self.haunt(placed.until.min(told), placed.lane.clone());
             }
         }
--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/changing.rs
@@ -11,10 +11,10 @@
 use crate::fleet::SILENCE;
 use crate::ownership::Member;
 use crate::ownership::OwnershipRecord;
-use crate::ownership::Parting;
 use crate::ownership::RECORD_KEY;
 use crate::ownership::Roster;
 use crate::ownership::RosterAgent;
+use crate::ownership::StartBounds;
 use crate::prelude::*;
 use crate::store::StoreOp;
 use crate::store::StoreReply;
@@ -154,7 +154,7 @@
             .copied()
             .filter(|inc| *inc != self.me || !self.leaving)
             .collect();
-        next.settle(&may_own, owners);
+        next.assign_unowned(&may_own, owners);
         self.want_gone(next);
         reducing
     }
@@ -166,8 +166,8 @@
         }
         let lease = self.setup.tenure.lease;
         let slack = millis(self.setup.skew) * 2;
-        let old = millis(self.setup.tenure.ride + lease * 2) + slack;
-        next.forget_cuts(now.wall_ms.saturating_sub(old));
+        let old = millis(self.setup.tenure.max_extension + lease * 2) + slack;
+        next.forget_former_owners(now.wall_ms.saturating_sub(old));
         let horizon = millis(self.setup.horizon) + millis(self.setup.ahead) + slack;
         roster.forget(now.wall_ms.saturating_sub(horizon));
     }
@@ -196,9 +196,9 @@
     }
 
     /// Bounds on what agents that are struck now may have started.
-    fn parting(&self, now: Now) -> Parting {
+    fn parting(&self, now: Now) -> StartBounds {
         let lease_ms = millis(self.setup.tenure.lease) * 2;
-        Parting {
+        StartBounds {
             until_ms: now.wall_ms + lease_ms,
             minted_ms: self.taken_up_to_ms(now, self.is_known_to_all()) + lease_ms,
         }
--- a/lib/src/entry/clocks.rs
+++ b/lib/src/entry/clocks.rs
@@ -44,12 +44,12 @@
     /// The latest mint time, in Unix milliseconds, of ids that any entry may have taken by now;
     /// `known` tells whether all entries in question know this one as a member.
     pub(super) fn taken_up_to_ms(&self, now: Now, known: bool) -> u64 {
-        let reach_ms = if known {
-            self.leads.reach_ms(now)
+        let latest_id_ms = if known {
+            self.leads.latest_id_ms(now)
         } else {
-            self.leads.furthest_ms(now)
+            self.leads.max_latest_id_ms(now)
         };
-        reach_ms + self.clock_allowance_ms()
+        latest_id_ms + self.clock_allowance_ms()
     }
 
     /// Whether this entry may join: its time is the fleet's, or nobody is there who could tell.
@@ -69,12 +69,12 @@
         let minted_ms = submission.job.minted_ms();
         let told_ms = now.wall_ms + self.leads.lead_ms() + millis(self.setup.ahead);
         let within = minted_ms > self.latest_ms(now) && minted_ms <= told_ms;
-        within && self.leads.is_being_noted(now) && !submission.left.is_zero()
+        within && self.leads.is_awaiting_peers(now) && !submission.left.is_zero()
     }
 
     /// Fills in what a heartbeat tells a peer of clocks.
     pub(super) fn tell_clocks(&self, now: Now, peer: &Peer, beat: &mut wire::Beat) {
-        beat.step_ms = self.leads.own_ms();
+        beat.step_ms = self.leads.own_step_ms();
         beat.lead_ms = self.leads.lead_ms();
         beat.noted_ms = self.leads.noted_ms(peer.incarnation);
         beat.clock_ms = now.wall_ms;
@@ -89,7 +89,9 @@
     pub(super) fn hear_clocks(&mut self, now: Now, link: LinkId, beat: &wire::Beat, first: bool) {
         let peer = beat.incarnation;
         let (step_ms, lead_ms, noted_ms) = (beat.step_ms, beat.lead_ms, beat.noted_ms);
-        let longer = self.leads.hear(now, peer, step_ms, lead_ms, noted_ms);
+        let longer = self
+            .leads
+            .handle_peer_lead(now, peer, step_ms, lead_ms, noted_ms);
         self.watch_clock(now);
         let sent = self.beats.iter().rev().find(|(seq, _)| *seq == beat.echo);
         if let Some(&(_, sent)) = sent {
--- a/lib/src/entry/ending.rs
+++ b/lib/src/entry/ending.rs
@@ -28,13 +28,13 @@
             return;
         };
         self.table.update(key, |job| {
-            let undecided = job.undecided();
+            let is_undecided = job.is_undecided();
             let Some(entry) = job.tasks.get_mut(task.task as usize) else {
                 return;
             };
             let here = matches!(entry.state, TaskState::Placed { attempt, .. }
                 if attempt == placed.attempt);
-            if here && undecided {
+            if here && is_undecided {
                 entry.state = state;
             }
         });
@@ -135,7 +135,7 @@
         let waiters = self.table.update(key, |job| {
             // More may be heard of a job that is unknown, so its answers are kept.
             if outcome != Outcome::Unknown {
-                job.shrink(&kept);
+                job.drop_bodies(&kept);
             }
             job.ended = Some(kept);
             job.again = again;
--- a/lib/src/entry/handing.rs
+++ b/lib/src/entry/handing.rs
@@ -16,7 +16,7 @@
 use crate::ownership::OwnershipRecord;
 use crate::prelude::*;
 use crate::takeover::Phase;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// How many bytes of records go into one message.
 const CHUNK: usize = 256 * 1024;
@@ -49,7 +49,7 @@
         let Some(read) = self.read.clone() else {
             return;
         };
-        if self.tenure.stand(now.mono) != Standing::Confirmed || self.change.is_some() {
+        if self.tenure.right_state(now.mono) != RightState::Confirmed || self.change.is_some() {
             return;
         }
         let still = now.mono >= self.moved + STILL;
@@ -66,7 +66,7 @@
         }
         let owners = self.follower.config().limits.owners as usize;
         let mut moved = 0;
-        for (shard, to) in read.record.moves(&live, owners) {
+        for (shard, to) in read.record.plan_moves(&live, owners) {
             if self.holdings.active(shard) && to != self.me {
                 self.hand_over(now, shard, to);
                 moved += 1;
@@ -92,7 +92,7 @@
         let shards: Vec<ShardId> = self.holdings.iter().map(|(s, _)| *s).collect();
         for shard in shards {
             if self.holdings.active(shard) {
-                self.holdings.set_phase(shard, Phase::Handed(0));
+                self.holdings.set_phase(shard, Phase::HandedOver(0));
             }
         }
     }
@@ -105,7 +105,7 @@
         let Some(link) = peer.map(|(l, _)| *l) else {
             return;
         };
-        self.holdings.set_phase(shard, Phase::Handing(to));
+        self.holdings.set_phase(shard, Phase::HandingOver(to));
         self.next_tag += 1;
         let round = self.next_tag;
         let since = now.mono;
@@ -233,12 +233,12 @@
         let Some(held) = self.holdings.get(shard) else {
             return;
         };
-        let Phase::Handing(to) = held.phase else {
+        let Phase::HandingOver(to) = held.phase else {
             return;
         };
         if expected == Some(handed.round) {
             self.plan_due = Mono(0);
-            self.holdings.set_phase(shard, Phase::Handed(to));
+            self.holdings.set_phase(shard, Phase::HandedOver(to));
         }
     }
 
@@ -248,7 +248,7 @@
             .holdings
             .iter()
             .filter_map(|(s, h)| match h.phase {
-                Phase::Handed(to) => Some((*s, h.epoch, to)),
+                Phase::HandedOver(to) => Some((*s, h.epoch, to)),
                 _ => None,
             })
             .collect();
@@ -256,7 +256,7 @@
             let slot = next.slot(shard);
             let ours = slot.owner == self.me && slot.epoch == epoch.0;
             if ours && (to == 0 || next.member(to).is_some()) {
-                next.hand(shard, to);
+                next.transfer_shard(shard, to);
             }
         }
     }
@@ -306,7 +306,8 @@
         let Some(incoming) = self.incoming.remove(&shard) else {
             return false;
         };
-        self.holdings.receive(shard, epoch, incoming.clear_ms);
+        self.holdings
+            .accept_handover(shard, epoch, incoming.clear_ms);
         let count = incoming.records.len();
         for record in incoming.records {
             self.receive_job(now, shard, record);
--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -9,7 +9,7 @@
 use crate::event::Kind;
 use crate::fleet::AgentKey;
 use crate::prelude::*;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// A peer that is behind by a configuration version for this long is sent it.
 const BEHIND: Duration = Duration::from_millis(1_000);
@@ -131,8 +131,8 @@
                 },
             );
         }
-        let remain = match self.tenure.stand(now.mono) {
-            Standing::Lapsed => Duration::ZERO,
+        let remain = match self.tenure.right_state(now.mono) {
+            RightState::Expired => Duration::ZERO,
             _ => self.tenure.remain(now.mono),
         };
         let grant = wire::Grant {
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placing.rs
@@ -17,7 +17,7 @@
 use crate::placement::Placement;
 use crate::placement::Scene;
 use crate::prelude::*;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// The longest pause before a task that came back unstarted is sent again without budget.
 const LONGEST_PAUSE_MS: u64 = 50;
@@ -35,7 +35,7 @@
 impl Entry {
     /// Sends waiting tasks for as long as one can be sent.
     pub(super) fn pump(&mut self, now: Now) {
-        if self.lanes.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
+        if self.lanes.is_empty() || self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         let config = self.follower.config().clone();
@@ -124,7 +124,7 @@
             return;
         };
         assert!(
-            self.tenure.stand(now.mono) != Standing::Lapsed && self.holdings.active(shard),
+            self.tenure.right_state(now.mono) != RightState::Expired && self.holdings.active(shard),
             "invariant: only the owner in its right starts tasks"
         );
         let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.renewed) else {
--- a/lib/src/entry/record.rs
+++ b/lib/src/entry/record.rs
@@ -180,12 +180,12 @@
     fn dropped(&mut self, now: Now) {
         if self.leaving {
             self.joined = None;
-            self.tenure.drop_right();
+            self.tenure.revoke();
             self.begin(now);
             return;
         }
         self.log(Kind::Dropped, self.setup.name.clone());
-        self.tenure.drop_right();
+        self.tenure.revoke();
         self.begin(now);
         self.joined = None;
         self.me = rand::Rng::random(&mut self.rng);
@@ -251,7 +251,7 @@
     /// Lets go of a shard that another entry owns now.
     fn lose_shard(&mut self, now: Now, shard: ShardId) {
         let was = self.holdings.get(shard).map(|h| h.phase);
-        if matches!(was, Some(Phase::Handed(_))) {
+        if matches!(was, Some(Phase::HandedOver(_))) {
             self.counts.handovers += 1;
         }
         self.holdings.release(shard);
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -10,7 +10,7 @@
 use crate::outcome::Verdict;
 use crate::prelude::*;
 use crate::takeover::Phase;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// How much longer than its deadline a request waits for the owner's word.
 const LATE: Duration = Duration::from_millis(2_000);
@@ -117,7 +117,7 @@
         let Some(shard) = self.shard_of(request.submission.job) else {
             return self.give_up_hopeless(now, id, false);
         };
-        if self.holdings.active(shard) && self.tenure.stand(now.mono) != Standing::Lapsed {
+        if self.holdings.active(shard) && self.tenure.right_state(now.mono) != RightState::Expired {
             return self.route_here(now, id);
         }
         match self.owner_link(now, shard) {
@@ -265,7 +265,9 @@
         };
         let shard = self.shard_of(job);
         match shard.and_then(|s| Some((s, self.holdings.get(s)?.phase))) {
-            Some((_, Phase::Active)) if self.tenure.stand(now.mono) != Standing::Lapsed => {
+            Some((_, Phase::Active))
+                if self.tenure.right_state(now.mono) != RightState::Expired =>
+            {
                 self.decide(now, waiter, submission);
             }
             Some((_, Phase::Sealing)) => self.hold(now, waiter, submission),
@@ -298,7 +300,7 @@
             }
             match self.holdings.get(held.shard).map(|h| h.phase) {
                 Some(Phase::Sealing) => self.held.push(held),
-                Some(Phase::Active) if self.tenure.stand(now.mono) != Standing::Lapsed => {
+                Some(Phase::Active) if self.tenure.right_state(now.mono) != RightState::Expired => {
                     let mut submission = held.submission;
                     submission.left = now.mono.until(held.deadline);
                     self.decide(now, held.waiter, submission);
--- a/lib/src/entry/sealing.rs
+++ b/lib/src/entry/sealing.rs
@@ -7,7 +7,7 @@
 use crate::clock::millis;
 use crate::event::Kind;
 use crate::fleet::AgentKey;
-use crate::job_table::DROPPED;
+use crate::job_table::ANSWER_DROPPED;
 use crate::job_table::Job;
 use crate::job_table::JobKey;
 use crate::job_table::Task;
@@ -16,9 +16,9 @@
 use crate::ownership::OwnershipRecord;
 use crate::ownership::Roster;
 use crate::prelude::*;
-use crate::takeover::Opening;
 use crate::takeover::RoundId;
-use crate::tenure::Standing;
+use crate::takeover::RoundStart;
+use crate::tenure::RightState;
 
 /// How long agents have to answer a seal when no former owner has to be waited for.
 const SEAL_WAIT: Duration = Duration::from_millis(1_000);
@@ -37,25 +37,25 @@
             .flat_map(|(s, _)| record.slot(*s).cut.iter().map(|c| c.owner))
             .collect();
         let lease = self.setup.tenure.lease;
-        let lapse = if cuts.is_empty() {
+        let expiry = if cuts.is_empty() {
             Duration::ZERO
         } else {
             lease + lease / 20
         };
         let known = cuts.iter().all(|inc| self.knew_me.contains(inc));
-        let settled = if cuts.is_empty() {
+        let latest_expiry = if cuts.is_empty() {
             SEAL_WAIT
         } else if known {
-            lapse
+            expiry
         } else {
             self.ride_left(now)
         };
         let agents = roster.agents.iter().map(|a| a.incarnation).collect();
-        let opening = Opening {
+        let opening = RoundStart {
             claims,
             agents,
-            lapse,
-            settled,
+            expiry,
+            latest_expiry,
             known,
             gone_ms: roster.clear_ms(self.clock_allowance_ms()),
         };
@@ -68,9 +68,9 @@
 
     /// How long an owner that does not know this entry may still be riding on promises.
     pub(super) fn ride_left(&self, now: Now) -> Duration {
-        let ride = self.setup.tenure.ride;
+        let max_extension = self.setup.tenure.max_extension;
         let joined = self.joined.unwrap_or(now.mono);
-        now.mono.until(joined + ride + ride / 20)
+        now.mono.until(joined + max_extension + max_extension / 20)
     }
 
     /// Seals at an agent whatever waits for it.
@@ -151,7 +151,7 @@
         };
         let state = match started.status() {
             wire::Status::Ok => TaskState::Answered(started.body.clone()),
-            wire::Status::Failed if !started.kept => TaskState::Failed(DROPPED),
+            wire::Status::Failed if !started.kept => TaskState::Failed(ANSWER_DROPPED),
             wire::Status::Failed => TaskState::Failed(started.body.clone()),
             _ => TaskState::Placed {
                 agent,
@@ -225,7 +225,7 @@
 
     /// Serves the shards whose rounds are done.
     pub(super) fn serve_ready(&mut self, now: Now) {
-        if self.tenure.stand(now.mono) == Standing::Lapsed {
+        if self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         for id in self.holdings.ready(now.mono) {
@@ -233,7 +233,7 @@
             self.note_unread(now, id);
             let known = self.holdings.round(id).is_some_and(|r| r.known);
             let clear_ms = self.taken_up_to_ms(now, known);
-            let (shards, lost) = self.holdings.serve(id, clear_ms);
+            let (shards, lost) = self.holdings.activate(id, clear_ms);
             if shards.is_empty() {
                 continue;
             }
--- a/lib/src/entry/shares.rs
+++ b/lib/src/entry/shares.rs
@@ -7,10 +7,10 @@
 use crate::clock::micros;
 use crate::lanes::LaneName;
 use crate::prelude::*;
-use crate::quota::ASK_EVERY;
+use crate::quota::REQUEST_INTERVAL;
 use crate::quota::SHARE_SPAN;
 use crate::quota::ShareAsk;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// How much more than is waiting a holder asks for, so that the next burst finds a share.
 const SLACK: u32 = 4;
@@ -76,7 +76,7 @@
 
     /// Asks for the shares that are due.
     pub(super) fn ask_shares(&mut self, now: Now) {
-        if self.shares.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
+        if self.shares.is_empty() || self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         let due: Vec<Arc<str>> = self
@@ -171,7 +171,7 @@
             let mut peers = self.peers.values();
             let peer = peers.find(|p| p.incarnation == *member);
             let since = peer.and_then(|p| p.abreast);
-            since.is_some_and(|at| now.mono >= at + ASK_EVERY * 2)
+            since.is_some_and(|at| now.mono >= at + REQUEST_INTERVAL * 2)
         };
         self.tenure.others().iter().all(knows)
     }
@@ -181,7 +181,7 @@
         let Some(holder) = self.peers.get(&link).map(|p| p.incarnation) else {
             return;
         };
-        if !self.in_charge(&name) || self.tenure.stand(now.mono) == Standing::Lapsed {
+        if !self.in_charge(&name) || self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         let request = ShareAsk {
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -115,7 +115,7 @@
     fn look(&self, now: Now, job: JobId) -> Verdict {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         if let Some(job) = known {
-            if job.told_more() {
+            if job.is_resolved() {
                 return job.verdict(Cause::WorkerLost, "send it again to have the rest done");
             }
             return job.ended.clone().unwrap_or_else(|| {
@@ -162,7 +162,7 @@
                 self.tell(waiter, Verdict::Other(again));
                 true
             }
-            Some(_) if job.told_more() => false,
+            Some(_) if job.is_resolved() => false,
             Some(verdict) => {
                 let verdict = verdict.clone();
                 self.tell(waiter, verdict);
--- a/lib/src/job_table.rs
+++ b/lib/src/job_table.rs
@@ -29,7 +29,7 @@
 const ATTEMPT_BITS: u32 = 20;
 
 /// The failure of a task that ran and whose answer no agent holds any more.
-pub const DROPPED: Bytes = Bytes::from_static(b"it ran; its answer is no longer held");
+pub const ANSWER_DROPPED: Bytes = Bytes::from_static(b"it ran; its answer is no longer held");
 
 /// Who waits for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -139,7 +139,7 @@
     }
 
     /// Whether more can be heard of the job: it has not ended, or ended as unknown.
-    pub fn undecided(&self) -> bool {
+    pub fn is_undecided(&self) -> bool {
         match &self.ended {
             None => true,
             Some(Verdict::Other(refusal)) => refusal.outcome == Some(Outcome::Unknown),
@@ -148,8 +148,8 @@
     }
 
     /// Whether the job ended as unknown, and every task has been accounted for since.
-    pub fn told_more(&self) -> bool {
-        let ended = self.ended.is_some() && self.undecided();
+    pub fn is_resolved(&self) -> bool {
+        let ended = self.ended.is_some() && self.is_undecided();
         ended && !self.tasks.is_empty() && !self.lost() && !self.outstanding()
     }
 
@@ -182,7 +182,7 @@
             let TaskState::Failed(reason) = &t.state else {
                 return None;
             };
-            let cause = if *reason == DROPPED {
+            let cause = if *reason == ANSWER_DROPPED {
                 Cause::Dropped
             } else {
                 Cause::TaskFailed
@@ -210,7 +210,7 @@
     }
 
     /// Drops what a job that ends with this verdict does not need any more.
-    pub fn shrink(&mut self, verdict: &Verdict) {
+    pub fn drop_bodies(&mut self, verdict: &Verdict) {
         self.submitted = false;
         if matches!(verdict, Verdict::Complete(_)) {
             self.tasks = Vec::new();
--- a/lib/src/lead.rs
+++ b/lib/src/lead.rs
@@ -43,7 +43,7 @@
     /// For how long a lead is kept that nobody needs any more.
     kept: Duration,
     /// How far the clock of the own box is ahead.
-    own_ms: u64,
+    own_step_ms: u64,
     /// The lead that peers are told of.
     lead_ms: u64,
     /// When a lead as long as this was needed last.
@@ -61,7 +61,7 @@
         Leads {
             most_ms: millis(most),
             kept: most,
-            own_ms: 0,
+            own_step_ms: 0,
             lead_ms: 0,
             needed: Mono(0),
             unnoted: None,
@@ -74,7 +74,7 @@
     /// whether peers have to be told of a longer one.
     pub fn observe(&mut self, now: Now, others: &[u64]) -> bool {
         let step = u64::try_from(now.step_ms()).unwrap_or(0);
-        self.own_ms = if step < GRAIN_MS {
+        self.own_step_ms = if step < GRAIN_MS {
             0
         } else {
             step.next_multiple_of(GRAIN_MS).min(self.most_ms)
@@ -96,7 +96,7 @@
     }
 
     fn lower(&mut self, now: Now, lead_ms: u64) {
-        self.reached_ms = self.reach_ms(now);
+        self.reached_ms = self.latest_id_ms(now);
         self.lead_ms = lead_ms;
         for peer in self.peers.values_mut() {
             peer.noted_ms = peer.noted_ms.min(lead_ms);
@@ -105,10 +105,17 @@
 
     /// Takes in what a peer says of its clock and its lead, and of this entry's lead that it has
     /// noted. Returns whether it has to be told at once that its lead is noted.
-    pub fn hear(&mut self, now: Now, peer: u64, step_ms: u64, lead_ms: u64, noted_ms: u64) -> bool {
+    pub fn handle_peer_lead(
+        &mut self,
+        now: Now,
+        peer: u64,
+        step_ms: u64,
+        lead_ms: u64,
+        noted_ms: u64,
+    ) -> bool {
         let before = self.peers.get(&peer).map_or(0, |p| p.lead_ms);
         if lead_ms < before {
-            self.reached_ms = self.reach_ms(now);
+            self.reached_ms = self.latest_id_ms(now);
         }
         let heard = PeerLead {
             step_ms: step_ms.min(self.most_ms),
@@ -133,8 +140,8 @@
     }
 
     /// How far the clock of the own box is ahead, for peers.
-    pub fn own_ms(&self) -> u64 {
-        self.own_ms
+    pub fn own_step_ms(&self) -> u64 {
+        self.own_step_ms
     }
 
     /// A peer's lead as it was noted here.
@@ -143,21 +150,21 @@
     }
 
     /// Whether an id that is further ahead than the lead in force may be within it in a moment.
-    pub fn is_being_noted(&self, now: Now) -> bool {
+    pub fn is_awaiting_peers(&self, now: Now) -> bool {
         self.unnoted.is_some_and(|since| now.mono < since + NOTING)
     }
 
     /// The time, in Unix milliseconds, up to which any entry may have taken ids by now, before
     /// what is always permitted.
-    pub fn reach_ms(&self, now: Now) -> u64 {
+    pub fn latest_id_ms(&self, now: Now) -> u64 {
         let leads = self.peers.values().map(|p| p.lead_ms);
         let longest = leads.fold(self.lead_ms, u64::max);
         self.reached_ms.max(now.wall_ms + longest)
     }
 
     /// The same, where an entry may have raised its lead unheard.
-    pub fn furthest_ms(&self, now: Now) -> u64 {
-        self.reach_ms(now).max(now.wall_ms + self.most_ms)
+    pub fn max_latest_id_ms(&self, now: Now) -> u64 {
+        self.latest_id_ms(now).max(now.wall_ms + self.most_ms)
     }
 
     /// Forgets peers that have been silent for so long that no id they took is accepted any more.
@@ -165,14 +172,14 @@
         let kept = self.kept * 2;
         let over = |p: &PeerLead| now.mono >= p.heard + kept;
         if self.peers.values().any(over) {
-            self.reached_ms = self.reach_ms(now);
+            self.reached_ms = self.latest_id_ms(now);
             self.peers.retain(|_, p| !over(p));
         }
     }
 
     fn wanted(&self, now: Mono) -> u64 {
         let heard = self.peers.values().filter(|p| now < p.heard + SILENT);
-        heard.map(|p| p.step_ms).fold(self.own_ms, u64::max)
+        heard.map(|p| p.step_ms).fold(self.own_step_ms, u64::max)
     }
 }
 
--- a/lib/src/lead/tests.rs
+++ b/lib/src/lead/tests.rs
@@ -24,27 +24,30 @@
 #[test]
 fn test_lead_is_in_force_once_every_member_has_noted_it() {
     let mut leads = Leads::new(MOST);
-    leads.hear(at(0, 0), 1, 0, 0, 0);
+    leads.handle_peer_lead(at(0, 0), 1, 0, 0, 0);
     leads.observe(at(10, 10_000), &[1, 2]);
     assert_eq!(leads.lead_ms(), 10_000);
-    assert!(leads.is_being_noted(at(10, 10_000)));
-    leads.hear(at(11, 10_000), 1, 0, 10_000, 10_000);
+    assert!(leads.is_awaiting_peers(at(10, 10_000)));
+    leads.handle_peer_lead(at(11, 10_000), 1, 0, 10_000, 10_000);
     assert_eq!(leads.in_force_ms(&[1]), 10_000);
     assert_eq!(leads.in_force_ms(&[1, 2]), 0, "one member has not");
     leads.observe(at(1_011, 10_000), &[1, 2]);
-    assert!(!leads.is_being_noted(at(1_011, 10_000)), "nobody waits on");
-    leads.hear(at(1_012, 10_000), 2, 0, 10_000, 10_000);
+    assert!(
+        !leads.is_awaiting_peers(at(1_011, 10_000)),
+        "nobody waits on"
+    );
+    leads.handle_peer_lead(at(1_012, 10_000), 2, 0, 10_000, 10_000);
     assert_eq!(leads.in_force_ms(&[1, 2]), 10_000);
 }
 
 #[test]
 fn test_lead_of_a_peer_is_taken_on_and_told_that_it_is_noted() {
     let mut leads = Leads::new(MOST);
-    assert!(leads.hear(at(0, 0), 1, 30_000, 30_000, 0));
+    assert!(leads.handle_peer_lead(at(0, 0), 1, 30_000, 30_000, 0));
     assert_eq!(leads.noted_ms(1), 30_000);
     assert!(leads.observe(at(0, 0), &[1]), "callers may come here, too");
     assert_eq!(leads.in_force_ms(&[1]), 0);
-    assert!(!leads.hear(at(1, 0), 1, 30_000, 30_000, 30_000));
+    assert!(!leads.handle_peer_lead(at(1, 0), 1, 30_000, 30_000, 30_000));
     assert_eq!(leads.in_force_ms(&[1]), 30_000);
 }
 
@@ -57,23 +60,23 @@
     assert_eq!(leads.lead_ms(), MINUTES_MS, "it may be needed again soon");
     leads.observe(at(later, 0), &[]);
     assert_eq!(leads.lead_ms(), 0);
-    let reach_ms = leads.reach_ms(at(later + 1_000, 0));
-    assert_eq!(reach_ms, at(later, 0).wall_ms + MINUTES_MS);
+    let latest_id_ms = leads.latest_id_ms(at(later + 1_000, 0));
+    assert_eq!(latest_id_ms, at(later, 0).wall_ms + MINUTES_MS);
 }
 
 #[test]
 fn test_lead_of_a_peer_counts_after_the_peer_is_gone() {
     let mut leads = Leads::new(MOST);
-    leads.hear(at(0, 0), 1, 30_000, 30_000, 0);
+    leads.handle_peer_lead(at(0, 0), 1, 30_000, 30_000, 0);
     leads.forget(at(60_000, 0));
     assert_eq!(
-        leads.reach_ms(at(60_000, 0)),
+        leads.latest_id_ms(at(60_000, 0)),
         at(60_000, 0).wall_ms + 30_000
     );
     leads.forget(at(1_800_000, 0));
     assert_eq!(leads.noted_ms(1), 0);
     assert_eq!(
-        leads.reach_ms(at(1_810_000, 0)),
+        leads.latest_id_ms(at(1_810_000, 0)),
         at(1_800_000, 0).wall_ms + 30_000
     );
 }
@@ -81,7 +84,7 @@
 #[test]
 fn test_lead_that_nobody_told_counts_as_the_longest() {
     let leads = Leads::new(MOST);
-    assert_eq!(leads.furthest_ms(at(0, 0)), at(0, 0).wall_ms + 900_000);
+    assert_eq!(leads.max_latest_id_ms(at(0, 0)), at(0, 0).wall_ms + 900_000);
 }
 
 #[test]
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -139,7 +139,7 @@
     }
 
     /// Takes every shard from a member that is believed dead and strikes the member.
-    /// The shards are left without owner; [`OwnershipRecord::settle`] gives them away.
+    /// The shards are left without owner; [`OwnershipRecord::assign_unowned`] gives them away.
     pub fn cut(&mut self, incarnation: u64, at_ms: u64) {
         for slot in self.shards.iter_mut().filter(|s| s.owner == incarnation) {
             slot.owner = 0;
@@ -153,7 +153,7 @@
     }
 
     /// Gives a shard to `to` with the consent of its present owner, who has stopped serving it.
-    pub fn hand(&mut self, shard: ShardId, to: u64) {
+    pub fn transfer_shard(&mut self, shard: ShardId, to: u64) {
         let slot = &mut self.shards[shard.0 as usize];
         slot.owner = to;
         slot.epoch += 1;
@@ -161,7 +161,7 @@
     }
 
     /// Gives the shards without owner to the entries that should own shards.
-    pub fn settle(&mut self, live: &[u64], owners: usize) {
+    pub fn assign_unowned(&mut self, live: &[u64], owners: usize) {
         let targets = self.targets(live, owners);
         if targets.is_empty() {
             return;
@@ -176,14 +176,14 @@
     }
 
     /// Forgets former owners whose right has surely lapsed by `before_ms`.
-    pub fn forget_cuts(&mut self, before_ms: u64) {
+    pub fn forget_former_owners(&mut self, before_ms: u64) {
         for slot in &mut self.shards {
             slot.cut.retain(|c| c.at_ms >= before_ms);
         }
     }
 
     /// The moves that even the shards out over the entries that should own them.
-    pub fn moves(&self, live: &[u64], owners: usize) -> Vec<(ShardId, u64)> {
+    pub fn plan_moves(&self, live: &[u64], owners: usize) -> Vec<(ShardId, u64)> {
         let targets = self.targets(live, owners);
         if targets.is_empty() {
             return Vec::new();
@@ -265,7 +265,7 @@
 
 /// Bounds on what an agent that is gone may have started.
 #[derive(Clone, Copy, Debug)]
-pub struct Parting {
+pub struct StartBounds {
     /// Until when it may have started tasks, in Unix milliseconds.
     pub until_ms: u64,
     /// Up to which mint time the jobs of these may be, in Unix milliseconds.
@@ -299,7 +299,7 @@
 
     /// Adds an agent. An earlier incarnation of the same name is gone; beside a later one the
     /// agent is not added. Returns whether it was.
-    pub fn enrol(&mut self, agent: RosterAgent, parting: Parting) -> bool {
+    pub fn enrol(&mut self, agent: RosterAgent, parting: StartBounds) -> bool {
         let later = |a: &RosterAgent| a.name == agent.name && a.born_ms > agent.born_ms;
         if self.lists(agent.incarnation) || self.agents.iter().any(later) {
             return false;
@@ -312,7 +312,7 @@
     }
 
     /// Strikes an agent that has been silent.
-    pub fn remove(&mut self, incarnation: u64, parting: Parting) {
+    pub fn remove(&mut self, incarnation: u64, parting: StartBounds) {
         self.strike(|a| a.incarnation == incarnation, parting);
     }
 
@@ -329,7 +329,7 @@
         self.gone.iter().map(last_ms).max().unwrap_or(0)
     }
 
-    fn strike(&mut self, which: impl Fn(&RosterAgent) -> bool, parting: Parting) {
+    fn strike(&mut self, which: impl Fn(&RosterAgent) -> bool, parting: StartBounds) {
         let all = std::mem::take(&mut self.agents);
         let (gone, kept): (Vec<_>, Vec<_>) = all.into_iter().partition(which);
         self.agents = kept;
--- a/lib/src/ownership/tests.rs
+++ b/lib/src/ownership/tests.rs
@@ -23,39 +23,39 @@
 #[test]
 fn test_ownership_gathers_on_few_owners() {
     let mut record = three();
-    record.settle(&[1, 2, 3], 1);
+    record.assign_unowned(&[1, 2, 3], 1);
     assert_eq!(record.owned(1).len(), 8);
-    assert!(record.moves(&[1, 2, 3], 1).is_empty());
-    assert_eq!(record.moves(&[2, 3], 1).len(), 8);
+    assert!(record.plan_moves(&[1, 2, 3], 1).is_empty());
+    assert_eq!(record.plan_moves(&[2, 3], 1).len(), 8);
 }
 
 #[test]
 fn test_ownership_spreads_evenly() {
     let mut record = three();
-    record.settle(&[1, 2], 0);
+    record.assign_unowned(&[1, 2], 0);
     assert_eq!((record.owned(1).len(), record.owned(2).len()), (4, 4));
-    let moves = record.moves(&[1, 2, 3], 0);
+    let moves = record.plan_moves(&[1, 2, 3], 0);
     for (shard, to) in moves {
-        record.hand(shard, to);
+        record.transfer_shard(shard, to);
     }
     assert!(record.owned(3).len() >= 2);
-    assert!(record.moves(&[1, 2, 3], 0).is_empty());
+    assert!(record.plan_moves(&[1, 2, 3], 0).is_empty());
 }
 
 #[test]
 fn test_ownership_cut_raises_epochs_and_names_the_former_owner() {
     let mut record = three();
-    record.settle(&[1, 2], 0);
+    record.assign_unowned(&[1, 2], 0);
     let before = record.owned(1);
     record.cut(1, 77);
-    record.settle(&[2, 3], 0);
+    record.assign_unowned(&[2, 3], 0);
     for (shard, epoch) in before {
         let slot = record.slot(shard);
         assert!(slot.epoch > epoch.0);
         assert_eq!(slot.cut[0].owner, 1);
     }
     assert!(record.member(1).is_none());
-    record.forget_cuts(78);
+    record.forget_former_owners(78);
     assert!(record.shards.iter().all(|s| s.cut.is_empty()));
 }
 
@@ -68,7 +68,7 @@
         slots: 8,
         born_ms: incarnation,
     };
-    let at = |ms| Parting {
+    let at = |ms| StartBounds {
         until_ms: ms,
         minted_ms: 0,
     };
@@ -92,7 +92,7 @@
         slots: 8,
         born_ms: 1,
     };
-    let parting = Parting {
+    let parting = StartBounds {
         until_ms: 100,
         minted_ms: 700,
     };
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -15,9 +15,9 @@
 pub const SHARE_SPAN: Duration = Duration::from_secs(2);
 /// How much longer the allocator counts the share of a holder that has gone silent, so that
 /// whoever takes its shards over has told of the tasks that still run.
-pub const RESERVE: Duration = Duration::from_secs(6);
+pub const SILENT_RESERVE: Duration = Duration::from_secs(6);
 /// Time between a holder's requests while it uses its share.
-pub const ASK_EVERY: Duration = Duration::from_millis(400);
+pub const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 /// The least time between requests when the share does not suffice.
 pub const ASK_SOON: Duration = Duration::from_millis(20);
 
@@ -71,7 +71,7 @@
         let pause = if short && self.answered {
             ASK_SOON
         } else {
-            ASK_EVERY
+            REQUEST_INTERVAL
         };
         busy && now >= self.sent + pause
     }
@@ -163,7 +163,7 @@
         let span = if self.known {
             SHARE_SPAN + SHARE_SPAN / 10
         } else {
-            SHARE_SPAN + RESERVE
+            SHARE_SPAN + SILENT_RESERVE
         };
         self.since != Mono(0) && now < self.since + span
     }
@@ -238,7 +238,7 @@
             let keep = if idle {
                 SHARE_SPAN
             } else {
-                SHARE_SPAN + RESERVE
+                SHARE_SPAN + SILENT_RESERVE
             };
             now < h.heard + keep
         });
--- a/lib/src/start_record.rs
+++ b/lib/src/start_record.rs
@@ -82,7 +82,7 @@
 
 /// What is asked to start.
 #[derive(Clone, Copy, Debug)]
-pub struct StartAsk {
+pub struct StartRequest {
     /// The task.
     pub key: TaskKey,
     /// Which attempt to place the task this is. An owner's attempts carry its epoch in their upper
@@ -132,12 +132,12 @@
     order: VecDeque<TaskKey>,
     names: Names,
     /// For the randomised runs alone: leaves out one of the checks, to show that they bite.
-    broken: Broken,
+    broken: DisabledCheck,
 }
 
 /// Which check is left out, to show that the randomised runs notice. Never set by the daemons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Broken {
+pub enum DisabledCheck {
     /// All checks are in place.
     #[default]
     Nothing,
@@ -168,12 +168,12 @@
             expiry: BTreeSet::new(),
             order: VecDeque::new(),
             names: Names::default(),
-            broken: Broken::Nothing,
+            broken: DisabledCheck::Nothing,
         }
     }
 
     /// Leaves out one check, for the randomised runs.
-    pub fn break_for_test(&mut self, broken: Broken) {
+    pub fn break_for_test(&mut self, broken: DisabledCheck) {
         self.broken = broken;
     }
 
@@ -188,9 +188,9 @@
     }
 
     /// Raises the shard's epoch. Returns false if a higher one had been seen.
-    pub fn raise(&mut self, shard: ShardId, epoch: Epoch) -> bool {
+    pub fn raise_epoch(&mut self, shard: ShardId, epoch: Epoch) -> bool {
         let seen = self.epochs.entry(shard).or_default();
-        if epoch < *seen && self.broken != Broken::Fence {
+        if epoch < *seen && self.broken != DisabledCheck::Fence {
             return false;
         }
         *seen = epoch.max(*seen);
@@ -202,11 +202,11 @@
     /// # Errors
     ///
     /// The reason, when it is not.
-    pub fn check(&self, now: Now, ask: &StartAsk) -> Result<(), StartError> {
-        if ask.epoch < self.epoch(ask.shard) && self.broken != Broken::Fence {
+    pub fn check(&self, now: Now, ask: &StartRequest) -> Result<(), StartError> {
+        if ask.epoch < self.epoch(ask.shard) && self.broken != DisabledCheck::Fence {
             return Err(StartError::Fenced);
         }
-        if self.expired(now, ask.key.job) && self.broken != Broken::Horizon {
+        if self.expired(now, ask.key.job) && self.broken != DisabledCheck::Horizon {
             return Err(StartError::Expired);
         }
         let Some(entry) = self.entry(ask.key) else {
@@ -229,12 +229,12 @@
     pub fn start(
         &mut self,
         now: Now,
-        ask: &StartAsk,
+        ask: &StartRequest,
         service: &str,
         team: &str,
     ) -> Result<(), StartError> {
         self.check(now, ask)?;
-        self.raise(ask.shard, ask.epoch);
+        self.raise_epoch(ask.shard, ask.epoch);
         let service = self.names.get(service);
         let team = self.names.get(team);
         let entry = self.entry_mut(now, ask);
@@ -254,7 +254,7 @@
     /// # Errors
     ///
     /// [`StartError::Started`] when it has.
-    pub fn give_back(&mut self, now: Now, ask: &StartAsk) -> Result<(), StartError> {
+    pub fn give_back(&mut self, now: Now, ask: &StartRequest) -> Result<(), StartError> {
         let started = self.entry(ask.key).is_some_and(|e| e.progress.is_some());
         if started {
             return Err(StartError::Started);
@@ -307,7 +307,7 @@
 
     /// All that has started of some shards.
     pub fn evidence(&self, shards: &HashSet<ShardId>) -> Vec<Evidence> {
-        if self.broken == Broken::Seal {
+        if self.broken == DisabledCheck::Seal {
             return Vec::new();
         }
         let of_shard = self.jobs.iter().filter(|(_, j)| shards.contains(&j.shard));
@@ -363,7 +363,7 @@
     }
 
     /// The entry of a task, made if need be.
-    fn entry_mut(&mut self, now: Now, ask: &StartAsk) -> &mut TaskEntry {
+    fn entry_mut(&mut self, now: Now, ask: &StartRequest) -> &mut TaskEntry {
         if !self.jobs.contains_key(&ask.key.job) {
             let due = self.forgotten_at(now, ask.key.job);
             self.expiry.insert((due, ask.key.job));
--- a/lib/src/start_record/tests.rs
+++ b/lib/src/start_record/tests.rs
@@ -10,8 +10,8 @@
     Now::steady(Mono(ms * 1000), 1_000_000 + ms)
 }
 
-fn ask(task: u32, epoch: u64, attempt: u64) -> StartAsk {
-    StartAsk {
+fn ask(task: u32, epoch: u64, attempt: u64) -> StartRequest {
+    StartRequest {
         key: TaskKey {
             job: JobId::mint(1_000_000, &[1; 10]),
             task,
@@ -35,10 +35,10 @@
 #[test]
 fn test_start_record_refuses_older_epoch() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
-    assert!(record.raise(ShardId(3), Epoch(5)));
+    assert!(record.raise_epoch(ShardId(3), Epoch(5)));
     let old = record.start(now(0), &ask(0, 4, 1), "s", "t");
     assert_eq!(old, Err(StartError::Fenced));
-    assert!(!record.raise(ShardId(3), Epoch(4)));
+    assert!(!record.raise_epoch(ShardId(3), Epoch(4)));
 }
 
 #[test]
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -28,9 +28,9 @@
     /// Agents that have not answered yet, by incarnation.
     pub pending: BTreeSet<u64>,
     /// When the former owner's right has lapsed, if it knew this entry as a member.
-    pub lapse: Mono,
+    pub expiry: Mono,
     /// When it has lapsed in any case.
-    pub settled: Mono,
+    pub latest_expiry: Mono,
     /// Whether the former owners knew this entry as a member.
     pub known: bool,
     /// Whether the shards are served.
@@ -43,21 +43,21 @@
     /// Whether the shards can be served at `now`.
     pub fn ready(&self, now: Mono) -> bool {
         let read_back = self.pending.is_empty();
-        now >= self.lapse && (read_back || now >= self.settled)
+        now >= self.expiry && (read_back || now >= self.latest_expiry)
     }
 }
 
 /// What a round begins with.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct RoundStart {
     /// The shards it is about.
     pub claims: Vec<(ShardId, Epoch)>,
     /// The agents that have to answer, by incarnation.
     pub agents: BTreeSet<u64>,
     /// After how long the former owners' right has lapsed, if they knew this entry as a member.
-    pub lapse: Duration,
+    pub expiry: Duration,
     /// After how long it has lapsed in any case.
-    pub settled: Duration,
+    pub latest_expiry: Duration,
     /// Whether the former owners knew this entry as a member.
     pub known: bool,
     /// A job minted at or before this time may have started tasks at an agent that is gone.
@@ -86,20 +86,20 @@
     /// Served.
     Active,
     /// Its records are being sent to the entry of this incarnation; nothing new is taken.
-    Handing(u64),
+    HandingOver(u64),
     /// The next owner holds the records; only the record has to change.
-    Handed(u64),
+    HandedOver(u64),
 }
 
 /// The shards of one entry and the rounds that brought them.
 #[derive(Debug, Default)]
-pub struct Holdings {
+pub struct OwnedShards {
     held: BTreeMap<ShardId, Held>,
     rounds: BTreeMap<RoundId, Round>,
     next: u64,
 }
 
-impl Holdings {
+impl OwnedShards {
     /// What is known of a shard; `None` if this entry does not own it.
     pub fn get(&self, shard: ShardId) -> Option<&Held> {
         self.held.get(&shard)
@@ -125,7 +125,7 @@
     /// Whether the shard's records are on their way to another entry.
     pub fn handing(&self, shard: ShardId) -> bool {
         let held = self.held.get(&shard);
-        held.is_some_and(|h| matches!(h.phase, Phase::Handing(_) | Phase::Handed(_)))
+        held.is_some_and(|h| matches!(h.phase, Phase::HandingOver(_) | Phase::HandedOver(_)))
     }
 
     /// Sets a shard's phase.
@@ -147,7 +147,7 @@
     }
 
     /// Takes a shard over from an owner that sent its records: served at once.
-    pub fn receive(&mut self, shard: ShardId, epoch: Epoch, clear_ms: u64) {
+    pub fn accept_handover(&mut self, shard: ShardId, epoch: Epoch, clear_ms: u64) {
         let held = Held {
             epoch,
             round: None,
@@ -158,12 +158,12 @@
     }
 
     /// Opens a round for shards that the record has just given to this entry.
-    pub fn open(&mut self, now: Mono, opening: Opening) -> RoundId {
-        let Opening {
+    pub fn open(&mut self, now: Mono, opening: RoundStart) -> RoundId {
+        let RoundStart {
             claims,
             agents,
-            lapse,
-            settled,
+            expiry,
+            latest_expiry,
             known,
             gone_ms,
         } = opening;
@@ -182,8 +182,8 @@
             id,
             claims,
             pending: agents,
-            lapse: now + lapse,
-            settled: now + settled.max(lapse),
+            expiry: now + expiry,
+            latest_expiry: now + latest_expiry.max(expiry),
             known,
             served: false,
             began: now,
@@ -225,7 +225,7 @@
 
     /// Serves the shards of a round; where witnesses were lost, jobs minted up to `clear_ms` may
     /// have started there. Returns the shards, and how many witnesses were lost.
-    pub fn serve(&mut self, id: RoundId, clear_ms: u64) -> (Vec<ShardId>, usize) {
+    pub fn activate(&mut self, id: RoundId, clear_ms: u64) -> (Vec<ShardId>, usize) {
         let Some(round) = self.rounds.get_mut(&id) else {
             return (Vec::new(), 0);
         };
--- a/lib/src/tenure.rs
+++ b/lib/src/tenure.rs
@@ -5,9 +5,9 @@
 //!
 //! While the store is away no read succeeds, and no swap either. An entry can't tell that from
 //! being cut off alone, so it asks every other member of the record for a promise to take nothing
-//! over for a short span. With all of them the right goes on, at most for `ride` after the last
+//! over for a short span. With all of them the right goes on, at most for `max_extension` after the last
 //! read. A member that joined after that read is unknown to this entry and makes no promise; it
-//! waits out `ride` instead (see [`crate::takeover`]).
+//! waits out `max_extension` instead (see [`crate::takeover`]).
 //!
 //! Each time the right lapses the tenure's number rises. Starts carry the number, and agents
 //! refuse one that is not of the tenure granted last; so nothing decided before a lapse starts
@@ -24,20 +24,20 @@
     /// How long a read of the record carries the right.
     pub lease: Duration,
     /// How long promises can carry it beyond the last read.
-    pub ride: Duration,
+    pub max_extension: Duration,
     /// How long one promise holds.
     pub promise: Duration,
 }
 
 /// What carries the right at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RightState {
     /// A recent read of the record.
     Confirmed,
     /// Promises of all other members.
     Promised,
     /// Nothing.
-    Lapsed,
+    Expired,
 }
 
 /// The right of this entry.
@@ -50,7 +50,7 @@
     promises: HashMap<u64, Mono>,
     asked: HashMap<u64, (u64, Mono)>,
     next: u64,
-    standing: Standing,
+    standing: RightState,
 }
 
 impl Tenure {
@@ -64,7 +64,7 @@
             promises: HashMap::new(),
             asked: HashMap::new(),
             next: 0,
-            standing: Standing::Lapsed,
+            standing: RightState::Expired,
         }
     }
 
@@ -78,20 +78,20 @@
     }
 
     /// A read showed that this entry is no member any more.
-    pub fn drop_right(&mut self) {
+    pub fn revoke(&mut self) {
         self.read = None;
         self.promises.clear();
     }
 
     /// Looks at the clock. To be called with every input before anything is decided, so that no
     /// lapse goes unnoticed. Returns the change of standing, if there is one.
-    pub fn observe(&mut self, now: Mono) -> Option<(Standing, Standing)> {
+    pub fn observe(&mut self, now: Mono) -> Option<(RightState, RightState)> {
         let before = self.standing;
-        let after = self.stand(now);
+        let after = self.right_state(now);
         if before == after {
             return None;
         }
-        if after == Standing::Lapsed {
+        if after == RightState::Expired {
             self.number += 1;
         }
         self.standing = after;
@@ -99,17 +99,17 @@
     }
 
     /// What carries the right at `now`.
-    pub fn stand(&self, now: Mono) -> Standing {
+    pub fn right_state(&self, now: Mono) -> RightState {
         let Some(read) = self.read else {
-            return Standing::Lapsed;
+            return RightState::Expired;
         };
         if now < read + self.setup.lease {
-            return Standing::Confirmed;
+            return RightState::Confirmed;
         }
         if now < self.promised() {
-            return Standing::Promised;
+            return RightState::Promised;
         }
-        Standing::Lapsed
+        RightState::Expired
     }
 
     /// How much longer the right surely lasts; zero when it has lapsed.
@@ -164,8 +164,8 @@
         };
         let of = |member: &u64| self.promises.get(member).copied().unwrap_or(Mono(0));
         let least = self.others.iter().map(of).min();
-        let ride = read + self.setup.ride;
-        least.map_or(ride, |m| m.min(ride))
+        let max_extension = read + self.setup.max_extension;
+        least.map_or(max_extension, |m| m.min(max_extension))
     }
 }
 
--- a/lib/src/tenure/tests.rs
+++ b/lib/src/tenure/tests.rs
@@ -7,7 +7,7 @@
 fn tenure() -> Tenure {
     Tenure::new(TenureSetup {
         lease: Duration::from_secs(2),
-        ride: Duration::from_secs(60),
+        max_extension: Duration::from_secs(60),
         promise: Duration::from_secs(1),
     })
 }
@@ -16,8 +16,8 @@
 fn test_tenure_counts_from_the_sending_of_the_read() {
     let mut t = tenure();
     t.confirm(Mono(SECOND), vec![7]);
-    assert_eq!(t.stand(Mono(3 * SECOND - 1)), Standing::Confirmed);
-    assert_eq!(t.stand(Mono(3 * SECOND)), Standing::Lapsed);
+    assert_eq!(t.right_state(Mono(3 * SECOND - 1)), RightState::Confirmed);
+    assert_eq!(t.right_state(Mono(3 * SECOND)), RightState::Expired);
 }
 
 #[test]
@@ -27,19 +27,19 @@
     let late = Mono(5 * SECOND);
     let seq = t.ask(7, late);
     t.promise(7, seq, true);
-    assert_eq!(t.stand(late), Standing::Lapsed);
+    assert_eq!(t.right_state(late), RightState::Expired);
     let seq = t.ask(8, late);
     t.promise(8, seq, true);
-    assert_eq!(t.stand(late), Standing::Promised);
-    assert_eq!(t.stand(Mono(6 * SECOND)), Standing::Lapsed);
+    assert_eq!(t.right_state(late), RightState::Promised);
+    assert_eq!(t.right_state(Mono(6 * SECOND)), RightState::Expired);
 }
 
 #[test]
 fn test_tenure_alone_rides_to_the_bound() {
     let mut t = tenure();
     t.confirm(Mono(0), Vec::new());
-    assert_eq!(t.stand(Mono(59 * SECOND)), Standing::Promised);
-    assert_eq!(t.stand(Mono(60 * SECOND)), Standing::Lapsed);
+    assert_eq!(t.right_state(Mono(59 * SECOND)), RightState::Promised);
+    assert_eq!(t.right_state(Mono(60 * SECOND)), RightState::Expired);
 }
 
 #[test]
--- a/lib/testutils/src/bin/capacity.rs
+++ b/lib/testutils/src/bin/capacity.rs
@@ -22,8 +22,8 @@
 use stackcourse_lib::shard::Epoch;
 use stackcourse_lib::shard::ShardId;
 use stackcourse_lib::start_record::Progress;
-use stackcourse_lib::start_record::StartAsk;
 use stackcourse_lib::start_record::StartRecord;
+use stackcourse_lib::start_record::StartRequest;
 use stackcourse_testutils::cluster::Cluster;
 use stackcourse_testutils::cluster::ClusterPlan;
 use stackcourse_testutils::cluster::Process;
@@ -380,7 +380,7 @@
         let mut record = StartRecord::new(horizon, Duration::from_secs(1), 0);
         let now = Now::steady(Mono(1), 1_800_000_000_000);
         for i in 0..count {
-            let ask = StartAsk {
+            let ask = StartRequest {
                 key: TaskKey {
                     job: JobId::mint(
                         now.wall_ms,
--- a/lib/testutils/src/bin/random-run.rs
+++ b/lib/testutils/src/bin/random-run.rs
@@ -5,7 +5,7 @@
 use clap::Arg;
 use clap::Command;
 use clap::value_parser;
-use stackcourse_lib::start_record::Broken;
+use stackcourse_lib::start_record::DisabledCheck;
 use stackcourse_testutils::random_run;
 use stackcourse_testutils::random_run::ClockFaults;
 use stackcourse_testutils::random_run::RunPlan;
@@ -47,10 +47,10 @@
     let matches = command().get_matches();
     let number = |name: &str| *matches.get_one::<u64>(name).expect("defaulted");
     let broken = match matches.get_one::<String>("break").map(String::as_str) {
-        Some("fence") => Broken::Fence,
-        Some("seal") => Broken::Seal,
-        Some("horizon") => Broken::Horizon,
-        _ => Broken::Nothing,
+        Some("fence") => DisabledCheck::Fence,
+        Some("seal") => DisabledCheck::Seal,
+        Some("horizon") => DisabledCheck::Horizon,
+        _ => DisabledCheck::Nothing,
     };
     let clocks = match matches.get_one::<String>("clocks").map(String::as_str) {
         Some("running") => ClockFaults::Running,
--- a/lib/testutils/src/random_run.rs
+++ b/lib/testutils/src/random_run.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use stackcourse_lib::entry::Submission;
 use stackcourse_lib::job_id::JobId;
-use stackcourse_lib::start_record::Broken;
+use stackcourse_lib::start_record::DisabledCheck;
 use stackcourse_lib::versions::Version;
 
 use crate::world::HORIZON;
@@ -23,7 +23,7 @@
     /// How much virtual time passes with faults.
     pub span: Duration,
     /// Which check is left out.
-    pub broken: Broken,
+    pub broken: DisabledCheck,
     /// What happens to the clocks of boxes.
     pub clocks: ClockFaults,
 }
--- a/lib/testutils/src/world.rs
+++ b/lib/testutils/src/world.rs
@@ -22,7 +22,7 @@
 use stackcourse_lib::entry::Submission;
 use stackcourse_lib::outcome::Verdict;
 use stackcourse_lib::prelude::*;
-use stackcourse_lib::start_record::Broken;
+use stackcourse_lib::start_record::DisabledCheck;
 use stackcourse_lib::store::StoreOp;
 use stackcourse_lib::store::StoreReply;
 use stackcourse_lib::store::Stored;
@@ -135,7 +135,7 @@
     pub lossy: f64,
     requests: HashMap<(Proc, u64), Open>,
     config: (u64, Bytes),
-    broken: Broken,
+    broken: DisabledCheck,
     running: HashMap<TaskKey, Proc>,
     /// Chance that a message arrives twice.
     pub duplicates: f64,
@@ -143,7 +143,7 @@
 
 impl World {
     /// A world with processes that have not been started.
-    pub fn new(seed: u64, entries: usize, agents: usize, broken: Broken) -> World {
+    pub fn new(seed: u64, entries: usize, agents: usize, broken: DisabledCheck) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = entries + agents;
         let procs = (0..count)
@@ -255,7 +255,7 @@
         let machine = if proc < self.entries {
             let mut setup = EntrySetup::new(&format!("e{proc}"), incarnation);
             setup.horizon = HORIZON;
-            setup.tenure.ride = Duration::from_secs(15);
+            setup.tenure.max_extension = Duration::from_secs(15);
             setup.strike = Duration::from_secs(8);
             setup.shards = 8;
             let mut entry = Entry::new(setup);
@@ -355,7 +355,7 @@
     pub fn drained(&self, proc: Proc) -> bool {
         match &self.procs[proc].machine {
             Some(Machine::Entry(e)) => e.drained(),
-            Some(Machine::Agent(a)) => a.drained(),
+            Some(Machine::Agent(a)) => a.is_drained(),
             None => true,
         }
     }
@@ -503,7 +503,7 @@
         self.steps += 1;
         match &mut self.procs[proc].machine {
             Some(Machine::Entry(e)) => e.frame(now, id, body),
-            Some(Machine::Agent(a)) => a.frame(now, id, body),
+            Some(Machine::Agent(a)) => a.handle_message(now, id, body),
             None => {}
         }
         self.flush(proc);
@@ -609,7 +609,7 @@
         let mut stall = false;
         let actions: Vec<Deferred> = match &mut self.procs[proc].machine {
             Some(Machine::Entry(e)) => e.actions().into_iter().map(Deferred::Entry).collect(),
-            Some(Machine::Agent(a)) => a.actions().into_iter().map(Deferred::Agent).collect(),
+            Some(Machine::Agent(a)) => a.take_actions().into_iter().map(Deferred::Agent).collect(),
             None => return,
         };
         for action in actions {
@@ -772,7 +772,7 @@
             End::NeverSent => Err(RunFailure::NeverSent("no connection".to_owned())),
         };
         if let Some(Machine::Agent(a)) = &mut self.procs[proc].machine {
-            a.done(now, key, result);
+            a.handle_task_end(now, key, result);
         }
         self.flush(proc);
     }
--- a/lib/testutils/tests/runner/test_random_run.rs
+++ b/lib/testutils/tests/runner/test_random_run.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use stackcourse_lib::start_record::Broken;
+use stackcourse_lib::start_record::DisabledCheck;
 use stackcourse_testutils::random_run;
 use stackcourse_testutils::random_run::ClockFaults;
 use stackcourse_testutils::random_run::RunPlan;
 use stackcourse_testutils::random_run::RunReport;
 
-fn run(seed: u64, broken: Broken) -> RunReport {
+fn run(seed: u64, broken: DisabledCheck) -> RunReport {
     random_run::run(RunPlan {
         seed,
         span: Duration::from_secs(45),
@@ -19,7 +19,7 @@
 
 fn assert_seeds(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let report = run(seed, Broken::Nothing);
+        let report = run(seed, DisabledCheck::Nothing);
         assert_eq!(report.violation, None, "seed {seed}");
         assert!(report.recovered, "seed {seed} did not recover");
         assert!(report.starts > 0, "seed {seed} started nothing");
@@ -54,7 +54,10 @@
 
 #[test]
 fn test_random_run_is_reproduced_by_its_seed() {
-    let (one, two) = (run(5, Broken::Nothing), run(5, Broken::Nothing));
+    let (one, two) = (
+        run(5, DisabledCheck::Nothing),
+        run(5, DisabledCheck::Nothing),
+    );
     assert_eq!(one.steps, two.steps);
     assert_eq!(one.outcomes, two.outcomes);
 }
@@ -67,7 +70,7 @@
         let report = random_run::run(RunPlan {
             seed,
             span: Duration::from_secs(45),
-            broken: Broken::Nothing,
+            broken: DisabledCheck::Nothing,
             clocks: ClockFaults::Running,
         });
         assert_eq!(report.violation, None, "seed {seed}");
@@ -82,7 +85,7 @@
     let report = random_run::run(RunPlan {
         seed: 2902,
         span: Duration::from_secs(60),
-        broken: Broken::Nothing,
+        broken: DisabledCheck::Nothing,
         clocks: ClockFaults::Always,
     });
     assert_eq!(report.violation, None);
@@ -95,14 +98,14 @@
         let report = random_run::run(RunPlan {
             seed,
             span: Duration::from_secs(45),
-            broken: Broken::Nothing,
+            broken: DisabledCheck::Nothing,
             clocks: ClockFaults::Always,
         });
         assert_eq!(report.violation, None, "seed {seed}");
     }
 }
 
-fn assert_noticed(broken: Broken, seeds: std::ops::RangeInclusive<u64>) {
+fn assert_noticed(broken: DisabledCheck, seeds: std::ops::RangeInclusive<u64>) {
     let noticed = seeds
         .clone()
         .any(|seed| run(seed, broken).violation.is_some());
@@ -111,15 +114,15 @@
 
 #[test]
 fn test_random_run_notices_a_missing_fence() {
-    assert_noticed(Broken::Fence, 1201..=1500);
+    assert_noticed(DisabledCheck::Fence, 1201..=1500);
 }
 
 #[test]
 fn test_random_run_notices_a_seal_that_reports_nothing() {
-    assert_noticed(Broken::Seal, 1..=40);
+    assert_noticed(DisabledCheck::Seal, 1..=40);
 }
 
 #[test]
 fn test_random_run_notices_a_missing_horizon() {
-    assert_noticed(Broken::Horizon, 1..=40);
+    assert_noticed(DisabledCheck::Horizon, 1..=40);
 }
