--- a/lib/src/ownership/tests.rs
+++ b/lib/src/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `ownership`.
+//! Tests of shard assignment and of the roster of agents.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     }
 }
 
-fn three() -> OwnershipRecord {
+fn record_with_three_members() -> OwnershipRecord {
     let mut record = OwnershipRecord::new(8);
     for (name, inc) in [("a", 1), ("b", 2), ("c", 3)] {
         record.join(member(name, inc));
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn test_ownership_gathers_on_few_owners() {
-    let mut record = three();
+fn test_ownership_single_owner() {
+    let mut record = record_with_three_members();
     record.assign_unowned(&[1, 2, 3], 1);
     assert_eq!(record.owned(1).len(), 8);
     assert!(record.plan_moves(&[1, 2, 3], 1).is_empty());
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn test_ownership_spreads_evenly() {
-    let mut record = three();
+fn test_ownership_balances_shards() {
+    let mut record = record_with_three_members();
     record.assign_unowned(&[1, 2], 0);
     assert_eq!((record.owned(1).len(), record.owned(2).len()), (4, 4));
     let moves = record.plan_moves(&[1, 2, 3], 0);
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn test_ownership_cut_raises_epochs_and_names_the_former_owner() {
-    let mut record = three();
+fn test_ownership_cut_records_former_owner() {
+    let mut record = record_with_three_members();
     record.assign_unowned(&[1, 2], 0);
     let before = record.owned(1);
     record.cut(1, 77);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn test_roster_keeps_replaced_incarnations_as_gone() {
+fn test_roster_replaced_incarnation_is_gone() {
     let mut roster = Roster::default();
     let agent = |incarnation| RosterAgent {
         name: "w1".into(),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn test_roster_remembers_up_to_which_mint_time_a_gone_agent_took_jobs() {
+fn test_roster_gone_agent_keeps_mint_time() {
     let mut roster = Roster::default();
     let agent = RosterAgent {
         name: "w1".into(),
@@ -92,13 +92,13 @@
         slots: 8,
         born_ms: 1,
     };
-    let parting = StartBounds {
+    let bounds = StartBounds {
         until_ms: 100,
         minted_ms: 700,
     };
-    roster.enrol(agent, parting);
+    roster.enrol(agent, bounds);
     assert_eq!(roster.clear_ms(50), 0);
-    roster.remove(10, parting);
+    roster.remove(10, bounds);
     assert_eq!(roster.clear_ms(50), 700);
     assert_eq!(roster.clear_ms(650), 750);
     roster.forget(700);
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -1,10 +1,10 @@
-//! Takeover: how an entry comes to serve shards that the ownership record has given it.
+//! Takeover: the steps after which an entry serves shards that the ownership record assigns to it.
 //!
-//! A round is one change of the record that gave this entry shards. The entry seals them at every
-//! agent of the roster, which fences the former owner there and reads back what it had started.
-//! The shards are served once the former owner's right has surely lapsed and every agent has
-//! answered. An agent that does not answer is a lost witness: then the shards are served without
-//! it, and jobs minted before that moment for which a task is not accounted for are `unknown`.
+//! A round covers the shards that one change of the record assigned to this entry. The entry seals
+//! them at every agent of the roster, which fences the former owner there and reads back what it
+//! had started. The shards are served once the former owner's right has certainly expired and every
+//! agent has answered. Shards are also served without the agents that do not answer in time; then
+//! any job minted before that moment with a task that is not accounted for is `unknown`.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,151 +14,157 @@
 use crate::shard::Epoch;
 use crate::shard::ShardId;
 
-/// A round's number, unique within a process.
+/// The number of a round, unique within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RoundId(pub u64);
 
-/// A round of sealing.
+/// A round in which shards are sealed and read back.
 #[derive(Clone, Debug)]
 pub struct Round {
     /// Its number.
     pub id: RoundId,
-    /// The shards it is about.
+    /// The shards of the round and their epochs.
     pub claims: Vec<(ShardId, Epoch)>,
-    /// Agents that have not answered yet, by incarnation.
+    /// The incarnations of the agents that have not answered yet.
     pub pending: BTreeSet<u64>,
-    /// When the former owner's right has lapsed, if it knew this entry as a member.
+    /// When the former owners' right has expired if they knew this entry as a member. No shard of
+    /// the round is served earlier.
     pub expiry: Mono,
-    /// When it has lapsed in any case.
+    /// When it has expired in any case; agents that have not answered by then are not waited for.
     pub latest_expiry: Mono,
     /// Whether the former owners knew this entry as a member.
     pub known: bool,
     /// Whether the shards are served.
     pub served: bool,
-    /// When the round began.
+    /// When the round was opened.
     pub began: Mono,
 }
 
 impl Round {
-    /// Whether the shards can be served at `now`.
-    pub fn ready(&self, now: Mono) -> bool {
+    /// Returns whether the shards can be served at `now`.
+    pub fn is_ready(&self, now: Mono) -> bool {
         let read_back = self.pending.is_empty();
         now >= self.expiry && (read_back || now >= self.latest_expiry)
     }
 }
 
-/// What a round begins with.
+/// The parameters of a new round.
 #[derive(Clone, Debug)]
 pub struct RoundStart {
-    /// The shards it is about.
+    /// The shards of the round and their epochs.
     pub claims: Vec<(ShardId, Epoch)>,
-    /// The agents that have to answer, by incarnation.
+    /// The incarnations of the agents that have to answer.
     pub agents: BTreeSet<u64>,
-    /// After how long the former owners' right has lapsed, if they knew this entry as a member.
+    /// The time until the former owners' right has expired if they knew this entry as a member.
     pub expiry: Duration,
-    /// After how long it has lapsed in any case.
+    /// The time until it has expired in any case.
     pub latest_expiry: Duration,
     /// Whether the former owners knew this entry as a member.
     pub known: bool,
-    /// A job minted at or before this time may have started tasks at an agent that is gone.
+    /// The latest mint time, in Unix milliseconds, of a job that may have started tasks at an agent
+    /// that is gone; 0 if none is gone.
     pub gone_ms: u64,
 }
 
-/// What this entry knows of a shard that it serves.
+/// The state of a shard that this entry owns.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct OwnedShard {
     /// The epoch under which it owns the shard.
     pub epoch: Epoch,
-    /// The round that has not been answered by all agents, if any.
+    /// The round that brought the shard, or `None` if another entry handed it over.
     pub round: Option<RoundId>,
-    /// Whether the shard is served.
+    /// The phase of the shard; it is served only in [`Phase::Active`].
     pub phase: Phase,
-    /// A job minted at or before this time may have started tasks at a lost witness; in Unix
-    /// milliseconds, allowances for clocks included.
+    /// The latest mint time of a job that may have started tasks at an agent that was not read
+    /// back, in Unix milliseconds with the allowances for clocks included; 0 if all were read back.
     pub clear_ms: u64,
 }
 
-/// How far a shard has come.
+/// The phase of a shard between takeover and handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Being sealed and read back.
+    /// It is being sealed and read back.
     Sealing,
-    /// Served.
+    /// It is served.
     Active,
-    /// Its records are being sent to the entry of this incarnation; nothing new is taken.
+    /// Its job records are being sent to the entry of this incarnation; no new job is accepted.
     HandingOver(u64),
-    /// The next owner holds the records; only the record has to change.
+    /// The entry of this incarnation has its job records, and only the ownership record has to
+    /// change. With 0 the shard is given up without a next owner.
     HandedOver(u64),
 }
 
-/// The shards of one entry and the rounds that brought them.
+/// The shards that an entry owns and the rounds that brought them.
 #[derive(Debug, Default)]
 pub struct OwnedShards {
-    held: BTreeMap<ShardId, Held>,
+    shards: BTreeMap<ShardId, OwnedShard>,
     rounds: BTreeMap<RoundId, Round>,
-    next: u64,
+    last_round: u64,
 }
 
 impl OwnedShards {
-    /// What is known of a shard; `None` if this entry does not own it.
-    pub fn get(&self, shard: ShardId) -> Option<&Held> {
-        self.held.get(&shard)
+    /// Returns the state of a shard, or `None` if this entry does not own it.
+    pub fn get(&self, shard: ShardId) -> Option<&OwnedShard> {
+        self.shards.get(&shard)
     }
 
-    /// The shards, in no order.
-    pub fn iter(&self) -> impl Iterator<Item = (&ShardId, &Held)> {
-        self.held.iter()
+    /// Returns an iterator over the owned shards.
+    pub fn iter(&self) -> impl Iterator<Item = (&ShardId, &OwnedShard)> {
+        self.shards.iter()
     }
 
-    /// How many shards are owned, and how many of them served.
+    /// Returns the number of owned shards and the number of served ones among them.
     pub fn counts(&self) -> (usize, usize) {
-        let active = |h: &&Held| h.phase == Phase::Active;
-        (self.held.len(), self.held.values().filter(active).count())
+        let active = |h: &&OwnedShard| h.phase == Phase::Active;
+        (
+            self.shards.len(),
+            self.shards.values().filter(active).count(),
+        )
     }
 
-    /// Whether the shard is served.
+    /// Returns whether the shard is served.
     pub fn active(&self, shard: ShardId) -> bool {
-        let held = self.held.get(&shard);
+        let held = self.shards.get(&shard);
         held.is_some_and(|h| h.phase == Phase::Active)
     }
 
-    /// Whether the shard's records are on their way to another entry.
+    /// Returns whether the shard is being handed over to another entry.
     pub fn handing(&self, shard: ShardId) -> bool {
-        let held = self.held.get(&shard);
+        let held = self.shards.get(&shard);
         held.is_some_and(|h| matches!(h.phase, Phase::HandingOver(_) | Phase::HandedOver(_)))
     }
 
-    /// Sets a shard's phase.
+    /// Sets the phase of an owned shard.
     pub fn set_phase(&mut self, shard: ShardId, phase: Phase) {
-        if let Some(held) = self.held.get_mut(&shard) {
+        if let Some(held) = self.shards.get_mut(&shard) {
             held.phase = phase;
         }
     }
 
-    /// Lets a shard go.
+    /// Removes a shard.
     pub fn release(&mut self, shard: ShardId) {
-        self.held.remove(&shard);
+        self.shards.remove(&shard);
     }
 
-    /// Lets everything go.
+    /// Removes all shards and rounds.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.shards.clear();
         self.rounds.clear();
     }
 
-    /// Takes a shard over from an owner that sent its records: served at once.
+    /// Adds a shard whose former owner sent its job records. It is served at once.
     pub fn accept_handover(&mut self, shard: ShardId, epoch: Epoch, clear_ms: u64) {
-        let held = Held {
+        let held = OwnedShard {
             epoch,
             round: None,
             phase: Phase::Active,
             clear_ms,
         };
-        self.held.insert(shard, held);
+        self.shards.insert(shard, held);
     }
 
-    /// Opens a round for shards that the record has just given to this entry.
-    pub fn open(&mut self, now: Mono, opening: RoundStart) -> RoundId {
+    /// Opens a round for shards that the record has just assigned to this entry.
+    pub fn open(&mut self, now: Mono, start: RoundStart) -> RoundId {
         let RoundStart {
             claims,
             agents,
@@ -166,17 +172,17 @@
             latest_expiry,
             known,
             gone_ms,
-        } = opening;
-        self.next += 1;
-        let id = RoundId(self.next);
+        } = start;
+        self.last_round += 1;
+        let id = RoundId(self.last_round);
         for (shard, epoch) in &claims {
-            let held = Held {
+            let held = OwnedShard {
                 epoch: *epoch,
                 round: Some(id),
                 phase: Phase::Sealing,
                 clear_ms: gone_ms,
             };
-            self.held.insert(*shard, held);
+            self.shards.insert(*shard, held);
         }
         let round = Round {
             id,
@@ -192,22 +198,22 @@
         id
     }
 
-    /// A round by its number.
+    /// Returns a round by its number.
     pub fn round(&self, id: RoundId) -> Option<&Round> {
         self.rounds.get(&id)
     }
 
-    /// The rounds that an agent has not answered.
+    /// Returns the rounds that wait for an agent.
     pub fn unanswered(&self, agent: u64) -> Vec<RoundId> {
-        let open = self
+        let ids = self
             .rounds
             .values()
             .filter(|r| r.pending.contains(&agent))
             .map(|r| r.id);
-        open.collect()
+        ids.collect()
     }
 
-    /// An agent has answered a round. Returns whether the round was waiting for it.
+    /// Records that an agent has answered a round. Returns whether the round was waiting for it.
     pub fn answered(&mut self, id: RoundId, agent: u64) -> bool {
         let Some(round) = self.rounds.get_mut(&id) else {
             return false;
@@ -215,16 +221,16 @@
         round.pending.remove(&agent)
     }
 
-    /// The rounds whose shards can be served now and are not yet.
+    /// Returns the rounds whose shards can be served at `now` and are not served yet.
     pub fn ready(&self, now: Mono) -> Vec<RoundId> {
-        let ready = |r: &&Round| !r.served && r.ready(now);
+        let ready = |r: &&Round| !r.served && r.is_ready(now);
         let mut ids: Vec<RoundId> = self.rounds.values().filter(ready).map(|r| r.id).collect();
         ids.sort();
         ids
     }
 
-    /// Serves the shards of a round; where witnesses were lost, jobs minted up to `clear_ms` may
-    /// have started there. Returns the shards, and how many witnesses were lost.
+    /// Marks the shards of a round as served. If agents have not answered, jobs minted up to
+    /// `clear_ms` may have started there. Returns the shards and the number of those agents.
     pub fn activate(&mut self, id: RoundId, clear_ms: u64) -> (Vec<ShardId>, usize) {
         let Some(round) = self.rounds.get_mut(&id) else {
             return (Vec::new(), 0);
@@ -233,7 +239,7 @@
         let lost = round.pending.len();
         let mut shards = Vec::new();
         for (shard, epoch) in &round.claims {
-            let Some(held) = self.held.get_mut(shard) else {
+            let Some(held) = self.shards.get_mut(shard) else {
                 continue;
             };
             if held.epoch != *epoch || held.phase != Phase::Sealing {
@@ -248,16 +254,17 @@
         (shards, lost)
     }
 
-    /// Forgets rounds that all agents have answered or whose shards have gone elsewhere.
+    /// Drops served rounds that all agents have answered, and rounds whose shards this entry no
+    /// longer owns.
     pub fn forget(&mut self) {
-        let held = &self.held;
+        let shards = &self.shards;
         self.rounds.retain(|id, round| {
-            let ours = |(s, e): &(ShardId, Epoch)| {
-                let h = held.get(s);
+            let is_current = |(s, e): &(ShardId, Epoch)| {
+                let h = shards.get(s);
                 h.is_some_and(|h| h.epoch == *e && h.round == Some(*id))
             };
-            let open = !round.served || !round.pending.is_empty();
-            open && round.claims.iter().any(ours)
+            let is_open = !round.served || !round.pending.is_empty();
+            is_open && round.claims.iter().any(is_current)
         });
     }
 }
