--- a/lib/src/agent/reports.rs
+++ b/lib/src/agent/reports.rs
@@ -72,13 +72,13 @@
             ..Default::default()
         };
         let mut bytes = 0;
-        for evidence in self.record.evidence(shards) {
+        for task in self.record.started_tasks(shards) {
             if bytes > MAX_SEALED_BYTES || part.started.len() >= MAX_SEALED_TASKS {
                 self.send(link, Body::Sealed(std::mem::take(&mut part)));
                 part.round = round;
                 bytes = 0;
             }
-            let started = started_message(evidence);
+            let started = started_message(task);
             bytes += started.body.len();
             part.started.push(started);
         }
@@ -134,19 +134,19 @@
     }
 }
 
-fn started_message(evidence: crate::start_record::Evidence) -> wire::Started {
-    let kept = evidence.progress != Progress::Dropped;
-    let (status, body) = status_and_body(evidence.progress);
+fn started_message(task: crate::start_record::StartedTask) -> wire::Started {
+    let kept = task.progress != Progress::Dropped;
+    let (status, body) = status_and_body(task.progress);
     wire::Started {
-        job: Some(evidence.key.job.wire()),
-        task: evidence.key.task,
-        tasks: evidence.tasks,
-        digest: evidence.digest,
+        job: Some(task.key.job.wire()),
+        task: task.key.task,
+        tasks: task.tasks,
+        digest: task.digest,
         status: status.into(),
         body,
-        attempt: evidence.attempt,
+        attempt: task.attempt,
         kept,
-        service: evidence.service.to_string(),
-        team: evidence.team.to_string(),
+        service: task.service.to_string(),
+        team: task.team.to_string(),
     }
 }
--- a/lib/src/agent/starts.rs
+++ b/lib/src/agent/starts.rs
@@ -227,7 +227,7 @@
                 answer.body = Bytes::from(reason);
                 answer.status = wire::Status::NotStarted.into();
                 answer.refusal = wire::Refusal::Backend.into();
-                self.record.unstart(key);
+                self.record.undo_start(key);
             }
         }
     }
--- a/lib/src/start_record.rs
+++ b/lib/src/start_record.rs
@@ -1,14 +1,14 @@
-//! The start record: what an agent has started, and the fence that keeps it from starting twice.
+//! The start record: what an agent has started, and the fence that prevents duplicate starts.
 //!
-//! An agent is the only process that starts tasks at its backend server, so its record is the
-//! witness of what ran there. The record refuses
+//! An agent is the only process that starts tasks at its backend server, so its record is
+//! authoritative for what ran there. The record refuses
 //!
-//! - a start under an epoch lower than the highest seen for the shard,
-//! - a task that it has started or has promised not to start,
-//! - a job older than the horizon, because such jobs are forgotten.
+//! - a start under an epoch lower than the highest one seen for the shard,
+//! - a start of a task that has started already, or of an attempt that was given back,
+//! - a start of a job older than the horizon, as such jobs are forgotten.
 //!
-//! Memory is bounded twice: jobs are dropped at the horizon, and answers beyond a budget of bytes
-//! are dropped oldest first, while the fact that the task ran is kept.
+//! Two rules bound memory: jobs are dropped after the horizon, and when the stored answers exceed
+//! a budget of bytes, the oldest are dropped while the fact that the task ran is kept.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,13 +30,13 @@
 use crate::shard::Epoch;
 use crate::shard::ShardId;
 
-/// Why the record does not permit a start.
+/// The reason why the record does not permit a start.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum StartError {
     /// A higher epoch has been seen for the shard.
     #[error("the epoch has passed")]
     Fenced,
-    /// The task has started here before.
+    /// The task has been started before by this agent.
     #[error("the task has started before")]
     Started,
     /// This attempt was given back.
@@ -47,69 +47,69 @@
     Expired,
 }
 
-/// How far a started task has come.
+/// The progress of a started task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The back end works on it.
+    /// The backend server runs it.
     Running,
-    /// It answered.
+    /// It succeeded with this answer.
     Answered(Bytes),
-    /// It failed.
+    /// It failed with this message.
     Failed(Bytes),
-    /// It answered, and the answer was dropped for want of memory.
+    /// It succeeded, and the answer was dropped to stay within the budget.
     Dropped,
 }
 
 /// One task in the record.
 #[derive(Clone, Debug)]
-struct TaskEntry {
+struct TaskRecord {
     task: u32,
     attempt: u64,
-    /// `None` for attempts that were given back and must never start.
+    /// The progress, or `None` if the attempt was given back and must never start.
     progress: Option<Progress>,
 }
 
 /// One job in the record.
 #[derive(Clone, Debug)]
-struct JobEntry {
+struct JobRecord {
     shard: ShardId,
     service: Arc<str>,
     team: Arc<str>,
     digest: u64,
     tasks: u32,
-    entries: Vec<TaskEntry>,
+    entries: Vec<TaskRecord>,
 }
 
-/// What is asked to start.
+/// A request to start a task.
 #[derive(Clone, Copy, Debug)]
 pub struct StartRequest {
     /// The task.
     pub key: TaskKey,
-    /// Which attempt to place the task this is. An owner's attempts carry its epoch in their upper
-    /// bits, so those of a later owner are higher.
+    /// The number of this attempt to place the task. The upper bits hold the owner's epoch, so the
+    /// attempts of a later owner are higher.
     pub attempt: u64,
     /// The job's shard.
     pub shard: ShardId,
-    /// The epoch under which the owner decided.
+    /// The epoch under which the owner decided to start it.
     pub epoch: Epoch,
-    /// Digest of the job's service and body.
+    /// The digest of the job's service and body.
     pub digest: u64,
-    /// How many tasks the job has.
+    /// The number of tasks in the job.
     pub tasks: u32,
 }
 
-/// A started task as it is reported to a new owner.
+/// A started task, as it is reported to a new owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Evidence {
+pub struct StartedTask {
     /// The task.
     pub key: TaskKey,
-    /// How many tasks the job has.
+    /// The number of tasks in the job.
     pub tasks: u32,
-    /// Digest of the job's service and body.
+    /// The digest of the job's service and body.
     pub digest: u64,
     /// The attempt that started.
     pub attempt: u64,
-    /// How far it came.
+    /// The progress of the task.
     pub progress: Progress,
     /// The service.
     pub service: Arc<str>,
@@ -117,96 +117,97 @@
     pub team: Arc<str>,
 }
 
-/// What an agent has started within the horizon.
+/// The record of what an agent has started within the horizon.
 #[derive(Debug)]
 pub struct StartRecord {
     horizon: Duration,
     margin: Duration,
     budget: usize,
-    kept: usize,
+    stored_bytes: usize,
     tasks: usize,
     epochs: HashMap<ShardId, Epoch>,
-    jobs: BTreeMap<JobId, JobEntry>,
-    /// When each job is forgotten.
-    expiry: BTreeSet<(Mono, JobId)>,
-    order: VecDeque<TaskKey>,
+    jobs: BTreeMap<JobId, JobRecord>,
+    /// The time at which each job is dropped.
+    expirations: BTreeSet<(Mono, JobId)>,
+    /// The ended tasks in order of their ends, oldest first.
+    answer_order: VecDeque<TaskKey>,
     names: Names,
-    /// For the randomised runs alone: leaves out one of the checks, to show that they bite.
-    broken: DisabledCheck,
+    disabled: DisabledCheck,
 }
 
-/// Which check is left out, to show that the randomised runs notice. Never set by the daemons.
+/// The check that is disabled, so that randomised runs can prove that they detect its absence. The
+/// daemons never disable one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DisabledCheck {
-    /// All checks are in place.
+    /// All checks are enabled.
     #[default]
     Nothing,
-    /// Starts under older epochs, or without a right, are accepted.
+    /// The fence: starts under older epochs or without a right are accepted.
     Fence,
-    /// A seal reports nothing.
+    /// The report of started tasks: the reply to a seal is empty.
     Seal,
-    /// Jobs older than the horizon are accepted although they were forgotten.
+    /// The horizon: jobs older than it are accepted, although they may have been forgotten.
     Horizon,
 }
 
 impl StartRecord {
-    /// An empty record that refuses jobs minted longer than `horizon` ago, remembers them for
-    /// `margin` longer, and keeps up to `budget` bytes of answers.
+    /// Creates an empty record that refuses jobs minted longer than `horizon` ago, remembers them
+    /// for `margin` longer, and stores up to `budget` bytes of answers.
     ///
-    /// The margin has to cover the difference between the times that any two processes carry on:
-    /// when this agent forgets a job, every other process must refuse it already. For an agent
-    /// whose own time is ahead of all others, a job is remembered for as long from its first task.
+    /// The margin must cover the difference between the times of day of any two processes: every
+    /// other process must refuse a job before this agent forgets it. If this agent's time is ahead
+    /// of all others, the same span counts from the job's first task instead.
     pub fn new(horizon: Duration, margin: Duration, budget: usize) -> StartRecord {
         StartRecord {
             horizon,
             margin,
             budget,
-            kept: 0,
+            stored_bytes: 0,
             tasks: 0,
             epochs: HashMap::new(),
             jobs: BTreeMap::new(),
-            expiry: BTreeSet::new(),
-            order: VecDeque::new(),
+            expirations: BTreeSet::new(),
+            answer_order: VecDeque::new(),
             names: Names::default(),
-            broken: DisabledCheck::Nothing,
+            disabled: DisabledCheck::Nothing,
         }
     }
 
-    /// Leaves out one check, for the randomised runs.
-    pub fn break_for_test(&mut self, broken: DisabledCheck) {
-        self.broken = broken;
+    /// Disables one check, so that randomised runs can prove that they detect its absence.
+    pub fn break_for_test(&mut self, disabled: DisabledCheck) {
+        self.disabled = disabled;
     }
 
-    /// The highest epoch seen for a shard.
+    /// Returns the highest epoch seen for a shard.
     pub fn epoch(&self, shard: ShardId) -> Epoch {
         self.epochs.get(&shard).copied().unwrap_or_default()
     }
 
-    /// How many jobs and tasks are remembered, and how many bytes of answers.
+    /// Returns the number of jobs, the number of tasks and the bytes of answers in the record.
     pub fn size(&self) -> (usize, usize, usize) {
-        (self.jobs.len(), self.tasks, self.kept)
+        (self.jobs.len(), self.tasks, self.stored_bytes)
     }
 
-    /// Raises the shard's epoch. Returns false if a higher one had been seen.
+    /// Raises the epoch of a shard. Returns false if a higher one has been seen.
     pub fn raise_epoch(&mut self, shard: ShardId, epoch: Epoch) -> bool {
         let seen = self.epochs.entry(shard).or_default();
-        if epoch < *seen && self.broken != DisabledCheck::Fence {
+        if epoch < *seen && self.disabled != DisabledCheck::Fence {
             return false;
         }
         *seen = epoch.max(*seen);
         true
     }
 
-    /// Whether the start is permitted, without recording it.
+    /// Checks whether the start is permitted, without recording it.
     ///
     /// # Errors
     ///
-    /// The reason, when it is not.
+    /// Returns the reason if it is not.
     pub fn check(&self, now: Now, ask: &StartRequest) -> Result<(), StartError> {
-        if ask.epoch < self.epoch(ask.shard) && self.broken != DisabledCheck::Fence {
+        if ask.epoch < self.epoch(ask.shard) && self.disabled != DisabledCheck::Fence {
             return Err(StartError::Fenced);
         }
-        if self.expired(now, ask.key.job) && self.broken != DisabledCheck::Horizon {
+        if self.is_expired(now, ask.key.job) && self.disabled != DisabledCheck::Horizon {
             return Err(StartError::Expired);
         }
         let Some(entry) = self.entry(ask.key) else {
@@ -221,11 +222,11 @@
         Ok(())
     }
 
-    /// Records a start. To be called right before the task is handed to the back end.
+    /// Records a start. Must be called right before the task is sent to the backend server.
     ///
     /// # Errors
     ///
-    /// The reason, when the start is not permitted; nothing is recorded then.
+    /// Returns the reason if the start is not permitted; nothing is recorded then.
     pub fn start(
         &mut self,
         now: Now,
@@ -237,7 +238,7 @@
         self.raise_epoch(ask.shard, ask.epoch);
         let service = self.names.get(service);
         let team = self.names.get(team);
-        let entry = self.entry_mut(now, ask);
+        let entry = self.ensure_entry(now, ask);
         entry.attempt = ask.attempt;
         entry.progress = Some(Progress::Running);
         if let Some(job) = self.jobs.get_mut(&ask.key.job) {
@@ -249,25 +250,25 @@
         Ok(())
     }
 
-    /// Promises never to start this attempt, unless the task has started already.
+    /// Gives an attempt back: records that it must never start.
     ///
     /// # Errors
     ///
-    /// [`StartError::Started`] when it has.
+    /// Returns [`StartError::Started`] if the task has started already.
     pub fn give_back(&mut self, now: Now, ask: &StartRequest) -> Result<(), StartError> {
         let started = self.entry(ask.key).is_some_and(|e| e.progress.is_some());
         if started {
             return Err(StartError::Started);
         }
-        if self.expired(now, ask.key.job) {
+        if self.is_expired(now, ask.key.job) {
             return Ok(());
         }
-        let entry = self.entry_mut(now, ask);
+        let entry = self.ensure_entry(now, ask);
         entry.attempt = entry.attempt.max(ask.attempt);
         Ok(())
     }
 
-    /// Records how a running task ended. Does nothing for a task that is no longer remembered.
+    /// Records the result of a running task. Does nothing if the task has been forgotten.
     pub fn end(&mut self, key: TaskKey, progress: Progress) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
@@ -280,14 +281,15 @@
             Some(Progress::Running),
             "invariant: a task ends once"
         );
-        self.kept += body_len(&progress);
+        self.stored_bytes += body_len(&progress);
         entry.progress = Some(progress);
-        self.order.push_back(key);
-        self.shed();
+        self.answer_order.push_back(key);
+        self.drop_answers();
     }
 
-    /// Takes a start back, because nothing of it reached the back end. The attempt stays given back.
-    pub fn unstart(&mut self, key: TaskKey) {
+    /// Reverts the start of a task of which nothing reached the backend server. The attempt counts
+    /// as given back.
+    pub fn undo_start(&mut self, key: TaskKey) {
         let job = self.jobs.get_mut(&key.job);
         let entry = job.and_then(|j| j.entries.iter_mut().find(|e| e.task == key.task));
         if let Some(entry) = entry {
@@ -300,21 +302,21 @@
         }
     }
 
-    /// How far a task has come; `None` if it has not started here.
+    /// Returns the progress of a task, or `None` if it has not started here.
     pub fn progress(&self, key: TaskKey) -> Option<&Progress> {
         self.entry(key)?.progress.as_ref()
     }
 
-    /// All that has started of some shards.
-    pub fn evidence(&self, shards: &HashSet<ShardId>) -> Vec<Evidence> {
-        if self.broken == DisabledCheck::Seal {
+    /// Returns the started tasks of the shards.
+    pub fn started_tasks(&self, shards: &HashSet<ShardId>) -> Vec<StartedTask> {
+        if self.disabled == DisabledCheck::Seal {
             return Vec::new();
         }
         let of_shard = self.jobs.iter().filter(|(_, j)| shards.contains(&j.shard));
         of_shard
             .flat_map(|(id, job)| job.entries.iter().map(move |e| (*id, job, e)))
             .filter_map(|(id, job, e)| {
-                Some(Evidence {
+                Some(StartedTask {
                     key: TaskKey {
                         job: id,
                         task: e.task,
@@ -330,45 +332,45 @@
             .collect()
     }
 
-    /// Forgets the jobs that the horizon and the margin have passed.
+    /// Drops the jobs that are older than the horizon and the margin.
     pub fn expire(&mut self, now: Now) {
-        while let Some(&(due, job)) = self.expiry.first() {
+        while let Some(&(due, job)) = self.expirations.first() {
             if now.mono < due {
                 return;
             }
-            self.expiry.pop_first();
+            self.expirations.pop_first();
             let Some(entry) = self.jobs.remove(&job) else {
                 continue;
             };
             self.tasks -= entry.entries.len();
             let bodies = entry.entries.iter().filter_map(|e| e.progress.as_ref());
-            self.kept -= bodies.map(body_len).sum::<usize>();
+            self.stored_bytes -= bodies.map(body_len).sum::<usize>();
         }
     }
 
-    fn expired(&self, now: Now, job: JobId) -> bool {
+    fn is_expired(&self, now: Now, job: JobId) -> bool {
         job.minted_ms().saturating_add(millis(self.horizon)) <= now.wall_ms
     }
 
-    fn entry(&self, key: TaskKey) -> Option<&TaskEntry> {
+    fn entry(&self, key: TaskKey) -> Option<&TaskRecord> {
         let job = self.jobs.get(&key.job)?;
         job.entries.iter().find(|e| e.task == key.task)
     }
 
-    /// When a job that is recorded now is forgotten: a horizon and the margin after it was minted,
-    /// and not sooner than that long from now.
-    fn forgotten_at(&self, now: Now, job: JobId) -> Mono {
+    /// Returns when a job that is recorded now is dropped: the horizon and the margin after it was
+    /// minted or recorded, whichever is later.
+    fn expires_at(&self, now: Now, job: JobId) -> Mono {
         let ahead = job.minted_ms().saturating_sub(now.wall_ms);
         now.mono + self.horizon + self.margin + Duration::from_millis(ahead)
     }
 
-    /// The entry of a task, made if need be.
-    fn entry_mut(&mut self, now: Now, ask: &StartRequest) -> &mut TaskEntry {
+    /// Returns the record of a task, and creates it if necessary.
+    fn ensure_entry(&mut self, now: Now, ask: &StartRequest) -> &mut TaskRecord {
         if !self.jobs.contains_key(&ask.key.job) {
-            let due = self.forgotten_at(now, ask.key.job);
-            self.expiry.insert((due, ask.key.job));
+            let due = self.expires_at(now, ask.key.job);
+            self.expirations.insert((due, ask.key.job));
         }
-        let job = self.jobs.entry(ask.key.job).or_insert_with(|| JobEntry {
+        let job = self.jobs.entry(ask.key.job).or_insert_with(|| JobRecord {
             shard: ask.shard,
             service: self.names.get(""),
             team: self.names.get(""),
@@ -376,23 +378,23 @@
             tasks: ask.tasks,
             entries: Vec::new(),
         });
-        let place = job.entries.iter().position(|e| e.task == ask.key.task);
-        let place = place.unwrap_or_else(|| {
+        let index = job.entries.iter().position(|e| e.task == ask.key.task);
+        let index = index.unwrap_or_else(|| {
             self.tasks += 1;
-            job.entries.push(TaskEntry {
+            job.entries.push(TaskRecord {
                 task: ask.key.task,
                 attempt: 0,
                 progress: None,
             });
             job.entries.len() - 1
         });
-        &mut job.entries[place]
+        &mut job.entries[index]
     }
 
-    /// Drops the oldest answers until the rest fits the budget.
-    fn shed(&mut self) {
-        while self.kept > self.budget {
-            let Some(key) = self.order.pop_front() else {
+    /// Drops the oldest answers until the rest is within the budget. Failure messages are kept.
+    fn drop_answers(&mut self) {
+        while self.stored_bytes > self.budget {
+            let Some(key) = self.answer_order.pop_front() else {
                 return;
             };
             let Some(job) = self.jobs.get_mut(&key.job) else {
@@ -403,7 +405,7 @@
                 continue;
             };
             if matches!(progress, Progress::Answered(_)) {
-                self.kept -= body_len(progress);
+                self.stored_bytes -= body_len(progress);
                 *progress = Progress::Dropped;
             }
         }
--- a/lib/src/start_record/tests.rs
+++ b/lib/src/start_record/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `start_record`.
+//! Tests of which starts the record refuses, and of what it forgets and when.
 
 use super::*;
 use crate::clock::Mono;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn test_start_record_refuses_second_start() {
+fn test_start_record_second_start_refused() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     assert_eq!(record.start(now(0), &ask(0, 1, 1), "s", "t"), Ok(()));
     let again = record.start(now(1), &ask(0, 2, 2), "s", "t");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn test_start_record_refuses_older_epoch() {
+fn test_start_record_older_epoch_refused() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     assert!(record.raise_epoch(ShardId(3), Epoch(5)));
     let old = record.start(now(0), &ask(0, 4, 1), "s", "t");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn test_start_record_keeps_promise_to_give_back() {
+fn test_start_record_give_back_is_final() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     assert_eq!(record.give_back(now(0), &ask(0, 1, 1)), Ok(()));
     let old = record.start(now(0), &ask(0, 1, 1), "s", "t");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn test_start_record_forgets_only_what_it_then_refuses() {
+fn test_start_record_forgotten_job_refused() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     let last = now(millis(HORIZON + MARGIN) - 1);
     let past = now(millis(HORIZON));
@@ -69,9 +69,10 @@
     assert_eq!(again, Err(StartError::Expired));
 }
 
-/// Guards against a second start where an agent's time is ahead of its fleet's.
+/// Guards against a second start at an agent whose time is ahead of its fleet's: if it counted the
+/// horizon from the mint time, it would forget the job while other processes still accept it.
 #[test]
-fn test_start_record_of_an_agent_ahead_remembers_for_a_horizon_from_the_start() {
+fn test_start_record_agent_clock_ahead() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     let ahead = 600_000;
     let last = now(ahead + millis(HORIZON + MARGIN) - 1);
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn test_start_record_remembers_a_job_from_the_future_until_all_refuse_it() {
+fn test_start_record_job_minted_ahead() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     let ahead = 600_000;
     let behind = Now::steady(Mono(0), 1_000_000 - ahead);
@@ -95,17 +96,17 @@
 }
 
 #[test]
-fn test_start_record_takes_back_what_never_reached_the_back_end() {
+fn test_start_record_undo_start() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     record.start(now(0), &ask(0, 1, 1), "s", "t").unwrap();
-    record.unstart(ask(0, 1, 1).key);
+    record.undo_start(ask(0, 1, 1).key);
     let same = record.start(now(0), &ask(0, 1, 1), "s", "t");
     assert_eq!(same, Err(StartError::GivenBack));
     assert_eq!(record.start(now(0), &ask(0, 1, 2), "s", "t"), Ok(()));
 }
 
 #[test]
-fn test_start_record_drops_oldest_answers_first() {
+fn test_start_record_oldest_answers_dropped() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 10);
     for task in 0..3 {
         record.start(now(0), &ask(task, 1, 1), "s", "t").unwrap();
@@ -115,5 +116,5 @@
     let first = record.progress(ask(0, 1, 1).key);
     assert_eq!(first, Some(&Progress::Dropped));
     assert_eq!(record.size(), (1, 3, 10));
-    assert_eq!(record.evidence(&HashSet::from([ShardId(3)])).len(), 3);
+    assert_eq!(record.started_tasks(&HashSet::from([ShardId(3)])).len(), 3);
 }
