--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -1,9 +1,10 @@
-//! Quotas as shares leased to entries.
+//! Quotas, divided into shares that are leased to entries.
 //!
-//! Each team's quota has one allocator: the entry that owns the shard of the team's name. Entries
-//! hold shares and start a team's task only within theirs. A share lapses on the holder's own
-//! clock, counted from its request, and the allocator counts it for longer than that; so the sum
-//! of what may run never exceeds the quota, whichever of the two is cut off or dies.
+//! Each team's quota has one allocator: the entry that owns the shard of the team's name. The
+//! entries hold shares, and each starts a team's tasks only within its own. A share expires on the
+//! holder's clock, counted from the sending of its request, and the allocator counts it for longer.
+//! So the number of running tasks never exceeds the quota, even if either side is disconnected or
+//! crashes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,17 +12,17 @@
 
 use crate::clock::Mono;
 
-/// How long a share lasts at its holder.
+/// How long a share is valid at its holder.
 pub const SHARE_SPAN: Duration = Duration::from_secs(2);
-/// How much longer the allocator counts the share of a holder that has gone silent, so that
-/// whoever takes its shards over has told of the tasks that still run.
+/// How much longer the allocator counts the share of a silent holder. In this time the entries that
+/// take its shards over report the tasks that still run.
 pub const SILENT_RESERVE: Duration = Duration::from_secs(6);
-/// Time between a holder's requests while it uses its share.
+/// The interval between the requests of a holder that uses its share.
 pub const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
-/// The least time between requests when the share does not suffice.
-pub const ASK_SOON: Duration = Duration::from_millis(20);
+/// The interval between requests when the share is insufficient and the last one was answered.
+pub const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A holder's side of one team's quota.
+/// The holder's state of one team's quota.
 #[derive(Clone, Debug, Default)]
 pub struct Share {
     used: u32,
@@ -33,50 +34,51 @@
 }
 
 impl Share {
-    /// Whether one more task may start.
+    /// Returns whether one more task may start.
     pub fn open(&self, now: Mono) -> bool {
         now < self.until && self.used < self.amount
     }
 
-    /// A task starts, or is found running after a takeover.
+    /// Counts a task that starts, or that is found running after a takeover.
     pub fn take(&mut self) {
         self.used += 1;
     }
 
-    /// A task has ended or did not start.
+    /// Uncounts a task that has ended or did not start.
     pub fn give(&mut self) {
         self.used = self.used.saturating_sub(1);
     }
 
-    /// Tasks that run now.
+    /// Returns the number of running tasks.
     pub fn used(&self) -> u32 {
         self.used
     }
 
-    /// The share held at `now`.
+    /// Returns the share at `now`.
     pub fn have(&self, now: Mono) -> u32 {
         if now < self.until { self.amount } else { 0 }
     }
 
-    /// Gives the share up, before the allocator is told: nothing starts under it any more.
+    /// Gives the share up, so that no task starts under it. Must be called before the allocator is
+    /// informed.
     pub fn release(&mut self) {
         self.amount = 0;
         self.until = Mono(0);
     }
 
-    /// Whether a request is due, given how many tasks wait.
+    /// Returns whether a request is due, given the number of waiting tasks.
     pub fn due(&self, now: Mono, waiting: usize) -> bool {
         let busy = waiting > 0 || self.used > 0 || self.have(now) > 0;
         let short = waiting > 0 && !self.open(now);
-        let pause = if short && self.answered {
-            ASK_SOON
+        let interval = if short && self.answered {
+            MIN_REQUEST_INTERVAL
         } else {
             REQUEST_INTERVAL
         };
-        busy && now >= self.sent + pause
+        busy && now >= self.sent + interval
     }
 
-    /// Notes that a request is being sent, and gives its number.
+    /// Records that a request is sent at `now`, and returns its sequence number.
     pub fn ask(&mut self, now: Mono) -> u64 {
         self.seq += 1;
         self.sent = now;
@@ -84,7 +86,8 @@
         self.seq
     }
 
-    /// Takes in the allocator's answer; one that answers an older request is ignored.
+    /// Applies the allocator's reply to request `seq`. Ignores replies to older requests, and a
+    /// second reply to the last one.
     pub fn granted(&mut self, seq: u64, amount: u32, span: Duration) {
         if seq != self.seq || self.answered {
             return;
@@ -95,45 +98,45 @@
     }
 }
 
-/// What the allocator knows of one holder.
+/// The allocator's state of one holder.
 #[derive(Clone, Copy, Debug)]
 struct Holder {
-    /// What it may be using: counted against the quota.
+    /// The number of tasks that it may be running, which counts against the quota.
     counted: u32,
-    /// What it was granted last.
+    /// The share that it was last granted.
     granted: u32,
     want: u32,
-    heard: Mono,
+    last_heard: Mono,
     seq: u64,
 }
 
-/// The allocator's side of one team's quota.
+/// The allocator's state of one team's quota.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     since: Mono,
-    /// Whether all who may hold shares of a predecessor know of this allocator.
+    /// Whether all entries that may hold shares of a former allocator know of this one.
     known: bool,
     holders: HashMap<u64, Holder>,
 }
 
-/// A holder's request.
+/// A holder's request for a share.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareAsk {
     /// The holder's incarnation.
     pub holder: u64,
-    /// The request's number; it rises.
+    /// The request's sequence number; it increases with each request.
     pub seq: u64,
-    /// Tasks that run under it.
+    /// The number of tasks that run under its share.
     pub used: u32,
-    /// How many it could use.
+    /// The number of tasks that it could run.
     pub want: u32,
-    /// The share it holds.
+    /// The share that it holds.
     pub have: u32,
 }
 
 impl Allocator {
-    /// An allocator that knows of no holders. For a while it confirms what holders have and gives
-    /// out nothing new, because shares that its predecessor gave may still be in use.
+    /// Creates an allocator without known holders. At first it only confirms the shares that
+    /// holders report and grants nothing new, as shares of its predecessor may still be in use.
     pub fn new(now: Mono) -> Allocator {
         Allocator {
             since: now,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// An allocator of the very first owner: nobody can hold a share.
+    /// Creates the allocator of a shard's first owner. No share can be in use yet.
     pub fn first() -> Allocator {
         Allocator {
             since: Mono(0),
@@ -151,15 +154,16 @@
         }
     }
 
-    /// Says whether all who may hold shares of a predecessor know of this allocator by now, and have
-    /// had the time to ask it. One that does not may go on with its last share, and its tasks run on
-    /// after that.
+    /// Sets whether all entries that may hold shares of a former allocator know of this one and have
+    /// had time to send it a request. One that does not know of it may use its last share until
+    /// that expires, and its tasks continue to run after that.
     pub fn set_known(&mut self, known: bool) {
         self.known = known;
     }
 
-    /// Whether shares of a predecessor, or tasks under them, may be in use that are not counted.
-    pub fn settling(&self, now: Mono) -> bool {
+    /// Returns whether shares of a former allocator, or tasks under them, may exist that are not
+    /// counted here.
+    pub fn is_settling(&self, now: Mono) -> bool {
         let span = if self.known {
             SHARE_SPAN + SHARE_SPAN / 10
         } else {
@@ -168,23 +172,23 @@
         self.since != Mono(0) && now < self.since + span
     }
 
-    /// Answers a request with the share that the holder has from now on. An older request than
-    /// the last is told nothing new.
+    /// Handles a request and returns the holder's new share. For a request that is not newer than
+    /// the last one, returns the last share unchanged.
     pub fn ask(&mut self, now: Mono, quota: u32, ask: ShareAsk) -> u32 {
         self.expire(now);
         let last = self.holders.get(&ask.holder);
         if let Some(last) = last.filter(|h| h.seq >= ask.seq) {
             return last.granted;
         }
-        let settling = self.settling(now);
-        let mine = ask.have.max(ask.used);
+        let settling = self.is_settling(now);
+        let in_use = ask.have.max(ask.used);
         self.holders.insert(
             ask.holder,
             Holder {
-                counted: mine,
-                granted: mine,
+                counted: in_use,
+                granted: in_use,
                 want: ask.want.max(ask.used),
-                heard: now,
+                last_heard: now,
                 seq: ask.seq,
             },
         );
@@ -198,24 +202,25 @@
         let amount = if settling {
             ask.have.min(free)
         } else {
-            self.fair(quota, ask).min(free)
+            self.fair_share(quota, ask).min(free)
         };
         if let Some(holder) = self.holders.get_mut(&ask.holder) {
-            // The holder may go on with what it had until it has read the answer.
-            holder.counted = mine.max(amount);
+            // Until the holder has received the reply, it may continue to use its former share.
+            holder.counted = in_use.max(amount);
             holder.granted = amount;
         }
         debug_assert!(amount <= free, "invariant: shares never exceed the quota");
         amount
     }
 
-    /// The sum that may be in use.
+    /// Returns the number of tasks that all holders together may be running.
     pub fn counted(&self) -> u32 {
         self.holders.values().map(|h| h.counted).sum()
     }
 
-    /// The share of a holder if all wants are met as evenly as the quota allows.
-    fn fair(&self, quota: u32, ask: ShareAsk) -> u32 {
+    /// Returns the holder's max-min fair share of the quota, but at least 1 if it wants any, and at
+    /// least the number of tasks that it runs.
+    fn fair_share(&self, quota: u32, ask: ShareAsk) -> u32 {
         let mut wants: Vec<u32> = self.holders.values().map(|h| h.want).collect();
         wants.sort_unstable();
         let mut left = quota;
@@ -240,7 +245,7 @@
             } else {
                 SHARE_SPAN + SILENT_RESERVE
             };
-            now < h.heard + keep
+            now < h.last_heard + keep
         });
     }
 }
@@ -252,7 +257,8 @@
 }
 
 impl Allocators {
-    /// The allocator of a team, made if need be.
+    /// Returns the allocator of a team, and creates it if necessary. `first` tells whether this
+    /// entry is the first owner of the team's shard.
     pub fn of(&mut self, team: &Arc<str>, now: Mono, first: bool) -> &mut Allocator {
         self.teams.entry(team.clone()).or_insert_with(|| {
             if first {
@@ -263,7 +269,8 @@
         })
     }
 
-    /// Drops the allocators of teams that this entry is no longer in charge of.
+    /// Drops the allocators of the teams for which `keep` returns false, as this entry is no longer
+    /// responsible for them.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.teams.retain(|team, _| keep(team));
     }
--- a/lib/src/quota/tests.rs
+++ b/lib/src/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `quota`.
+//! Tests of how a quota is divided into shares, and of when shares expire.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn test_quota_idle_share_moves_to_demand() {
+fn test_quota_idle_share_reassigned() {
     let mut allocator = Allocator::first();
     assert_eq!(allocator.ask(at(1), 10, ask(1, 0, 30, 0)), 10);
     assert_eq!(allocator.ask(at(2), 10, ask(2, 0, 30, 0)), 0);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn test_quota_of_a_silent_holder_is_reserved() {
+fn test_quota_silent_holder_reserved() {
     let mut allocator = Allocator::first();
     allocator.ask(at(0), 10, ask(1, 0, 10, 0));
     assert_eq!(allocator.ask(at(3_000), 10, ask(2, 0, 10, 0)), 0);
@@ -40,28 +40,28 @@
 }
 
 #[test]
-fn test_quota_new_allocator_confirms_before_it_gives() {
+fn test_quota_new_allocator_confirms_first() {
     let mut allocator = Allocator::new(at(1_000));
     assert_eq!(allocator.ask(at(1_100), 10, ask(1, 1, 9, 0)), 0);
     assert_eq!(allocator.ask(at(1_200), 10, ask(2, 4, 9, 6)), 6);
     assert_eq!(allocator.ask(at(4_000), 10, ask(1, 1, 9, 0)), 4);
 }
 
-/// Guards against more tasks than the quota allows where a holder could not learn of a new
-/// allocator, and its last tasks run on after its share.
+/// Guards against exceeding the quota when a holder cannot be informed of a new allocator, and its
+/// last tasks continue to run after its share has expired.
 #[test]
-fn test_quota_new_allocator_gives_nothing_while_a_holder_may_not_know_of_it() {
+fn test_quota_new_allocator_unknown_to_holder() {
     let mut allocator = Allocator::new(at(1_000));
     allocator.set_known(false);
     assert_eq!(allocator.ask(at(4_000), 10, ask(1, 1, 9, 0)), 0);
     assert_eq!(allocator.ask(at(8_999), 10, ask(1, 1, 9, 0)), 0);
     assert_eq!(allocator.ask(at(9_000), 10, ask(1, 1, 9, 0)), 9);
     allocator.set_known(true);
-    assert!(!allocator.settling(at(3_200)));
+    assert!(!allocator.is_settling(at(3_200)));
 }
 
 #[test]
-fn test_share_lapses_on_the_holders_clock() {
+fn test_share_expires_on_holder_clock() {
     let mut share = Share::default();
     let seq = share.ask(at(0));
     share.granted(seq, 2, SHARE_SPAN);
