--- a/lib/src/job_table.rs
+++ b/lib/src/job_table.rs
@@ -1,4 +1,5 @@
-//! The job table: what the owner of a shard knows of its jobs.
+//! The job table: the owner's state of every job in its shards, with the tasks, the callers that
+//! wait and the outcome. It also counts the bytes that the jobs hold.
 
 use std::collections::BTreeMap;
 
@@ -21,93 +22,94 @@
 use crate::shard::ShardId;
 
 new_key_type! {
-    /// A job's place in the table.
+    /// The key of a job in the table.
     pub struct JobKey;
 }
 
-/// Bits of an attempt that count within an epoch.
+/// The number of low bits of an attempt that count the tries within an epoch; the epoch is above.
 const ATTEMPT_BITS: u32 = 20;
 
-/// The failure of a task that ran and whose answer no agent holds any more.
+/// The failure message of a task that succeeded but whose answer is no longer stored by its agent.
 pub const ANSWER_DROPPED: Bytes = Bytes::from_static(b"it ran; its answer is no longer held");
 
-/// Who waits for a job.
+/// A request that waits for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Waiter {
-    /// A caller of this entry, by the number of its request.
+    /// A request from a caller of this entry, by its number.
     Local(u64),
-    /// A caller of a peer: the link to the peer and the peer's number of the request.
+    /// A request that a peer has forwarded: the link to the peer and the peer's number for it.
     Peer(LinkId, u64),
 }
 
-/// How far a task is.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// It has not started, and waits.
+    /// It has not started and is queued.
     Queued,
     /// It was sent to an agent and may have started.
     Placed {
         /// The agent.
         agent: AgentKey,
-        /// The attempt it was sent under.
+        /// The attempt under which it was sent.
         attempt: u64,
-        /// When.
+        /// When it was sent.
         at: Mono,
     },
-    /// It answered.
+    /// It succeeded with this answer.
     Answered(Bytes),
-    /// It started and failed.
+    /// It started and failed with this message.
     Failed(Bytes),
-    /// It may have started, and nobody can tell.
+    /// It may have started, but the agent that knows cannot be asked.
     Lost,
 }
 
-/// One task.
+/// A task of a job.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// What to run; empty for a task known from agents alone, until the job is resubmitted.
+    /// The input. It is empty if the task is known only from agents and the job has not been
+    /// resubmitted.
     pub payload: Bytes,
-    /// How far it is.
+    /// The state.
     pub state: TaskState,
-    /// How often it was sent under this owner.
+    /// The number of attempts under this owner.
     pub tries: u32,
 }
 
-/// One job.
+/// A job.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its id.
+    /// The job's id.
     pub id: JobId,
-    /// Its shard.
+    /// The shard of the id.
     pub shard: ShardId,
-    /// Digest of service and body.
+    /// The digest of the service and the body.
     pub digest: u64,
-    /// Team and service.
+    /// The team and the service.
     pub lane: LaneName,
-    /// What one task takes.
+    /// The capacity that one task takes.
     pub need: Room,
     /// The tasks in order.
     pub tasks: Vec<Task>,
-    /// When it came to this owner.
+    /// When this owner received the job.
     pub arrived: Mono,
-    /// When it must be done.
+    /// When the job must have ended.
     pub deadline: Mono,
-    /// Who waits for it.
+    /// The requests that wait for the job.
     pub waiters: Vec<Waiter>,
-    /// Its end, once it has one.
+    /// The outcome, or `None` if the job has not ended.
     pub ended: Option<Verdict>,
-    /// When a resubmission is taken in again, after it ended as `not_run`.
+    /// When a resubmission is accepted again, if the job ended as `not_run`.
     pub again: Mono,
-    /// Whether the bodies of its tasks are held, so that they can be sent.
+    /// Whether the inputs of its tasks are present, so that they can be sent.
     pub submitted: bool,
     /// Whether the claim that a once-only request needs is in the store.
     pub claimed: bool,
-    /// Whether a claim is being written.
+    /// Whether the claim is being written.
     pub claiming: bool,
 }
 
 impl Job {
-    /// Bytes that it holds.
+    /// Returns the bytes of inputs and answers that the job holds.
     pub fn bytes(&self) -> usize {
         let held = |t: &Task| match &t.state {
             TaskState::Answered(b) | TaskState::Failed(b) => b.len() + t.payload.len(),
@@ -121,24 +123,24 @@
         tasks + ended
     }
 
-    /// Whether any task may have been sent and is not accounted for.
+    /// Returns whether any task was sent and its result is pending.
     pub fn outstanding(&self) -> bool {
         let placed = |t: &Task| matches!(t.state, TaskState::Placed { .. });
         self.tasks.iter().any(placed)
     }
 
-    /// Whether any task surely started.
+    /// Returns whether any task has certainly started.
     pub fn ran(&self) -> bool {
         let ran = |t: &Task| matches!(t.state, TaskState::Answered(_) | TaskState::Failed(_));
         self.tasks.iter().any(ran)
     }
 
-    /// Whether a task may have started that nobody can tell of.
+    /// Returns whether any task is in [`TaskState::Lost`].
     pub fn lost(&self) -> bool {
         self.tasks.iter().any(|t| t.state == TaskState::Lost)
     }
 
-    /// Whether more can be heard of the job: it has not ended, or ended as unknown.
+    /// Returns whether results of tasks still matter: the job has not ended, or ended as unknown.
     pub fn is_undecided(&self) -> bool {
         match &self.ended {
             None => true,
@@ -147,14 +149,14 @@
         }
     }
 
-    /// Whether the job ended as unknown, and every task has been accounted for since.
+    /// Returns whether the job ended as unknown and every task has been accounted for since.
     pub fn is_resolved(&self) -> bool {
         let ended = self.ended.is_some() && self.is_undecided();
         ended && !self.tasks.is_empty() && !self.lost() && !self.outstanding()
     }
 
-    /// How the job ends if nothing more is done for it, with a cause for the case that nothing
-    /// ran.
+    /// Returns the outcome of the job in its current state. `cause` and `detail` apply unless all
+    /// tasks have succeeded or one has failed.
     pub fn verdict(&self, cause: Cause, detail: &str) -> Verdict {
         let all = self
             .tasks
@@ -202,14 +204,14 @@
         json_list(bodies)
     }
 
-    /// The attempt under which a task is sent next.
+    /// Returns the attempt under which a task is sent next, and counts it.
     pub fn next_attempt(&mut self, task: u32, epoch: Epoch) -> u64 {
         let task = &mut self.tasks[task as usize];
         task.tries += 1;
         (epoch.0 << ATTEMPT_BITS) | u64::from(task.tries)
     }
 
-    /// Drops what a job that ends with this verdict does not need any more.
+    /// Drops the inputs and answers that a job which has ended with this verdict no longer needs.
     pub fn drop_bodies(&mut self, verdict: &Verdict) {
         self.submitted = false;
         if matches!(verdict, Verdict::Complete(_)) {
@@ -234,12 +236,12 @@
 }
 
 impl JobTable {
-    /// How many jobs are held, and how many bytes of bodies and answers.
+    /// Returns the number of jobs and the bytes of inputs and answers that they hold.
     pub fn size(&self) -> (usize, usize) {
         (self.index.len(), self.bytes)
     }
 
-    /// Adds a job that is not there yet.
+    /// Adds a job. Its id must not be in the table yet.
     pub fn insert(&mut self, job: Job) -> JobKey {
         let id = job.id;
         self.bytes += job.bytes();
@@ -249,17 +251,17 @@
         key
     }
 
-    /// A job by its id.
+    /// Returns the key of a job by its id.
     pub fn find(&self, id: JobId) -> Option<JobKey> {
         self.index.get(&id).copied()
     }
 
-    /// A job by its key.
+    /// Returns a job by its key.
     pub fn get(&self, key: JobKey) -> Option<&Job> {
         self.jobs.get(key)
     }
 
-    /// Changes a job, keeping count of its bytes.
+    /// Applies a change to a job and updates the count of bytes.
     pub fn update<T>(&mut self, key: JobKey, change: impl FnOnce(&mut Job) -> T) -> Option<T> {
         let job = self.jobs.get_mut(key)?;
         let before = job.bytes();
@@ -276,18 +278,18 @@
         Some(job)
     }
 
-    /// The jobs of some shards.
+    /// Returns the ids of the jobs in a shard.
     pub fn of_shard(&self, shard: ShardId) -> Vec<JobId> {
         let jobs = self.jobs.values().filter(|j| j.shard == shard);
         jobs.map(|j| j.id).collect()
     }
 
-    /// Every job.
+    /// Returns an iterator over all jobs.
     pub fn iter(&self) -> impl Iterator<Item = (JobKey, &Job)> {
         self.jobs.iter()
     }
 
-    /// The oldest job by mint time.
+    /// Returns the id of the job with the earliest mint time.
     pub fn oldest(&self) -> Option<JobId> {
         self.index.first_key_value().map(|(id, _)| *id)
     }
