--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -2,7 +2,7 @@
 //!
 //! Its input is messages from entries, the results of running tasks and the current time; its
 //! output is [`Action`]s. A task is queued here only while no slot is free or while its owner's
-//! right is being confirmed; all longer queues are at the owner.
+//! right is being confirmed; all other tasks are queued at their owners.
 
 mod reports;
 mod starts;
@@ -160,9 +160,9 @@
 
 /// A start that waits for a slot or for the confirmation of its owner's right.
 #[derive(Debug)]
-struct Waiting {
+struct QueuedStart {
     start: wire::Start,
-    ask: StartRequest,
+    request: StartRequest,
     link: LinkId,
     arrived: Mono,
     deadline: Mono,
@@ -187,7 +187,7 @@
     links: BTreeMap<LinkId, EntryLink>,
     /// The link to the last known owner of each shard.
     owner_links: HashMap<ShardId, LinkId>,
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<QueuedStart>,
     running: HashMap<TaskKey, Running>,
     used: Room,
     clocks: ClockCheck,
--- a/lib/src/agent/reports.rs
+++ b/lib/src/agent/reports.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 
 use super::Agent;
-use super::Waiting;
+use super::QueuedStart;
 use super::status_and_body;
 use crate::prelude::*;
 use crate::start_record::Progress;
@@ -50,7 +50,7 @@
             return;
         }
         let all = std::mem::take(&mut self.queue);
-        let fenced = |w: &Waiting| w.ask.epoch < self.record.epoch(w.ask.shard);
+        let fenced = |w: &QueuedStart| w.request.epoch < self.record.epoch(w.request.shard);
         let (stale, kept): (VecDeque<_>, VecDeque<_>) = all.into_iter().partition(fenced);
         self.queue = kept;
         for waiting in stale {
@@ -108,10 +108,10 @@
             ..Default::default()
         };
         self.queue
-            .retain(|w| w.ask.key != key || w.ask.attempt > recall.attempt);
+            .retain(|w| w.request.key != key || w.request.attempt > recall.attempt);
         let (status, body) = match self.record.progress(key) {
             None => {
-                let ask = StartRequest {
+                let request = StartRequest {
                     key,
                     attempt: recall.attempt,
                     shard,
@@ -119,7 +119,7 @@
                     digest: 0,
                     tasks: 0,
                 };
-                let _ = self.record.give_back(now, &ask);
+                let _ = self.record.give_back(now, &request);
                 answer.refusal = wire::Refusal::Recalled.into();
                 (wire::Status::NotStarted, Bytes::new())
             }
--- a/lib/src/agent/starts.rs
+++ b/lib/src/agent/starts.rs
@@ -7,10 +7,10 @@
 
 use super::Action;
 use super::Agent;
+use super::QueuedStart;
 use super::RunFailure;
 use super::RunTask;
 use super::Running;
-use super::Waiting;
 use super::status_and_body;
 use crate::clock::micros;
 use crate::prelude::*;
@@ -35,7 +35,7 @@
         };
         entry.received += 1;
         entry.last_active = Some(now.mono);
-        let Some(ask) = start_ask(&start) else {
+        let Some(request) = start_request(&start) else {
             return;
         };
         let since = Duration::from_micros(start.since_us);
@@ -45,16 +45,16 @@
         // The deadline is counted from a request of this agent, so that network delay shortens the
         // remaining time. A forgotten request counts from the clock's origin, which has usually expired.
         let span = Duration::from_micros(start.since_us.saturating_add(start.left_us));
-        let waiting = Waiting {
+        let waiting = QueuedStart {
             deadline: entry.grant.sent_at(start.renew).unwrap_or(Mono(0)) + span,
             start,
-            ask,
+            request,
             link,
             arrived: now.mono,
         };
-        let held = self.record.raise_epoch(ask.shard, ask.epoch);
+        let held = self.record.raise_epoch(request.shard, request.epoch);
         if held {
-            self.owner_links.insert(ask.shard, link);
+            self.owner_links.insert(request.shard, link);
         }
         if self.leaving {
             return self.refuse(now, waiting, wire::Refusal::Leaving);
@@ -84,7 +84,7 @@
         self.queue = rest;
     }
 
-    fn decide_start(&self, now: Now, waiting: &Waiting) -> StartDecision {
+    fn decide_start(&self, now: Now, waiting: &QueuedStart) -> StartDecision {
         if now.mono >= waiting.deadline {
             return StartDecision::Refuse(wire::Refusal::Expired);
         }
@@ -103,7 +103,7 @@
                 StartDecision::Refuse(wire::Refusal::Fenced)
             };
         }
-        if let Err(e) = self.record.check(now, &waiting.ask) {
+        if let Err(e) = self.record.check(now, &waiting.request) {
             return StartDecision::Refuse(refusal(e));
         }
         let need = self.part.need(&waiting.start.service);
@@ -114,11 +114,11 @@
         }
     }
 
-    fn start_task(&mut self, now: Now, waiting: Waiting) {
+    fn start_task(&mut self, now: Now, waiting: QueuedStart) {
         let start = &waiting.start;
         let recorded = self
             .record
-            .start(now, &waiting.ask, &start.service, &start.team);
+            .start(now, &waiting.request, &start.service, &start.team);
         if let Err(e) = recorded {
             return self.refuse(now, waiting, refusal(e));
         }
@@ -130,16 +130,16 @@
         self.used = self.used.plus(need);
         self.counts.started += 1;
         let running = Running {
-            shard: waiting.ask.shard,
-            attempt: waiting.ask.attempt,
+            shard: waiting.request.shard,
+            attempt: waiting.request.attempt,
             room: need,
             since: now.mono,
             team: waiting.start.team,
         };
-        let before = self.running.insert(waiting.ask.key, running);
+        let before = self.running.insert(waiting.request.key, running);
         assert!(before.is_none(), "invariant: a task starts once");
         self.actions.push(Action::Run(RunTask {
-            key: waiting.ask.key,
+            key: waiting.request.key,
             service: waiting.start.service,
             payload: waiting.start.payload,
             until: waiting.deadline,
@@ -148,27 +148,27 @@
 
     /// Answers that an attempt has not started, after recording that it never will. If the task
     /// has started under another attempt, answers with its state instead.
-    pub(super) fn refuse(&mut self, now: Now, waiting: Waiting, reason: wire::Refusal) {
-        let ask = &waiting.ask;
+    pub(super) fn refuse(&mut self, now: Now, waiting: QueuedStart, reason: wire::Refusal) {
+        let request = &waiting.request;
         let mut answer = wire::Answer {
-            job: Some(ask.key.job.wire()),
-            task: ask.key.task,
-            attempt: ask.attempt,
-            epoch: ask.epoch.0,
+            job: Some(request.key.job.wire()),
+            task: request.key.task,
+            attempt: request.attempt,
+            epoch: request.epoch.0,
             status: wire::Status::NotStarted.into(),
             refusal: reason.into(),
-            shard: ask.shard.0,
+            shard: request.shard.0,
             ..Default::default()
         };
-        if self.record.give_back(now, ask) == Err(StartError::Started) {
-            let progress = self.record.progress(ask.key).cloned();
+        if self.record.give_back(now, request) == Err(StartError::Started) {
+            let progress = self.record.progress(request.key).cloned();
             let (status, body) = status_and_body(progress.unwrap_or(Progress::Running));
             answer.status = status.into();
             answer.body = body;
             answer.refusal = wire::Refusal::Unspecified.into();
             // The result is reported under the attempt that the current owner knows.
-            if let Some(running) = self.running.get_mut(&ask.key) {
-                running.attempt = ask.attempt;
+            if let Some(running) = self.running.get_mut(&request.key) {
+                running.attempt = request.attempt;
             }
         }
         if reason == wire::Refusal::Fenced {
@@ -241,7 +241,7 @@
     }
 }
 
-fn start_ask(start: &wire::Start) -> Option<StartRequest> {
+fn start_request(start: &wire::Start) -> Option<StartRequest> {
     Some(StartRequest {
         key: TaskKey {
             job: JobId::from_wire(start.job)?,
--- a/lib/src/start_record.rs
+++ b/lib/src/start_record.rs
@@ -203,20 +203,20 @@
     /// # Errors
     ///
     /// Returns the reason if it is not.
-    pub fn check(&self, now: Now, ask: &StartRequest) -> Result<(), StartError> {
-        if ask.epoch < self.epoch(ask.shard) && self.disabled != DisabledCheck::Fence {
+    pub fn check(&self, now: Now, request: &StartRequest) -> Result<(), StartError> {
+        if request.epoch < self.epoch(request.shard) && self.disabled != DisabledCheck::Fence {
             return Err(StartError::Fenced);
         }
-        if self.is_expired(now, ask.key.job) && self.disabled != DisabledCheck::Horizon {
+        if self.is_expired(now, request.key.job) && self.disabled != DisabledCheck::Horizon {
             return Err(StartError::Expired);
         }
-        let Some(entry) = self.entry(ask.key) else {
+        let Some(entry) = self.entry(request.key) else {
             return Ok(());
         };
         if entry.progress.is_some() {
             return Err(StartError::Started);
         }
-        if ask.attempt <= entry.attempt {
+        if request.attempt <= entry.attempt {
             return Err(StartError::GivenBack);
         }
         Ok(())
@@ -230,20 +230,20 @@
     pub fn start(
         &mut self,
         now: Now,
-        ask: &StartRequest,
+        request: &StartRequest,
         service: &str,
         team: &str,
     ) -> Result<(), StartError> {
-        self.check(now, ask)?;
-        self.raise_epoch(ask.shard, ask.epoch);
+        self.check(now, request)?;
+        self.raise_epoch(request.shard, request.epoch);
         let service = self.names.get(service);
         let team = self.names.get(team);
-        let entry = self.ensure_entry(now, ask);
-        entry.attempt = ask.attempt;
+        let entry = self.ensure_entry(now, request);
+        entry.attempt = request.attempt;
         entry.progress = Some(Progress::Running);
-        if let Some(job) = self.jobs.get_mut(&ask.key.job) {
-            job.digest = ask.digest;
-            job.tasks = ask.tasks;
+        if let Some(job) = self.jobs.get_mut(&request.key.job) {
+            job.digest = request.digest;
+            job.tasks = request.tasks;
             job.service = service;
             job.team = team;
         }
@@ -255,16 +255,18 @@
     /// # Errors
     ///
     /// Returns [`StartError::Started`] if the task has started already.
-    pub fn give_back(&mut self, now: Now, ask: &StartRequest) -> Result<(), StartError> {
-        let started = self.entry(ask.key).is_some_and(|e| e.progress.is_some());
+    pub fn give_back(&mut self, now: Now, request: &StartRequest) -> Result<(), StartError> {
+        let started = self
+            .entry(request.key)
+            .is_some_and(|e| e.progress.is_some());
         if started {
             return Err(StartError::Started);
         }
-        if self.is_expired(now, ask.key.job) {
+        if self.is_expired(now, request.key.job) {
             return Ok(());
         }
-        let entry = self.ensure_entry(now, ask);
-        entry.attempt = entry.attempt.max(ask.attempt);
+        let entry = self.ensure_entry(now, request);
+        entry.attempt = entry.attempt.max(request.attempt);
         Ok(())
     }
 
@@ -365,24 +367,27 @@
     }
 
     /// Returns the record of a task, and creates it if necessary.
-    fn ensure_entry(&mut self, now: Now, ask: &StartRequest) -> &mut TaskRecord {
-        if !self.jobs.contains_key(&ask.key.job) {
-            let due = self.expires_at(now, ask.key.job);
-            self.expirations.insert((due, ask.key.job));
+    fn ensure_entry(&mut self, now: Now, request: &StartRequest) -> &mut TaskRecord {
+        if !self.jobs.contains_key(&request.key.job) {
+            let due = self.expires_at(now, request.key.job);
+            self.expirations.insert((due, request.key.job));
         }
-        let job = self.jobs.entry(ask.key.job).or_insert_with(|| JobRecord {
-            shard: ask.shard,
-            service: self.names.get(""),
-            team: self.names.get(""),
-            digest: ask.digest,
-            tasks: ask.tasks,
-            entries: Vec::new(),
-        });
-        let index = job.entries.iter().position(|e| e.task == ask.key.task);
+        let job = self
+            .jobs
+            .entry(request.key.job)
+            .or_insert_with(|| JobRecord {
+                shard: request.shard,
+                service: self.names.get(""),
+                team: self.names.get(""),
+                digest: request.digest,
+                tasks: request.tasks,
+                entries: Vec::new(),
+            });
+        let index = job.entries.iter().position(|e| e.task == request.key.task);
         let index = index.unwrap_or_else(|| {
             self.tasks += 1;
             job.entries.push(TaskRecord {
-                task: ask.key.task,
+                task: request.key.task,
                 attempt: 0,
                 progress: None,
             });
--- a/lib/src/start_record/tests.rs
+++ b/lib/src/start_record/tests.rs
@@ -10,7 +10,7 @@
     Now::steady(Mono(ms * 1000), 1_000_000 + ms)
 }
 
-fn ask(task: u32, epoch: u64, attempt: u64) -> StartRequest {
+fn request(task: u32, epoch: u64, attempt: u64) -> StartRequest {
     StartRequest {
         key: TaskKey {
             job: JobId::mint(1_000_000, &[1; 10]),
@@ -27,8 +27,8 @@
 #[test]
 fn test_start_record_second_start_refused() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
-    assert_eq!(record.start(now(0), &ask(0, 1, 1), "s", "t"), Ok(()));
-    let again = record.start(now(1), &ask(0, 2, 2), "s", "t");
+    assert_eq!(record.start(now(0), &request(0, 1, 1), "s", "t"), Ok(()));
+    let again = record.start(now(1), &request(0, 2, 2), "s", "t");
     assert_eq!(again, Err(StartError::Started));
 }
 
@@ -36,7 +36,7 @@
 fn test_start_record_older_epoch_refused() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     assert!(record.raise_epoch(ShardId(3), Epoch(5)));
-    let old = record.start(now(0), &ask(0, 4, 1), "s", "t");
+    let old = record.start(now(0), &request(0, 4, 1), "s", "t");
     assert_eq!(old, Err(StartError::Fenced));
     assert!(!record.raise_epoch(ShardId(3), Epoch(4)));
 }
@@ -44,11 +44,11 @@
 #[test]
 fn test_start_record_give_back_is_final() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
-    assert_eq!(record.give_back(now(0), &ask(0, 1, 1)), Ok(()));
-    let old = record.start(now(0), &ask(0, 1, 1), "s", "t");
+    assert_eq!(record.give_back(now(0), &request(0, 1, 1)), Ok(()));
+    let old = record.start(now(0), &request(0, 1, 1), "s", "t");
     assert_eq!(old, Err(StartError::GivenBack));
-    assert_eq!(record.start(now(0), &ask(0, 1, 2), "s", "t"), Ok(()));
-    let late = record.give_back(now(0), &ask(0, 1, 2));
+    assert_eq!(record.start(now(0), &request(0, 1, 2), "s", "t"), Ok(()));
+    let late = record.give_back(now(0), &request(0, 1, 2));
     assert_eq!(late, Err(StartError::Started));
 }
 
@@ -58,14 +58,14 @@
     let last = now(millis(HORIZON + MARGIN) - 1);
     let past = now(millis(HORIZON));
     let end = now(millis(HORIZON + MARGIN));
-    record.start(now(0), &ask(0, 1, 1), "s", "t").unwrap();
+    record.start(now(0), &request(0, 1, 1), "s", "t").unwrap();
     record.expire(last);
     assert_eq!(record.size().0, 1);
-    let other = record.start(past, &ask(1, 1, 1), "s", "t");
+    let other = record.start(past, &request(1, 1, 1), "s", "t");
     assert_eq!(other, Err(StartError::Expired));
     record.expire(end);
     assert_eq!(record.size(), (0, 0, 0));
-    let again = record.start(past, &ask(0, 1, 1), "s", "t");
+    let again = record.start(past, &request(0, 1, 1), "s", "t");
     assert_eq!(again, Err(StartError::Expired));
 }
 
@@ -76,7 +76,9 @@
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     let ahead = 600_000;
     let last = now(ahead + millis(HORIZON + MARGIN) - 1);
-    record.start(now(ahead), &ask(0, 1, 1), "s", "t").unwrap();
+    record
+        .start(now(ahead), &request(0, 1, 1), "s", "t")
+        .unwrap();
     record.expire(last);
     assert_eq!(record.size().0, 1);
     record.expire(now(ahead + millis(HORIZON + MARGIN)));
@@ -88,7 +90,7 @@
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
     let ahead = 600_000;
     let behind = Now::steady(Mono(0), 1_000_000 - ahead);
-    record.start(behind, &ask(0, 1, 1), "s", "t").unwrap();
+    record.start(behind, &request(0, 1, 1), "s", "t").unwrap();
     record.expire(now(ahead + millis(HORIZON + MARGIN) - 1));
     assert_eq!(record.size().0, 1);
     record.expire(now(ahead + millis(HORIZON + MARGIN)));
@@ -98,22 +100,24 @@
 #[test]
 fn test_start_record_undo_start() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 100);
-    record.start(now(0), &ask(0, 1, 1), "s", "t").unwrap();
-    record.undo_start(ask(0, 1, 1).key);
-    let same = record.start(now(0), &ask(0, 1, 1), "s", "t");
+    record.start(now(0), &request(0, 1, 1), "s", "t").unwrap();
+    record.undo_start(request(0, 1, 1).key);
+    let same = record.start(now(0), &request(0, 1, 1), "s", "t");
     assert_eq!(same, Err(StartError::GivenBack));
-    assert_eq!(record.start(now(0), &ask(0, 1, 2), "s", "t"), Ok(()));
+    assert_eq!(record.start(now(0), &request(0, 1, 2), "s", "t"), Ok(()));
 }
 
 #[test]
 fn test_start_record_oldest_answers_dropped() {
     let mut record = StartRecord::new(HORIZON, MARGIN, 10);
     for task in 0..3 {
-        record.start(now(0), &ask(task, 1, 1), "s", "t").unwrap();
+        record
+            .start(now(0), &request(task, 1, 1), "s", "t")
+            .unwrap();
         let body = Bytes::from_static(b"12345");
-        record.end(ask(task, 1, 1).key, Progress::Answered(body));
+        record.end(request(task, 1, 1).key, Progress::Answered(body));
     }
-    let first = record.progress(ask(0, 1, 1).key);
+    let first = record.progress(request(0, 1, 1).key);
     assert_eq!(first, Some(&Progress::Dropped));
     assert_eq!(record.size(), (1, 3, 10));
     assert_eq!(record.started_tasks(&HashSet::from([ShardId(3)])).len(), 3);
