--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -86,7 +86,8 @@
 pub enum Action {
     /// Send a message on a link.
     Send(LinkId, Body),
-    /// Send a task to the backend server. Its result must be reported by [`Agent::handle_task_end`].
+    /// Send a task to the backend server. Its result must be reported with
+    /// [`Agent::handle_task_end`].
     Run(RunTask),
     /// Shift the time of day that the process keeps by this many milliseconds.
     ShiftClock(i64),
@@ -115,7 +116,8 @@
 /// The reason why a task has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunFailure {
-    /// The connection to the backend server failed, so nothing of the task reached it.
+    /// Nothing of the task reached the backend server, as the connection failed or the deadline had
+    /// passed before the call.
     NeverSent(String),
     /// The call failed after the task may have run.
     Failed(String),
@@ -132,7 +134,7 @@
     pub failed: u64,
     /// Starts refused because the owner's right had expired or its epoch was outdated.
     pub fenced: u64,
-    /// Starts refused for any other reason, failed connections to the backend server included.
+    /// Starts refused for any other reason, and tasks of which nothing reached the backend server.
     pub refused: u64,
     /// Seals received.
     pub sealed: u64,
