--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -65,10 +65,10 @@
 use crate::prelude::*;
 use crate::quota::Allocators;
 use crate::quota::Share;
-use crate::start_record::Broken;
+use crate::start_record::DisabledCheck;
 use crate::store::StoreOp;
-use crate::takeover::Holdings;
-use crate::tenure::Standing;
+use crate::takeover::OwnedShards;
+use crate::tenure::RightState;
 use crate::tenure::Tenure;
 use crate::tenure::TenureSetup;
 
@@ -131,7 +131,7 @@
             shards: 64,
             tenure: TenureSetup {
                 lease: Duration::from_millis(1_500),
-                ride: Duration::from_secs(300),
+                max_extension: Duration::from_secs(300),
                 promise: Duration::from_millis(1_500),
             },
             read_interval: Duration::from_millis(400),
@@ -327,7 +327,7 @@
     leads: Leads,
     clocks: ClockCheck,
     steps: StepWatch,
-    holdings: Holdings,
+    holdings: OwnedShards,
     incoming: BTreeMap<ShardId, handing::Incoming>,
     outgoing: BTreeMap<ShardId, handing::Outgoing>,
     table: JobTable,
@@ -411,7 +411,7 @@
             leads: Leads::new(setup.horizon),
             clocks: ClockCheck::new(setup.skew),
             steps: StepWatch::default(),
-            holdings: Holdings::default(),
+            holdings: OwnedShards::default(),
             incoming: BTreeMap::new(),
             outgoing: BTreeMap::new(),
             table: JobTable::default(),
@@ -451,8 +451,8 @@
     }
 
     /// Disables one check, for randomised test runs.
-    pub fn break_for_test(&mut self, broken: Broken) {
-        self.skip_horizon = broken == Broken::Horizon;
+    pub fn break_for_test(&mut self, broken: DisabledCheck) {
+        self.skip_horizon = broken == DisabledCheck::Horizon;
     }
 
     /// Takes the actions requested since the last call.
@@ -503,8 +503,8 @@
     }
 
     /// Returns what this entry's right to act rests on.
-    pub fn standing(&self, now: Now) -> Standing {
-        self.tenure.stand(now.mono)
+    pub fn standing(&self, now: Now) -> RightState {
+        self.tenure.right_state(now.mono)
     }
 
     /// Returns the ownership record as last read.
@@ -663,9 +663,9 @@
             return;
         };
         let kind = match (before, after) {
-            (_, Standing::Lapsed) => Kind::RightLapsed,
-            (_, Standing::Promised) => Kind::RightExtended,
-            (_, Standing::Confirmed) => Kind::RightRestored,
+            (_, RightState::Expired) => Kind::RightLapsed,
+            (_, RightState::Promised) => Kind::RightExtended,
+            (_, RightState::Confirmed) => Kind::RightRestored,
         };
         self.log(kind, String::new());
     }
@@ -725,9 +725,9 @@
     /// Returns the outcome of a job that has not started here. It is `not_run` only while a recent
     /// read of the record confirms that no other entry owns the job.
     fn unstarted_outcome(&self, now: Now) -> Outcome {
-        match self.tenure.stand(now.mono) {
-            Standing::Confirmed => Outcome::NotRun,
-            Standing::Promised | Standing::Lapsed => Outcome::Unknown,
+        match self.tenure.right_state(now.mono) {
+            RightState::Confirmed => Outcome::NotRun,
+            RightState::Promised | RightState::Expired => Outcome::Unknown,
         }
     }
 
--- a/lib/src/entry/account.rs
+++ b/lib/src/entry/account.rs
@@ -11,8 +11,8 @@
 use crate::job_table::TaskState;
 use crate::lanes::LaneName;
 use crate::prelude::*;
-use crate::quota::RESERVE;
 use crate::quota::SHARE_SPAN;
+use crate::quota::SILENT_RESERVE;
 
 /// How long after its deadline a task without an answer is recalled from its agent.
 const RECALL_DELAY: Duration = Duration::from_millis(1_000);
@@ -97,7 +97,7 @@
                     .record_cancel(now.mono, placed.at, placed.scale);
                 // The next owner must report the task to the allocator first. Until then the task
                 // stays counted here too, so that it is never missing from the quota.
-                let reported = now.mono + SHARE_SPAN + RESERVE;
+                let reported = now.mono + SHARE_SPAN + SILENT_RESERVE;
                 self.count_orphan(placed.until.min(reported), placed.lane.clone());
             }
         }
--- a/lib/src/entry/clocks.rs
+++ b/lib/src/entry/clocks.rs
@@ -45,12 +45,12 @@
     /// Returns the latest mint time, in Unix milliseconds, that any entry may have accepted so far.
     /// `known` is whether all entries in question know this one as a member.
     pub(super) fn latest_taken_ms(&self, now: Now, known: bool) -> u64 {
-        let reach_ms = if known {
-            self.leads.reach_ms(now)
+        let latest_id_ms = if known {
+            self.leads.latest_id_ms(now)
         } else {
-            self.leads.furthest_ms(now)
+            self.leads.max_latest_id_ms(now)
         };
-        reach_ms + self.clock_allowance_ms()
+        latest_id_ms + self.clock_allowance_ms()
     }
 
     /// Returns whether this entry may join: its time agrees with the fleet's, no other process
@@ -71,12 +71,12 @@
         let minted_ms = submission.job.minted_ms();
         let lead_end_ms = now.wall_ms + self.leads.lead_ms() + millis(self.setup.max_ahead);
         let within = minted_ms > self.latest_mint_ms(now) && minted_ms <= lead_end_ms;
-        within && self.leads.is_being_noted(now) && !submission.left.is_zero()
+        within && self.leads.is_awaiting_peers(now) && !submission.left.is_zero()
     }
 
     /// Fills in the clock fields of a heartbeat to a peer.
     pub(super) fn fill_clock_fields(&self, now: Now, peer: &Peer, heartbeat: &mut wire::Beat) {
-        heartbeat.step_ms = self.leads.own_ms();
+        heartbeat.step_ms = self.leads.own_step_ms();
         heartbeat.lead_ms = self.leads.lead_ms();
         heartbeat.noted_ms = self.leads.noted_ms(peer.incarnation);
         heartbeat.clock_ms = now.wall_ms;
@@ -98,7 +98,9 @@
         let peer = heartbeat.incarnation;
         let (step_ms, lead_ms, noted_ms) =
             (heartbeat.step_ms, heartbeat.lead_ms, heartbeat.noted_ms);
-        let longer = self.leads.hear(now, peer, step_ms, lead_ms, noted_ms);
+        let longer = self
+            .leads
+            .handle_peer_lead(now, peer, step_ms, lead_ms, noted_ms);
         self.watch_clock(now);
         let sent = self
             .heartbeats
--- a/lib/src/entry/ending.rs
+++ b/lib/src/entry/ending.rs
@@ -29,13 +29,13 @@
             return;
         };
         self.table.update(key, |job| {
-            let undecided = job.undecided();
+            let is_undecided = job.is_undecided();
             let Some(entry) = job.tasks.get_mut(task.task as usize) else {
                 return;
             };
             let here = matches!(entry.state, TaskState::Placed { attempt, .. }
                 if attempt == placed.attempt);
-            if here && undecided {
+            if here && is_undecided {
                 entry.state = state;
             }
         });
@@ -136,7 +136,7 @@
         let waiters = self.table.update(key, |job| {
             // The outcome of an unknown job may still become known, so its answers are kept.
             if outcome != Outcome::Unknown {
-                job.shrink(&kept);
+                job.drop_bodies(&kept);
             }
             job.ended = Some(kept);
             job.again = again;
--- a/lib/src/entry/handing.rs
+++ b/lib/src/entry/handing.rs
@@ -17,7 +17,7 @@
 use crate::ownership::OwnershipRecord;
 use crate::prelude::*;
 use crate::takeover::Phase;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// The bytes of records after which a message is sent and another begun.
 const CHUNK_BYTES: usize = 256 * 1024;
@@ -50,7 +50,7 @@
         let Some(read) = self.read.clone() else {
             return;
         };
-        if self.tenure.stand(now.mono) != Standing::Confirmed || self.change.is_some() {
+        if self.tenure.right_state(now.mono) != RightState::Confirmed || self.change.is_some() {
             return;
         }
         let stable = now.mono >= self.live_changed + STABLE_TIME;
@@ -67,7 +67,7 @@
         }
         let owners = self.follower.config().limits.owners as usize;
         let mut moved = 0;
-        for (shard, to) in read.record.moves(&live, owners) {
+        for (shard, to) in read.record.plan_moves(&live, owners) {
             if self.holdings.active(shard) && to != self.incarnation {
                 self.start_handover(now, shard, to);
                 moved += 1;
@@ -93,7 +93,7 @@
         let shards: Vec<ShardId> = self.holdings.iter().map(|(s, _)| *s).collect();
         for shard in shards {
             if self.holdings.active(shard) {
-                self.holdings.set_phase(shard, Phase::Handed(0));
+                self.holdings.set_phase(shard, Phase::HandedOver(0));
             }
         }
     }
@@ -107,7 +107,7 @@
         let Some(link) = peer.map(|(l, _)| *l) else {
             return;
         };
-        self.holdings.set_phase(shard, Phase::Handing(to));
+        self.holdings.set_phase(shard, Phase::HandingOver(to));
         self.next_tag += 1;
         let round = self.next_tag;
         let since = now.mono;
@@ -237,12 +237,12 @@
         let Some(held) = self.holdings.get(shard) else {
             return;
         };
-        let Phase::Handing(to) = held.phase else {
+        let Phase::HandingOver(to) = held.phase else {
             return;
         };
         if expected == Some(handed.round) {
             self.plan_due = Mono(0);
-            self.holdings.set_phase(shard, Phase::Handed(to));
+            self.holdings.set_phase(shard, Phase::HandedOver(to));
         }
     }
 
@@ -252,7 +252,7 @@
             .holdings
             .iter()
             .filter_map(|(s, h)| match h.phase {
-                Phase::Handed(to) => Some((*s, h.epoch, to)),
+                Phase::HandedOver(to) => Some((*s, h.epoch, to)),
                 _ => None,
             })
             .collect();
@@ -260,7 +260,7 @@
             let slot = next.slot(shard);
             let ours = slot.owner == self.incarnation && slot.epoch == epoch.0;
             if ours && (to == 0 || next.member(to).is_some()) {
-                next.hand(shard, to);
+                next.transfer_shard(shard, to);
             }
         }
     }
@@ -312,7 +312,8 @@
         let Some(incoming) = self.incoming.remove(&shard) else {
             return false;
         };
-        self.holdings.receive(shard, epoch, incoming.clear_ms);
+        self.holdings
+            .accept_handover(shard, epoch, incoming.clear_ms);
         let count = incoming.records.len();
         for record in incoming.records {
             self.receive_job(now, shard, record);
--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -10,7 +10,7 @@
 use crate::event::Kind;
 use crate::fleet::AgentKey;
 use crate::prelude::*;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// How long a peer's configuration may be out of date before this entry sends it the newer one.
 const CONFIG_LAG: Duration = Duration::from_millis(1_000);
@@ -146,8 +146,8 @@
                 },
             );
         }
-        let remain = match self.tenure.stand(now.mono) {
-            Standing::Lapsed => Duration::ZERO,
+        let remain = match self.tenure.right_state(now.mono) {
+            RightState::Expired => Duration::ZERO,
             _ => self.tenure.remain(now.mono),
         };
         let grant = wire::Grant {
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placing.rs
@@ -18,7 +18,7 @@
 use crate::placement::Placement;
 use crate::placement::PlacementRequest;
 use crate::prelude::*;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// The longest delay before a task that did not start is retried when the retry budget is spent.
 const MAX_RETRY_DELAY_MS: u64 = 50;
@@ -36,7 +36,7 @@
 impl Entry {
     /// Sends waiting tasks until none can be sent.
     pub(super) fn place_waiting(&mut self, now: Now) {
-        if self.lanes.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
+        if self.lanes.is_empty() || self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         let config = self.follower.config().clone();
@@ -128,7 +128,7 @@
             return;
         };
         assert!(
-            self.tenure.stand(now.mono) != Standing::Lapsed && self.holdings.active(shard),
+            self.tenure.right_state(now.mono) != RightState::Expired && self.holdings.active(shard),
             "invariant: only the owner with the right to act starts tasks"
         );
         let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.last_request) else {
--- a/lib/src/entry/record.rs
+++ b/lib/src/entry/record.rs
@@ -182,12 +182,12 @@
     fn handle_removal(&mut self, now: Now) {
         if self.leaving {
             self.joined_at = None;
-            self.tenure.drop_right();
+            self.tenure.revoke();
             self.observe_time(now);
             return;
         }
         self.log(Kind::Dropped, self.setup.name.clone());
-        self.tenure.drop_right();
+        self.tenure.revoke();
         self.observe_time(now);
         self.joined_at = None;
         self.incarnation = rand::Rng::random(&mut self.rng);
@@ -256,7 +256,7 @@
     /// Releases a shard that another entry owns now, and redirects the waiters of its jobs.
     fn release_shard(&mut self, now: Now, shard: ShardId) {
         let was = self.holdings.get(shard).map(|h| h.phase);
-        if matches!(was, Some(Phase::Handed(_))) {
+        if matches!(was, Some(Phase::HandedOver(_))) {
             self.counts.handovers += 1;
         }
         self.holdings.release(shard);
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -11,7 +11,7 @@
 use crate::outcome::Refusal;
 use crate::prelude::*;
 use crate::takeover::Phase;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// How long after its deadline a request still waits for the owner's answer.
 const OWNER_ANSWER_GRACE: Duration = Duration::from_millis(2_000);
@@ -119,7 +119,7 @@
         let Some(shard) = self.shard_of(request.submission.job) else {
             return self.give_up_if_hopeless(now, id, false);
         };
-        if self.holdings.active(shard) && self.tenure.stand(now.mono) != Standing::Lapsed {
+        if self.holdings.active(shard) && self.tenure.right_state(now.mono) != RightState::Expired {
             return self.route_locally(now, id);
         }
         match self.owner_link(now, shard) {
@@ -268,7 +268,9 @@
         };
         let shard = self.shard_of(job);
         match shard.and_then(|s| Some((s, self.holdings.get(s)?.phase))) {
-            Some((_, Phase::Active)) if self.tenure.stand(now.mono) != Standing::Lapsed => {
+            Some((_, Phase::Active))
+                if self.tenure.right_state(now.mono) != RightState::Expired =>
+            {
                 self.decide_request(now, waiter, submission);
             }
             Some((_, Phase::Sealing)) => self.hold_request(now, waiter, submission),
@@ -305,7 +307,7 @@
             }
             match self.holdings.get(held.shard).map(|h| h.phase) {
                 Some(Phase::Sealing) => self.held_requests.push(held),
-                Some(Phase::Active) if self.tenure.stand(now.mono) != Standing::Lapsed => {
+                Some(Phase::Active) if self.tenure.right_state(now.mono) != RightState::Expired => {
                     let mut submission = held.submission;
                     submission.left = now.mono.until(held.deadline);
                     self.decide_request(now, held.waiter, submission);
--- a/lib/src/entry/sealing.rs
+++ b/lib/src/entry/sealing.rs
@@ -8,7 +8,7 @@
 use crate::clock::millis;
 use crate::event::Kind;
 use crate::fleet::AgentKey;
-use crate::job_table::DROPPED;
+use crate::job_table::ANSWER_DROPPED;
 use crate::job_table::Job;
 use crate::job_table::JobKey;
 use crate::job_table::Task;
@@ -17,9 +17,9 @@
 use crate::ownership::OwnershipRecord;
 use crate::ownership::Roster;
 use crate::prelude::*;
-use crate::takeover::Opening;
 use crate::takeover::RoundId;
-use crate::tenure::Standing;
+use crate::takeover::RoundStart;
+use crate::tenure::RightState;
 
 /// How long agents have to answer a seal if no former owner's right has to expire.
 const SEAL_WAIT: Duration = Duration::from_millis(1_000);
@@ -38,25 +38,25 @@
             .flat_map(|(s, _)| record.slot(*s).cut.iter().map(|c| c.owner))
             .collect();
         let lease = self.setup.tenure.lease;
-        let lapse = if cuts.is_empty() {
+        let expiry = if cuts.is_empty() {
             Duration::ZERO
         } else {
             lease + lease / 20
         };
         let known = cuts.iter().all(|inc| self.acknowledged_by.contains(inc));
-        let settled = if cuts.is_empty() {
+        let latest_expiry = if cuts.is_empty() {
             SEAL_WAIT
         } else if known {
-            lapse
+            expiry
         } else {
             self.remaining_ride(now)
         };
         let agents = roster.agents.iter().map(|a| a.incarnation).collect();
-        let opening = Opening {
+        let opening = RoundStart {
             claims,
             agents,
-            lapse,
-            settled,
+            expiry,
+            latest_expiry,
             known,
             gone_ms: roster.clear_ms(self.clock_allowance_ms()),
         };
@@ -69,9 +69,9 @@
 
     /// Returns how long an owner that does not know this entry may still act on promises of its peers.
     pub(super) fn remaining_ride(&self, now: Now) -> Duration {
-        let ride = self.setup.tenure.ride;
+        let max_extension = self.setup.tenure.max_extension;
         let joined = self.joined_at.unwrap_or(now.mono);
-        now.mono.until(joined + ride + ride / 20)
+        now.mono.until(joined + max_extension + max_extension / 20)
     }
 
     /// Sends an agent the seals of all rounds that it has not answered.
@@ -153,7 +153,7 @@
         };
         let state = match started.status() {
             wire::Status::Ok => TaskState::Answered(started.body.clone()),
-            wire::Status::Failed if !started.kept => TaskState::Failed(DROPPED),
+            wire::Status::Failed if !started.kept => TaskState::Failed(ANSWER_DROPPED),
             wire::Status::Failed => TaskState::Failed(started.body.clone()),
             _ => TaskState::Placed {
                 agent,
@@ -227,7 +227,7 @@
 
     /// Serves the shards whose takeover rounds are complete.
     pub(super) fn serve_ready_shards(&mut self, now: Now) {
-        if self.tenure.stand(now.mono) == Standing::Lapsed {
+        if self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         for id in self.holdings.ready(now.mono) {
@@ -235,7 +235,7 @@
             self.reserve_unread_slots(now, id);
             let known = self.holdings.round(id).is_some_and(|r| r.known);
             let clear_ms = self.latest_taken_ms(now, known);
-            let (shards, lost) = self.holdings.serve(id, clear_ms);
+            let (shards, lost) = self.holdings.activate(id, clear_ms);
             if shards.is_empty() {
                 continue;
             }
--- a/lib/src/entry/shares.rs
+++ b/lib/src/entry/shares.rs
@@ -8,10 +8,10 @@
 use crate::clock::micros;
 use crate::lanes::LaneName;
 use crate::prelude::*;
-use crate::quota::ASK_EVERY;
+use crate::quota::REQUEST_INTERVAL;
 use crate::quota::SHARE_SPAN;
 use crate::quota::ShareAsk;
-use crate::tenure::Standing;
+use crate::tenure::RightState;
 
 /// How much more than it needs now a holder asks for, so that the next tasks can start at once.
 const SHARE_SLACK: u32 = 4;
@@ -77,7 +77,7 @@
 
     /// Requests the shares for which a request is due.
     pub(super) fn request_shares(&mut self, now: Now) {
-        if self.shares.is_empty() || self.tenure.stand(now.mono) == Standing::Lapsed {
+        if self.shares.is_empty() || self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         let due: Vec<Arc<str>> = self
@@ -176,7 +176,7 @@
             let mut peers = self.peers.values();
             let peer = peers.find(|p| p.incarnation == *member);
             let since = peer.and_then(|p| p.current_since);
-            since.is_some_and(|at| now.mono >= at + ASK_EVERY * 2)
+            since.is_some_and(|at| now.mono >= at + REQUEST_INTERVAL * 2)
         };
         self.tenure.others().iter().all(knows)
     }
@@ -186,7 +186,7 @@
         let Some(holder) = self.peers.get(&link).map(|p| p.incarnation) else {
             return;
         };
-        if !self.is_allocator(&name) || self.tenure.stand(now.mono) == Standing::Lapsed {
+        if !self.is_allocator(&name) || self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
         let request = ShareAsk {
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -115,7 +115,7 @@
     fn look_up(&self, now: Now, job: JobId) -> JobReply {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         if let Some(job) = known {
-            if job.told_more() {
+            if job.is_resolved() {
                 return job.verdict(
                     Cause::WorkerLost,
                     "submit the job again to run its remaining tasks",
@@ -168,7 +168,7 @@
                 self.answer_waiter(waiter, JobReply::Other(again));
                 true
             }
-            Some(_) if job.told_more() => false,
+            Some(_) if job.is_resolved() => false,
             Some(verdict) => {
                 let verdict = verdict.clone();
                 self.answer_waiter(waiter, verdict);
