--- a/lib/daemon/src/dispatch/channel.rs
+++ b/lib/daemon/src/dispatch/channel.rs
@@ -1,4 +1,7 @@
 //! Links of the dispatch plane: TCP connections that carry length-delimited protobuf frames.
+//!
+//! Both ends first exchange greetings. A [`Listener`] decides by them whether the link is wanted, and is told of each
+//! message and of the end of the link.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,77 +30,77 @@
 use crate::dispatch::traffic::Outgoing;
 use crate::dispatch::traffic::Traffic;
 
-/// The largest frame, in bytes.
-pub const MAX_FRAME: usize = 16 << 20;
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+/// The size limit of a frame, in bytes.
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
+/// The number of connections that may wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
 
 static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
 
-/// Why a link could not be set up.
+/// Reasons why a link could not be set up.
 #[derive(Debug, Error)]
 pub enum ChannelError {
-    /// The connection failed.
+    /// The connection could not be opened, or failed during the exchange of greetings.
     #[error("the connection failed")]
     Io(#[from] std::io::Error),
-    /// There was no connection in time.
-    #[error("there was no connection in time")]
-    Unreached,
-    /// The other end did not greet in time.
+    /// The connection was not opened in time.
+    #[error("the connection was not opened in time")]
+    ConnectTimeout,
+    /// The other end did not send a greeting in time, or closed the connection first.
     #[error("the other end did not greet in time")]
-    Silent,
-    /// The other end did not begin with a greeting.
+    GreetingTimeout,
+    /// The first frame from the other end is not a greeting.
     #[error("the other end did not begin with a greeting")]
     NoGreeting,
-    /// The other end is not one to be linked with, nor will be.
-    #[error("the other end is of another partition")]
-    Foreign,
-    /// It is not known yet whether the other end is one to be linked with.
-    #[error("it is not known yet how the fleet is divided")]
-    Undivided,
+    /// The other end belongs to another partition, so no link to it will be wanted.
+    #[error("the other end belongs to another partition")]
+    OtherPartition,
+    /// The division of the fleet is not known yet, so this process can't tell whether the link is wanted.
+    #[error("the division of the fleet is not known yet")]
+    PartitionsUnknown,
 }
 
-/// Whether a link is wanted.
+/// Whether a link to a process is wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wanted {
-    /// It is.
+    /// The link is wanted.
     Yes,
-    /// It is not known yet.
+    /// The division of the fleet is not known yet; the link can be tried again later.
     NotYet,
-    /// It is not, and won't be.
+    /// The link is not wanted, now or later.
     Never,
 }
 
-/// Why a link is over.
+/// Reasons why a link ended.
 #[derive(Debug, Error)]
 pub enum LinkEnd {
-    /// This process closed it.
+    /// This process closed the link.
     #[error("closed here")]
     Here,
-    /// The other process closed it, or has ended.
+    /// The other process closed the link or exited.
     #[error("closed by the other end")]
     There,
     /// The connection broke.
     #[error("the connection broke: {0}")]
     Broken(std::io::Error),
-    /// What came in is no frame.
+    /// A received frame can't be decoded.
     #[error("a frame could not be read: {0}")]
     Unreadable(prost::DecodeError),
 }
 
-/// The sending half of a link. Dropping it closes the link at once, with what is queued: a link is
-/// given up when its other end is silent or another link replaces it, and what waits in it is old.
-/// Sending that first took up to 28 s in a fleet whose links were full, and no new link was dialled
-/// meanwhile.
+/// The sending half of a link. Dropping it closes the link at once and discards the queued frames.
+///
+/// A link is dropped when its other end is silent or another link replaces it, and by then the queued frames are out
+/// of date. Sending them first could take up to 28 s on a full link, and no new link was dialled in that time.
 #[derive(Debug)]
 pub struct ChannelSender {
     queue: mpsc::UnboundedSender<Outgoing>,
     traffic: Rc<Traffic>,
-    _open: DropGuard,
+    _close_guard: DropGuard,
 }
 
 impl ChannelSender {
-    /// Queues a message. It is dropped if the link is down; the state machines hear of that.
+    /// Queues a message. Drops it if the link is down, which the listener learns from [`Listener::down`].
     pub fn send(&self, body: Body) {
         let frame = proto::Frame { body: Some(body) };
         let bytes = Bytes::from(frame.encode_to_vec());
@@ -107,36 +110,36 @@
     }
 }
 
-/// Who hears what happens on a link.
+/// Handles the events of links and decides which links are wanted.
 pub trait Listener: 'static {
-    /// How links are set up.
+    /// Returns the settings for links.
     fn policy(&self) -> LinkPolicy;
-    /// The greeting to send.
+    /// Returns the greeting to send.
     fn greeting(&self) -> proto::Greeting;
-    /// Whether a link to this process is wanted.
+    /// Returns whether a link to the sender of this greeting is wanted.
     fn wants(&self, theirs: &proto::Greeting) -> Wanted;
-    /// The schedulers with which a process should link to which no link is wanted, as far as they are known here.
-    fn directions(&self, _theirs: &proto::Greeting) -> Vec<proto::Member> {
+    /// Returns the schedulers to which a process without a wanted link should connect instead, as far as they are known.
+    fn redirect_targets(&self, _theirs: &proto::Greeting) -> Vec<proto::Member> {
         Vec::new()
     }
-    /// A process to which no link is wanted has named schedulers with which this one should link.
-    fn directed(&self, _members: Vec<proto::Member>) {}
-    /// A link is up.
+    /// Handles the schedulers that a process without a wanted link has named as targets to connect to instead.
+    fn handle_redirect(&self, _members: Vec<proto::Member>) {}
+    /// Handles a link that is up.
     fn up(&self, link: LinkId, theirs: &proto::Greeting, sender: ChannelSender);
-    /// A message came in.
+    /// Handles a message received on a link.
     fn message(&self, link: LinkId, body: Body);
-    /// The link to this process is down.
+    /// Handles the end of the link to the sender of this greeting.
     fn down(&self, link: LinkId, theirs: &proto::Greeting, end: LinkEnd);
-    /// What passes on the links of this process.
+    /// Returns the traffic counters for the links of this process.
     fn traffic(&self) -> Rc<Traffic>;
 }
 
 type Wire = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn framed(stream: TcpStream) -> Wire {
+fn frame_stream(stream: TcpStream) -> Wire {
     let _ = stream.set_nodelay(true);
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec();
     Framed::new(stream, codec)
 }
@@ -146,7 +149,7 @@
     Bytes::from(frame.encode_to_vec())
 }
 
-/// Binds a listener that many can connect to at once.
+/// Binds a TCP listener with a long accept queue, so that many processes can connect at once.
 ///
 /// # Errors
 ///
@@ -155,13 +158,16 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
-async fn greet(wire: &mut Wire, own: proto::Greeting) -> Result<proto::Greeting, ChannelError> {
+async fn exchange_greetings(
+    wire: &mut Wire,
+    own: proto::Greeting,
+) -> Result<proto::Greeting, ChannelError> {
     wire.send(encode(Body::Greeting(own))).await?;
     let Some(frame) = wire.next().await else {
-        return Err(ChannelError::Silent);
+        return Err(ChannelError::GreetingTimeout);
     };
     match proto::Frame::decode(frame?).ok().and_then(|f| f.body) {
         Some(Body::Greeting(theirs)) => Ok(theirs),
@@ -169,19 +175,19 @@
     }
 }
 
-/// Connects to another process within `patience` and runs the link until it is down.
+/// Connects to another process within `timeout` and runs the link until it is down.
 ///
 /// # Errors
 ///
 /// When the link could not be set up.
 pub async fn dial(
     address: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
     listener: &impl Listener,
 ) -> Result<(), ChannelError> {
     let connecting = TcpStream::connect(address);
-    let timed = tokio::time::timeout(patience, connecting).await;
-    let stream = timed.map_err(|_| ChannelError::Unreached)??;
+    let connected = tokio::time::timeout(timeout, connecting).await;
+    let stream = connected.map_err(|_| ChannelError::ConnectTimeout)??;
     serve(stream, listener).await
 }
 
@@ -191,31 +197,32 @@
 ///
 /// When the link could not be set up.
 pub async fn serve(stream: TcpStream, listener: &impl Listener) -> Result<(), ChannelError> {
-    let mut wire = framed(stream);
-    let greeting = greet(&mut wire, listener.greeting());
-    let timed = tokio::time::timeout(listener.policy().greeting, greeting).await;
-    let theirs = timed.map_err(|_| ChannelError::Silent)??;
+    let mut wire = frame_stream(stream);
+    let greeting = exchange_greetings(&mut wire, listener.greeting());
+    let greeted = tokio::time::timeout(listener.policy().greeting, greeting).await;
+    let theirs = greeted.map_err(|_| ChannelError::GreetingTimeout)??;
     match listener.wants(&theirs) {
         Wanted::Yes => {
-            run(wire, theirs, listener).await;
+            run_link(wire, theirs, listener).await;
             Ok(())
         }
-        Wanted::NotYet => Err(ChannelError::Undivided),
+        Wanted::NotYet => Err(ChannelError::PartitionsUnknown),
         Wanted::Never => {
-            let directing = direct(&mut wire, &theirs, listener);
-            let _ = tokio::time::timeout(listener.policy().greeting, directing).await;
-            Err(ChannelError::Foreign)
+            let redirecting = exchange_redirects(&mut wire, &theirs, listener);
+            let _ = tokio::time::timeout(listener.policy().greeting, redirecting).await;
+            Err(ChannelError::OtherPartition)
         }
     }
 }
 
-/// Exchanges directions with a process of another partition, which may not have been able to ask the store.
-async fn direct(
+/// Exchanges the addresses of suitable schedulers with a process of another partition, which may have connected here
+/// because it could not read them from the store.
+async fn exchange_redirects(
     wire: &mut Wire,
     theirs: &proto::Greeting,
     listener: &impl Listener,
 ) -> Result<(), ChannelError> {
-    let members = listener.directions(theirs);
+    let members = listener.redirect_targets(theirs);
     if !members.is_empty() {
         let update = proto::PeerUpdate {
             members,
@@ -227,22 +234,22 @@
         return Ok(());
     };
     if let Some(Body::Peer(update)) = proto::Frame::decode(frame?).ok().and_then(|f| f.body) {
-        listener.directed(update.members);
+        listener.handle_redirect(update.members);
     }
     Ok(())
 }
 
-async fn run(wire: Wire, theirs: proto::Greeting, listener: &impl Listener) {
+async fn run_link(wire: Wire, theirs: proto::Greeting, listener: &impl Listener) {
     let link = LinkId(NEXT_LINK.fetch_add(1, Ordering::Relaxed));
     let traffic = listener.traffic();
     let (sink, mut stream) = wire.split();
     let (queue, receiver) = mpsc::unbounded_channel();
-    let mut writer = actix_rt::spawn(write(sink, receiver));
+    let mut writer = actix_rt::spawn(write_frames(sink, receiver));
     let closed = CancellationToken::new();
     let sender = ChannelSender {
         queue,
         traffic: traffic.clone(),
-        _open: closed.clone().drop_guard(),
+        _close_guard: closed.clone().drop_guard(),
     };
     listener.up(link, &theirs, sender);
     let end = loop {
@@ -273,8 +280,8 @@
 
 type WireSink = futures::stream::SplitSink<Wire, Bytes>;
 
-/// Writes what is queued, flushing when the queue is empty. Ends when the sender is dropped.
-async fn write(mut sink: WireSink, mut queue: mpsc::UnboundedReceiver<Outgoing>) -> LinkEnd {
+/// Writes queued frames and flushes whenever the queue is empty. Returns when the sender is dropped or writing fails.
+async fn write_frames(mut sink: WireSink, mut queue: mpsc::UnboundedReceiver<Outgoing>) -> LinkEnd {
     while let Some(first) = queue.recv().await {
         if let Err(e) = write_queued(&mut sink, first, &mut queue).await {
             return LinkEnd::Broken(e);
--- a/lib/daemon/src/dispatch/day_watch.rs
+++ b/lib/daemon/src/dispatch/day_watch.rs
@@ -1,5 +1,6 @@
-//! Whether the box's clock is set while a process runs. Nothing is decided by it here; it is told so
-//! that the times of log lines can be read.
+//! Detection of steps of the box's clock while a process runs.
+//!
+//! Steps are only reported, so that readers can interpret the times in the log; nothing is decided by them.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,40 +12,41 @@
 use crate::boot_clock::BootClock;
 use crate::ticker::Ticker;
 
-/// Time between looks.
-const PAUSE: Duration = Duration::from_secs(1);
+/// The time between two checks of the clock.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches the box's clock.
+/// Compares the box's clock with a clock that never steps.
 #[derive(Debug)]
-pub struct DayWatch {
+pub struct ClockWatch {
     ticker: Ticker,
     steps: Cell<StepWatch>,
-    due: Cell<Mono>,
+    next_check: Cell<Mono>,
 }
 
-impl DayWatch {
-    /// Watches from now on, against a clock that never steps.
-    pub fn new(clock: BootClock) -> DayWatch {
-        DayWatch {
+impl ClockWatch {
+    /// Starts watching, with `clock` as the clock that never steps.
+    pub fn new(clock: BootClock) -> ClockWatch {
+        ClockWatch {
             ticker: Ticker::beside(clock),
             steps: Cell::default(),
-            due: Cell::default(),
+            next_check: Cell::default(),
         }
     }
 
-    /// Looks at the clock when it is time. Returns the step that is to be logged, if any is.
-    pub fn look(&self, now: Mono) -> Option<ClockStep> {
-        if now < self.due.get() {
+    /// Checks the clock if a check is due. Returns the step to log, if there is one.
+    pub fn check(&self, now: Mono) -> Option<ClockStep> {
+        if now < self.next_check.get() {
             return None;
         }
-        self.due.set(now + PAUSE);
+        self.next_check.set(now + CHECK_INTERVAL);
         let mut steps = self.steps.get();
         let step = steps.look(self.ticker.now().step_ms());
         self.steps.set(steps);
         step
     }
 
-    /// How far the box's clock is ahead of the time at the start, carried on; in milliseconds.
+    /// Returns by how many milliseconds the box's clock is ahead of the time at the start plus the time elapsed since,
+    /// as of the last reported step.
     pub fn ahead_ms(&self) -> i64 {
         self.steps.get().told_ms()
     }
--- a/lib/daemon/src/dispatch/division.rs
+++ b/lib/daemon/src/dispatch/division.rs
@@ -1,7 +1,7 @@
-//! Into how many partitions the fleet is divided, as far as a process knows.
+//! The division of the fleet: the number of partitions, as far as a process knows it.
 //!
-//! The store says so; a process that it does not answer learns it from the first process that greets it. It is written
-//! there once, by the first entry that has counted the processes of a fleet that starts for the first time, and stays.
+//! A process reads the division from the store or, while the store does not answer, takes it from the first greeting
+//! that carries it. The first entry that has counted the processes of a new fleet writes it; it never changes afterwards.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,42 +26,42 @@
 use crate::dispatch::store::KeyStore;
 use crate::dispatch::store::StoreError;
 
-/// Where the division stands in the store.
-const KEY: &str = "division";
-/// Where the schedulers stand in the store.
+/// The key of the division in the store.
+const DIVISION_KEY: &str = "division";
+/// The prefix of the schedulers' keys in the store.
 pub const SCHEDULERS: &str = "members/";
-/// Where the executors stand in the store.
+/// The prefix of the executors' keys in the store.
 pub const EXECUTORS: &str = "executors/";
-/// How long one watch of the division waits.
-const WATCH: Duration = Duration::from_secs(25);
+/// The time that one watch of the division waits for a change.
+const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// The division as it stands in the store.
+/// The division as stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct DivisionRecord {
-    /// Two to the power of this is the number of partitions.
+    /// The base-2 logarithm of the number of partitions.
     bits: u32,
 }
 
-/// A process that wants to know the division.
+/// A process that needs the division of the fleet.
 pub trait Divided: Clone + 'static {
-    /// What it knows.
+    /// Returns what the process knows of the division.
     fn division(&self) -> &Division;
-    /// Connects to a scheduler.
+    /// Connects to the scheduler at an address.
     fn dial(&self, address: SocketAddr);
     /// Writes a log line.
     fn log(&self, kind: Kind, detail: String);
 }
 
-/// What a process knows of the division.
+/// What a process knows of the division of the fleet.
 pub struct Division {
     name: String,
-    /// Where schedulers may be found while the store does not answer.
+    /// Addresses of schedulers to ask while the store does not answer.
     seeds: Vec<SocketAddr>,
     known: watch::Sender<Option<Partitions>>,
 }
 
 impl Division {
-    /// For a process of this name, which knows nothing yet but where to ask while the store does not answer.
+    /// Creates an unknown division for the process `name`, which asks the `seeds` while the store does not answer.
     pub fn new(name: &str, seeds: Vec<SocketAddr>) -> Division {
         Division {
             name: name.to_owned(),
@@ -70,12 +70,12 @@
         }
     }
 
-    /// The division, if it is known.
+    /// Returns the division, if it is known.
     pub fn get(&self) -> Option<Partitions> {
         *self.known.borrow()
     }
 
-    /// Waits until it is known.
+    /// Waits until the division is known and returns it.
     pub async fn known(&self) -> Partitions {
         let mut known = self.known.subscribe();
         loop {
@@ -88,44 +88,44 @@
         }
     }
 
-    /// The partition of this process, if it is known.
+    /// Returns the partition of this process, if it is known.
     pub fn own(&self) -> Option<Partition> {
         self.get().map(|p| p.of_name(&self.name))
     }
 
-    /// The number of partitions, the own one, and who told it, for the log.
+    /// Describes the division for the log: the number of partitions, the own one and the origin of the information.
     pub fn describe(&self, origin: &str) -> String {
         let count = self.get().map_or(0, Partitions::count);
         let own = self.own().map(|own| format!(", this is {own}"));
         format!("{count}{}, from {origin}", own.unwrap_or_default())
     }
 
-    /// Takes the division, which never changes once it is known; whether it was not known before.
+    /// Sets the division unless it is known already, since it never changes. Returns whether it was unknown before.
     pub fn set(&self, partitions: Partitions) -> bool {
         self.known.send_if_modified(|known| {
-            let news = known.is_none();
+            let is_first = known.is_none();
             known.get_or_insert(partitions);
-            news
+            is_first
         })
     }
 
-    /// What a greeting says of it.
-    pub fn told(&self) -> u32 {
+    /// Returns the division as greetings encode it: the number of bits plus one, or 0 if it is unknown.
+    pub fn to_greeting(&self) -> u32 {
         self.get().map_or(0, |p| p.bits() + 1)
     }
 
-    /// Learns it from a greeting; whether that was news.
-    pub fn hear(&self, theirs: &proto::Greeting) -> bool {
-        let told = theirs.divided.checked_sub(1).and_then(Partitions::new);
-        told.is_some_and(|partitions| self.set(partitions))
+    /// Takes the division from a greeting that carries it. Returns whether it was unknown before.
+    pub fn set_from_greeting(&self, theirs: &proto::Greeting) -> bool {
+        let announced = theirs.divided.checked_sub(1).and_then(Partitions::new);
+        announced.is_some_and(|partitions| self.set(partitions))
     }
 
-    /// Whether a link is wanted to a process, by its greeting: both are of one partition.
+    /// Returns whether a link to the sender of a greeting is wanted, which is so if both belong to the same partition.
     pub fn wants(&self, theirs: &proto::Greeting) -> Wanted {
         let Some(partitions) = self.get() else {
             return Wanted::NotYet;
         };
-        if theirs.divided != self.told() {
+        if theirs.divided != self.to_greeting() {
             return Wanted::NotYet;
         }
         match partitions.of_name(&theirs.name) == partitions.of_name(&self.name) {
@@ -135,8 +135,8 @@
     }
 }
 
-/// Asks the processes that are known from the settings how the fleet is divided, and which members there are.
-pub fn ask_seeds<H: Divided>(host: &H) {
+/// Connects to the schedulers named in the settings, which know the division and the other members.
+pub fn dial_seeds<H: Divided>(host: &H) {
     for seed in &host.division().seeds {
         host.dial(*seed);
     }
@@ -148,20 +148,20 @@
 }
 
 impl<H: Divided> DivisionFollower<H> {
-    /// Somebody else has spoilt the record: the processes that run still know what it said.
-    fn note_fault(&self, item: &Item) {
-        if self.faults.is_news(&item.key) {
-            let most = partition::MAX_BITS;
-            let detail = format!("{KEY}: not a number of bits up to {most}");
+    /// Logs that the stored division is invalid, and falls back to the running processes, which still know it.
+    fn report_fault(&self, item: &Item) {
+        if self.faults.mark_logged(&item.key) {
+            let max_bits = partition::MAX_BITS;
+            let detail = format!("{DIVISION_KEY}: not a number of bits up to {max_bits}");
             self.host.log(Kind::BadRecord, detail);
         }
-        ask_seeds(&self.host);
+        dial_seeds(&self.host);
     }
 }
 
 impl<H: Divided> Follower for DivisionFollower<H> {
     fn value(&self, item: &Item) {
-        if item.key != KEY {
+        if item.key != DIVISION_KEY {
             return;
         }
         let record = serde_json::from_slice::<DivisionRecord>(&item.value);
@@ -173,12 +173,12 @@
                     .log(Kind::FleetDivided, division.describe("the store"));
             }
             Some(_) => {}
-            None => self.note_fault(item),
+            None => self.report_fault(item),
         }
     }
 
-    fn away(&self) {
-        ask_seeds(&self.host);
+    fn store_unavailable(&self) {
+        dial_seeds(&self.host);
     }
 
     fn log(&self, kind: Kind, detail: String) {
@@ -186,48 +186,54 @@
     }
 }
 
-/// Learns the division from the store, unless it becomes known otherwise.
+/// Waits until the division is known, from the store or from a greeting, and returns it.
 pub async fn learn<H: Divided, S: KeyStore>(host: H, store: Rc<S>) -> Partitions {
     let follower = DivisionFollower {
         host: host.clone(),
         faults: FaultLog::default(),
     };
-    let following = actix_rt::spawn(follow::follow(store, KEY.to_owned(), WATCH, follower));
+    let following = actix_rt::spawn(follow::follow(
+        store,
+        DIVISION_KEY.to_owned(),
+        WATCH_WAIT,
+        follower,
+    ));
     let partitions = host.division().known().await;
     following.abort();
     partitions
 }
 
-/// Divides a fleet that is not divided yet: counts its processes until two counts agree, and writes how many
-/// partitions they make. Whoever is first decides.
+/// Divides a fleet that has no division yet: counts its processes until two successive counts agree, and writes the
+/// number of partitions for that size. The first process to write decides.
 pub async fn found<H: Divided, S: KeyStore>(host: H, store: Rc<S>, policy: PartitionPolicy) {
     let spread = policy.count_again * 2;
     actix_rt::time::sleep(policy.appear + spread - jitter(spread)).await;
-    let mut before = None;
+    let mut previous_size = None;
     while host.division().get().is_none() {
-        let listed = list(&*store).await.ok();
-        let whole = listed.filter(|fleet| fleet.holds(&host.division().name));
-        let size = whole.as_ref().map(Listed::size);
-        if let Some(fleet) = whole
-            && size == before
+        let listed = list_processes(&*store).await.ok();
+        let complete = listed.filter(|fleet| fleet.is_registered(&host.division().name));
+        let size = complete.as_ref().map(ListedProcesses::size);
+        if let Some(fleet) = complete
+            && size == previous_size
         {
             let partitions = Partitions::for_fleet(&fleet.executors, &fleet.schedulers, &policy);
-            write(&host, &*store, partitions).await;
+            write_division(&host, &*store, partitions).await;
         }
-        before = size;
+        previous_size = size;
         actix_rt::time::sleep(jitter(policy.count_again * 2)).await;
     }
 }
 
-/// The names of the processes that the store lists.
-struct Listed {
+/// The names of the processes registered in the store.
+struct ListedProcesses {
     executors: Vec<String>,
     schedulers: Vec<String>,
 }
 
-impl Listed {
-    /// Whether processes had the time to register: the one of this name has, and some executor.
-    fn holds(&self, scheduler: &str) -> bool {
+impl ListedProcesses {
+    /// Returns whether `scheduler` and at least one executor are listed. A list without them is incomplete, because the
+    /// processes are still registering.
+    fn is_registered(&self, scheduler: &str) -> bool {
         let registered = self.schedulers.iter().any(|name| name == scheduler);
         registered && !self.executors.is_empty()
     }
@@ -237,23 +243,23 @@
     }
 }
 
-async fn list<S: KeyStore>(store: &S) -> Result<Listed, StoreError> {
+async fn list_processes<S: KeyStore>(store: &S) -> Result<ListedProcesses, StoreError> {
     let (executors, _) = store.list(EXECUTORS).await?;
     let (schedulers, _) = store.list(SCHEDULERS).await?;
     let name =
-        |prefix: &'static str| move |item: &Item| process_at(prefix, item).ok().map(str::to_owned);
-    Ok(Listed {
+        |prefix: &'static str| move |item: &Item| parse_name(prefix, item).ok().map(str::to_owned);
+    Ok(ListedProcesses {
         executors: executors.iter().filter_map(name(EXECUTORS)).collect(),
         schedulers: schedulers.iter().filter_map(name(SCHEDULERS)).collect(),
     })
 }
 
-/// The process that a key of the store is of.
+/// Returns the name of the process to which a key of the store belongs.
 ///
 /// # Errors
 ///
-/// When the key can't be read, or is of no process; in words.
-pub fn process_at<'a>(prefix: &str, item: &'a Item) -> Result<&'a str, String> {
+/// When the key can't be read or belongs to no process; the text says why.
+pub fn parse_name<'a>(prefix: &str, item: &'a Item) -> Result<&'a str, String> {
     if let Some(fault) = &item.fault {
         return Err(fault.clone());
     }
@@ -262,16 +268,19 @@
     name.ok_or_else(|| "not the key of a process".to_owned())
 }
 
-/// Writes the division if there is none. Whatever stands there then is learned by watching it, so an answer that is
-/// lost does no harm.
-async fn write<H: Divided, S: KeyStore>(host: &H, store: &S, partitions: Partitions) {
+/// Writes the division if the store has none. The process takes the result from its watch of the key, so a lost reply
+/// does no harm.
+async fn write_division<H: Divided, S: KeyStore>(host: &H, store: &S, partitions: Partitions) {
     let record = DivisionRecord {
         bits: partitions.bits(),
     };
     let json = serde_json::to_vec(&record).expect("a number has a JSON form");
-    if let Err(error) = store.create(KEY, json.into()).await
+    if let Err(error) = store.create(DIVISION_KEY, json.into()).await
         && error != StoreError::Conflict
     {
-        host.log(Kind::StoreUnavailable, format!("writing {KEY}: {error}"));
+        host.log(
+            Kind::StoreUnavailable,
+            format!("writing {DIVISION_KEY}: {error}"),
+        );
     }
 }
--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -28,7 +28,7 @@
 use crate::dispatch::channel::LinkEnd;
 use crate::dispatch::channel::Listener;
 use crate::dispatch::channel::Wanted;
-use crate::dispatch::day_watch::DayWatch;
+use crate::dispatch::day_watch::ClockWatch;
 use crate::dispatch::division::Divided;
 use crate::dispatch::division::Division;
 use crate::dispatch::lag::LoopLag;
@@ -74,7 +74,7 @@
     clock: BootClock,
     links: Links,
     lag: LoopLag,
-    day: DayWatch,
+    clock_watch: ClockWatch,
     log: RefCell<LogSink>,
 }
 
@@ -96,7 +96,7 @@
             clock,
             links: Links::default(),
             lag: LoopLag::default(),
-            day: DayWatch::new(clock),
+            clock_watch: ClockWatch::new(clock),
             log: RefCell::new(log),
         };
         let host = ExecutorHost {
@@ -108,7 +108,7 @@
                 if let Some(late) = ticking.inner.lag.sleep(TICK).await {
                     ticking.log(Kind::LoopLate, format!("{} ms", late.as_millis()));
                 }
-                if let Some(step) = ticking.inner.day.look(ticking.now()) {
+                if let Some(step) = ticking.inner.clock_watch.check(ticking.now()) {
                     ticking.log(Kind::ClockStepped, step.to_string());
                 }
                 ticking.with(|e, now| e.tick(now));
@@ -151,7 +151,7 @@
     pub fn process(&self) -> ProcessGauges<'_> {
         ProcessGauges {
             lag: &self.inner.lag,
-            day: &self.inner.day,
+            clock_watch: &self.inner.clock_watch,
             traffic: &self.inner.links.traffic,
             dropped: self.inner.log.borrow().dropped(),
         }
@@ -163,11 +163,11 @@
     }
 
     fn keep_link(&self, address: SocketAddr) {
-        if self.inner.links.begin(address) {
+        if self.inner.links.begin_dialling(address) {
             let host = self.clone();
             actix_rt::spawn(async move {
-                links::keep(address, host.clone(), || false).await;
-                host.inner.links.end(address);
+                links::maintain(address, host.clone(), || false).await;
+                host.inner.links.end_dialling(address);
             });
         }
     }
@@ -236,7 +236,7 @@
 
     fn greeting(&self) -> proto::Greeting {
         proto::Greeting {
-            divided: self.inner.division.told(),
+            divided: self.inner.division.to_greeting(),
             ..self.read(Executor::greeting)
         }
     }
@@ -245,14 +245,14 @@
         if theirs.executor {
             return Wanted::Never;
         }
-        if self.inner.division.hear(theirs) {
+        if self.inner.division.set_from_greeting(theirs) {
             let detail = self.inner.division.describe(&theirs.name);
             self.log(Kind::FleetDivided, detail);
         }
         self.inner.division.wants(theirs)
     }
 
-    fn directed(&self, members: Vec<proto::Member>) {
+    fn handle_redirect(&self, members: Vec<proto::Member>) {
         links::addresses(&members)
             .into_iter()
             .for_each(|address| self.dial(address));
--- a/lib/daemon/src/dispatch/follow.rs
+++ b/lib/daemon/src/dispatch/follow.rs
@@ -1,7 +1,8 @@
-//! Following the store: the operator's configuration, and which schedulers there are.
+//! Following keys of the store, such as the operator's configuration and the list of members, and keeping the key of
+//! this process registered under a lease.
 //!
-//! Both go on from what they have while the store is away. A key that has vanished condemns
-//! nobody: members are only ever added, and found dead by contact.
+//! While the store does not answer, a follower keeps the last values and retries. The disappearance of a member's key
+//! does not mean that the member is dead: members are only added here, and found dead when their links fail.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,107 +22,109 @@
 use crate::dispatch::store::Lease;
 use crate::dispatch::store::StoreError;
 
-/// Waits between tries while the store does not answer, shortest and longest.
-const RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
-/// The lease of a registered process, and how often it is renewed.
+/// The shortest and the longest delay between retries while the store does not answer.
+const RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
+/// The duration of the lease of a registered key, and the interval at which it is renewed.
 const REGISTRATION: (Duration, Duration) = (Duration::from_secs(10), Duration::from_millis(4500));
-/// Every so many renewals a process makes sure that its key stands.
-const LOOK_EVERY: u32 = 2;
+/// In every so many rounds of renewal a process checks that its key still exists.
+const VERIFY_ROUNDS: u32 = 2;
 
-/// What the follower tells, and where it writes its log lines.
+/// Handles the keys that [`follow`] reads, and writes its log lines.
 pub trait Follower: 'static {
-    /// A watched key has this value.
+    /// Handles the present value of a watched key.
     fn value(&self, item: &Item);
-    /// A watched key went at this revision.
-    fn gone(&self, _key: &str, _revision: u64) {}
-    /// All watched keys that there are, as of revision `at`. A key that is not among them is gone.
+    /// Handles the deletion of a watched key at a revision.
+    fn deleted(&self, _key: &str, _revision: u64) {}
+    /// Handles the full list of watched keys as of revision `at`. A key that is not in the list does not exist.
     fn listed(&self, items: &[Item], _at: u64) {
         items.iter().for_each(|item| self.value(item));
     }
-    /// The store has answered: what was told is what it holds.
+    /// Handles an answer of the store, which confirms that the values passed on so far are current.
     fn confirmed(&self) {}
-    /// The store does not answer, though it did before or was only just asked.
-    fn away(&self) {}
+    /// Handles the first failure of a call to the store, at the start or after an answer.
+    fn store_unavailable(&self) {}
     /// Writes a log line.
     fn log(&self, kind: Kind, detail: String);
-    /// The longest pause between tries while the store does not answer.
+    /// Returns the longest delay between retries while the store does not answer.
     fn longest_pause(&self) -> Duration {
-        RETRY.1
+        RETRY_DELAY.1
     }
 }
 
-/// What is watched: keys that begin with a prefix, after revision `at`, for up to `wait` a call.
+/// The start of a watch: the prefix of the keys, the revision `at` to continue from, and the wait of one call.
 #[derive(Clone, Copy, Debug)]
-struct Watching<'a> {
+struct WatchStart<'a> {
     prefix: &'a str,
     at: u64,
     wait: Duration,
 }
 
-/// At most so many keys that can't be read are remembered as logged; more are not logged.
-const FAULTS_LOGGED: usize = 100;
+/// The maximum number of unreadable keys that are remembered as logged. Further keys are not logged.
+const MAX_LOGGED_FAULTS: usize = 100;
 
-/// Logs each key that can't be read once.
+/// Logs each unreadable key only once.
 #[derive(Debug, Default)]
 pub struct FaultLog {
     logged: RefCell<HashSet<String>>,
 }
 
 impl FaultLog {
-    /// Logs that a key or its value can't be read, if so and if that was not logged before.
-    pub fn note<F: Follower>(&self, follower: &F, item: &Item) {
+    /// Logs the fault of a key or value that can't be read, unless the key was logged before.
+    pub fn log_item<F: Follower>(&self, follower: &F, item: &Item) {
         let Some(fault) = &item.fault else {
             return;
         };
-        if self.is_news(&item.key) {
+        if self.mark_logged(&item.key) {
             follower.log(Kind::BadRecord, format!("{}: {fault}", item.key));
         }
     }
 
-    /// Whether nothing was logged of a key yet. Counts as logged from now on.
-    pub fn is_news(&self, key: &str) -> bool {
+    /// Marks a key as logged. Returns whether it is to be logged now, which is so for the first call for each key until
+    /// the limit is reached.
+    pub fn mark_logged(&self, key: &str) -> bool {
         let mut logged = self.logged.borrow_mut();
-        logged.len() < FAULTS_LOGGED && logged.insert(key.to_owned())
+        logged.len() < MAX_LOGGED_FAULTS && logged.insert(key.to_owned())
     }
 }
 
-/// Follows all keys that begin with a prefix, for as long as the process lives. `wait` is how
-/// long one watch waits.
+/// Follows all keys that begin with a prefix, for as long as the process runs. Each watch call waits up to `wait`.
 pub async fn follow<S: KeyStore, F: Follower>(
     store: Rc<S>,
     prefix: String,
     wait: Duration,
     follower: F,
 ) {
-    let away = Cell::new(false);
+    let unavailable = Cell::new(false);
     let faults = FaultLog::default();
-    let mut pause = RETRY.0;
+    let mut delay = RETRY_DELAY.0;
     loop {
         let read = store.list(&prefix).await;
         match read {
             Ok((items, at)) => {
-                note_back(&follower, &away, &prefix);
-                pause = RETRY.0;
-                items.iter().for_each(|item| faults.note(&follower, item));
+                log_recovered(&follower, &unavailable, &prefix);
+                delay = RETRY_DELAY.0;
+                items
+                    .iter()
+                    .for_each(|item| faults.log_item(&follower, item));
                 follower.listed(&items, at);
                 follower.confirmed();
                 let prefix = prefix.as_str();
-                let from = Watching { prefix, at, wait };
+                let from = WatchStart { prefix, at, wait };
                 let error = watch(&*store, from, &follower, &faults).await;
-                note_away(&follower, &away, prefix, &error);
+                log_unavailable(&follower, &unavailable, prefix, &error);
             }
-            Err(error) => note_away(&follower, &away, &prefix, &error),
+            Err(error) => log_unavailable(&follower, &unavailable, &prefix, &error),
         }
-        let longest = follower.longest_pause();
-        actix_rt::time::sleep(jitter(pause.min(longest))).await;
-        pause = (pause * 2).min(longest);
+        let max_delay = follower.longest_pause();
+        actix_rt::time::sleep(jitter(delay.min(max_delay))).await;
+        delay = (delay * 2).min(max_delay);
     }
 }
 
-/// Watches from a revision on until that fails.
+/// Watches from a revision on until a call fails, and returns the error.
 async fn watch<S: KeyStore, F: Follower>(
     store: &S,
-    from: Watching<'_>,
+    from: WatchStart<'_>,
     follower: &F,
     faults: &FaultLog,
 ) -> StoreError {
@@ -133,10 +136,10 @@
                 for change in changes {
                     match change {
                         Change::Put(item) => {
-                            faults.note(follower, &item);
+                            faults.log_item(follower, &item);
                             follower.value(&item);
                         }
-                        Change::Gone { key, revision } => follower.gone(&key, revision),
+                        Change::Gone { key, revision } => follower.deleted(&key, revision),
                     }
                 }
                 follower.confirmed();
@@ -146,9 +149,14 @@
     }
 }
 
-fn note_away<F: Follower>(follower: &F, away: &Cell<bool>, prefix: &str, error: &StoreError) {
-    if !away.replace(true) {
-        follower.away();
+fn log_unavailable<F: Follower>(
+    follower: &F,
+    unavailable: &Cell<bool>,
+    prefix: &str,
+    error: &StoreError,
+) {
+    if !unavailable.replace(true) {
+        follower.store_unavailable();
         follower.log(
             Kind::StoreUnavailable,
             format!("watching {prefix}: {error}"),
@@ -156,42 +164,42 @@
     }
 }
 
-fn note_back<F: Follower>(follower: &F, away: &Cell<bool>, prefix: &str) {
-    if away.replace(false) {
+fn log_recovered<F: Follower>(follower: &F, unavailable: &Cell<bool>, prefix: &str) {
+    if unavailable.replace(false) {
         follower.log(Kind::StoreRecovered, format!("watching {prefix}"));
     }
 }
 
-/// Keeps a key under a lease until `leaving` is cancelled, and takes it away then. Each new value
-/// is written at once.
+/// Keeps a key registered under a lease until `leaving` is cancelled, and then removes it by ending the lease. Writes
+/// each new value at once.
 pub async fn keep_registered<S: KeyStore>(
     store: Rc<S>,
     key: String,
     mut value: watch::Receiver<Bytes>,
     leaving: CancellationToken,
 ) {
-    let mut entry: Option<Entry> = None;
+    let mut registered: Option<Registered> = None;
     let mut rounds = 0u32;
-    let mut pause = RETRY.0;
+    let mut delay = RETRY_DELAY.0;
     while !leaving.is_cancelled() {
-        let now = value.borrow_and_update().clone();
-        let kept = match &entry {
-            Some(held) => keep(&*store, held, &key, now, rounds).await,
-            None => enter(&*store, &key, now).await,
+        let current = value.borrow_and_update().clone();
+        let result = match &registered {
+            Some(registration) => refresh(&*store, registration, &key, current, rounds).await,
+            None => register(&*store, &key, current).await,
         };
         rounds = rounds.wrapping_add(1);
-        let wait = match kept {
-            Ok(held) => {
-                entry = Some(held);
-                pause = RETRY.0;
+        let wait = match result {
+            Ok(registration) => {
+                registered = Some(registration);
+                delay = RETRY_DELAY.0;
                 REGISTRATION.1
             }
             Err(error) => {
                 if error == StoreError::NoLease {
-                    entry = None;
+                    registered = None;
                 }
-                let wait = pause;
-                pause = (pause * 2).min(RETRY.1);
+                let wait = delay;
+                delay = (delay * 2).min(RETRY_DELAY.1);
                 wait
             }
         };
@@ -201,75 +209,79 @@
             () = changed(&mut value) => {}
         }
     }
-    if let Some(held) = entry {
-        let _ = store.end(held.lease).await;
+    if let Some(registration) = registered {
+        let _ = store.end(registration.lease).await;
     }
 }
 
-/// Waits until there is a new value; for good if there will be none.
+/// Waits for a new value. Never returns if the sender is dropped.
 async fn changed(value: &mut watch::Receiver<Bytes>) {
     if value.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Reads a key, trying until the store answers.
-pub async fn read<S: KeyStore>(store: &S, key: &str) -> Option<Item> {
-    let mut pause = RETRY.0;
+/// Reads a key, retrying until the store answers.
+pub async fn read_with_retry<S: KeyStore>(store: &S, key: &str) -> Option<Item> {
+    let mut delay = RETRY_DELAY.0;
     loop {
         if let Ok((item, _)) = store.get(key).await {
             return item;
         }
-        actix_rt::time::sleep(jitter(pause)).await;
-        pause = (pause * 2).min(RETRY.1);
+        actix_rt::time::sleep(jitter(delay)).await;
+        delay = (delay * 2).min(RETRY_DELAY.1);
     }
 }
 
-/// Reads all keys that stand under a prefix, trying until the store answers.
-pub async fn list<S: KeyStore>(store: &S, prefix: &str) -> Vec<Item> {
-    let mut pause = RETRY.0;
+/// Reads all keys that begin with a prefix, retrying until the store answers.
+pub async fn list_with_retry<S: KeyStore>(store: &S, prefix: &str) -> Vec<Item> {
+    let mut delay = RETRY_DELAY.0;
     loop {
         if let Ok((items, _)) = store.list(prefix).await {
             return items;
         }
-        actix_rt::time::sleep(jitter(pause)).await;
-        pause = (pause * 2).min(RETRY.1);
+        actix_rt::time::sleep(jitter(delay)).await;
+        delay = (delay * 2).min(RETRY_DELAY.1);
     }
 }
 
-/// A key as it was last written.
-struct Entry {
+/// A registered key: its lease and the value last written.
+struct Registered {
     lease: Lease,
     value: Bytes,
 }
 
-async fn enter<S: KeyStore>(store: &S, key: &str, value: Bytes) -> Result<Entry, StoreError> {
+async fn register<S: KeyStore>(
+    store: &S,
+    key: &str,
+    value: Bytes,
+) -> Result<Registered, StoreError> {
     let lease = store.grant(REGISTRATION.0).await?;
     store.put(key, value.clone(), Some(lease)).await?;
-    Ok(Entry { lease, value })
+    Ok(Registered { lease, value })
 }
 
-/// Writes a new value, or renews the lease; now and then makes sure that the key is there, since
-/// keys can be taken away while their lease lives.
-async fn keep<S: KeyStore>(
+/// Writes a changed value, or renews the lease. Checks now and then that the key still exists, because a key can be
+/// deleted while its lease is valid.
+async fn refresh<S: KeyStore>(
     store: &S,
-    held: &Entry,
+    registration: &Registered,
     key: &str,
     value: Bytes,
     rounds: u32,
-) -> Result<Entry, StoreError> {
-    let lease = held.lease;
-    if value != held.value {
+) -> Result<Registered, StoreError> {
+    let lease = registration.lease;
+    if value != registration.value {
         store.put(key, value.clone(), Some(lease)).await?;
-        return Ok(Entry { lease, value });
+        return Ok(Registered { lease, value });
     }
     store.renew(lease).await?;
-    if rounds.is_multiple_of(LOOK_EVERY) {
-        // A key that seems to be missing since the reading is old is written once more, which does no harm.
-        let (item, _) = store.peek(key).await?;
+    if rounds.is_multiple_of(VERIFY_ROUNDS) {
+        // A stale read may miss an existing key; writing it once more does no harm.
+        let (item, _) = store.get_stale(key).await?;
         if item.is_none() {
             store.put(key, value.clone(), Some(lease)).await?;
         }
     }
-    Ok(Entry { lease, value })
+    Ok(Registered { lease, value })
 }
--- a/lib/daemon/src/dispatch/links.rs
+++ b/lib/daemon/src/dispatch/links.rs
@@ -1,4 +1,4 @@
-//! The open links of a process, and the addresses it keeps connecting to.
+//! The open links of a process and the addresses to which it maintains connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,22 +18,22 @@
 use crate::dispatch::channel::Listener;
 use crate::dispatch::traffic::Traffic;
 
-/// The links.
+/// The open links of a process, by their numbers, and the addresses being dialled.
 #[derive(Default)]
 pub struct Links {
-    /// What passes on them.
+    /// The traffic counters for all links.
     pub traffic: Rc<Traffic>,
     open: RefCell<HashMap<LinkId, ChannelSender>>,
     dialling: RefCell<HashSet<SocketAddr>>,
 }
 
 impl Links {
-    /// Notes a link that is up.
+    /// Adds a link that is up.
     pub fn insert(&self, link: LinkId, sender: ChannelSender) {
         self.open.borrow_mut().insert(link, sender);
     }
 
-    /// Forgets a link, which closes it; what is queued on it is dropped.
+    /// Removes a link, which closes it and discards its queued frames.
     pub fn remove(&self, link: LinkId) {
         self.open.borrow_mut().remove(&link);
     }
@@ -45,48 +45,48 @@
         }
     }
 
-    /// Notes that an address is connected to from now on; whether that is new.
-    pub fn begin(&self, address: SocketAddr) -> bool {
+    /// Marks an address as being dialled. Returns whether it was not marked before.
+    pub fn begin_dialling(&self, address: SocketAddr) -> bool {
         self.dialling.borrow_mut().insert(address)
     }
 
-    /// Notes that an address is connected to no more.
-    pub fn end(&self, address: SocketAddr) {
+    /// Marks an address as no longer being dialled.
+    pub fn end_dialling(&self, address: SocketAddr) {
         self.dialling.borrow_mut().remove(&address);
     }
 }
 
-/// The addresses of members, as far as they can be read.
+/// Returns the addresses of members, skipping those that can't be parsed.
 pub fn addresses(members: &[Member]) -> Vec<SocketAddr> {
     let parse = |m: &Member| m.address.parse().ok();
     members.iter().filter_map(parse).collect()
 }
 
-/// Keeps a link to an address for as long as the process lives, or until the process there is found to be of another
-/// partition. While `linked` says that there is a link already, it only looks again.
-pub async fn keep<L: Listener>(address: SocketAddr, listener: L, linked: impl Fn() -> bool) {
+/// Maintains a link to an address for as long as this process runs, or until the process there turns out to belong to
+/// another partition. While `linked` returns true there is a link already, and it only polls `linked` again.
+pub async fn maintain<L: Listener>(address: SocketAddr, listener: L, linked: impl Fn() -> bool) {
     let policy = listener.policy();
     let mut wait = policy.redial_first;
-    let mut patience = policy.connect_first;
+    let mut connect_timeout = policy.connect_first;
     loop {
         if linked() {
             actix_rt::time::sleep(policy.redial_last).await;
             continue;
         }
-        match channel::dial(address, patience, &listener).await {
+        match channel::dial(address, connect_timeout, &listener).await {
             Ok(()) => {
                 wait = policy.redial_first;
-                patience = policy.connect_first;
+                connect_timeout = policy.connect_first;
             }
-            Err(ChannelError::Foreign) => return,
-            Err(_) => patience = (patience * 2).min(policy.greeting),
+            Err(ChannelError::OtherPartition) => return,
+            Err(_) => connect_timeout = (connect_timeout * 2).min(policy.greeting),
         }
         actix_rt::time::sleep(jitter(wait)).await;
         wait = (wait * 2).min(policy.redial_last);
     }
 }
 
-/// A wait somewhere between half of `span` and all of it.
+/// Returns a random duration between half of `span` and `span`, so that processes don't retry in step.
 pub fn jitter(span: Duration) -> Duration {
     span.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/lib/daemon/src/dispatch/log_sink.rs
+++ b/lib/daemon/src/dispatch/log_sink.rs
@@ -1,8 +1,8 @@
-//! Log lines on standard output that never hold a process up.
+//! A log sink that never blocks the process.
 //!
-//! Lines go through a bounded queue to a thread that writes them. When the queue is full, or an
-//! event comes too often within a second, lines are left out and counted; the count is written
-//! when there is room again. Failures and warnings have a larger share than the rest.
+//! Lines go through a bounded queue to a thread that writes them. Lines that find the queue full or exceed the budget
+//! of their event for one second are left out and counted; a later line carries the count. Errors and warnings have a
+//! larger budget than informational events.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -19,18 +19,19 @@
 
 use crate::day_time;
 
-/// Lines that may wait to be written.
-const QUEUE: usize = 4096;
-/// Lines of one informational event within a second.
+/// The number of lines that may wait to be written.
+const QUEUE_LINES: usize = 4096;
+/// The maximum number of lines of one informational event within a second.
 const INFO_BUDGET: u32 = 120;
-/// Lines of one warning or error within a second.
+/// The maximum number of lines of one warning or error within a second.
 const WARN_BUDGET: u32 = 300;
-/// Lines are gathered for this long before they are written.
-const GATHER: Duration = Duration::from_millis(100);
-/// At most so many lines are gathered, a quarter of the queue. Without a bound the writer took lines for as long as
-/// they came, before it had written any, and none was counted as left out.
-const GATHERED: usize = QUEUE / 4;
+/// The time for which lines are collected before they are written.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// The maximum number of lines in one batch, a quarter of the queue. Without this limit the writer could collect lines
+/// for as long as they arrive without writing any, and none would be counted as left out.
+const MAX_BATCH_LINES: usize = QUEUE_LINES / 4;
 
+/// The lines of one event in the present second.
 #[derive(Debug, Default)]
 struct Budget {
     second: u64,
@@ -38,7 +39,7 @@
     left_out: u64,
 }
 
-/// The sink.
+/// Writes log lines from a thread of its own.
 pub struct LogSink {
     node: String,
     lines: SyncSender<String>,
@@ -49,14 +50,14 @@
 }
 
 impl LogSink {
-    /// A sink that writes to standard output.
+    /// Creates a sink that writes to standard output.
     pub fn stdout(node: &str) -> LogSink {
         LogSink::new(node, std::io::stdout())
     }
 
-    /// A sink that writes to `out`, on a thread of its own.
+    /// Creates a sink that writes to `out` on a thread of its own.
     pub fn new(node: &str, out: impl Write + Send + 'static) -> LogSink {
-        let (lines, queue) = sync_channel(QUEUE);
+        let (lines, queue) = sync_channel(QUEUE_LINES);
         std::thread::spawn(move || write(queue, out));
         LogSink {
             node: node.to_owned(),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Writes an event, unless there are too many of its kind.
+    /// Writes an event, unless the budget of its kind for this second is used up.
     pub fn log(&mut self, now: Mono, event: &Event) {
         let second = now.0 / 1_000_000;
         let budget = self.budgets.entry(event.kind).or_default();
@@ -77,11 +78,11 @@
             budget.used = 0;
             left_out = std::mem::take(&mut budget.left_out);
         }
-        let most = match event.kind.level() {
+        let limit = match event.kind.level() {
             Level::Info => INFO_BUDGET,
             Level::Warn | Level::Error => WARN_BUDGET,
         };
-        if budget.used >= most {
+        if budget.used >= limit {
             budget.left_out += 1;
             return;
         }
@@ -89,7 +90,7 @@
         self.write(now, event, left_out);
     }
 
-    /// Lines that were left out because the reader was too slow.
+    /// Returns the number of lines that were left out because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
@@ -129,8 +130,8 @@
 fn write(queue: Receiver<String>, mut out: impl Write) {
     while let Ok(first) = queue.recv() {
         let mut text = first;
-        std::thread::sleep(GATHER);
-        for more in queue.try_iter().take(GATHERED - 1) {
+        std::thread::sleep(BATCH_DELAY);
+        for more in queue.try_iter().take(MAX_BATCH_LINES - 1) {
             text.push_str(&more);
         }
         if out.write_all(text.as_bytes()).is_err() {
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -13,7 +13,7 @@
 use stackcourse_lib::dispatch::scheduler::Scheduler;
 use stackcourse_lib::prelude::Mono;
 
-use crate::dispatch::day_watch::DayWatch;
+use crate::dispatch::day_watch::ClockWatch;
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::traffic::Traffic;
 
@@ -66,7 +66,7 @@
     /// The delay of the event loop.
     pub lag: &'a LoopLag,
     /// The box's clock.
-    pub day: &'a DayWatch,
+    pub clock_watch: &'a ClockWatch,
     /// The links' traffic.
     pub traffic: &'a Traffic,
     /// Log lines that were left out because their reader was too slow.
@@ -80,7 +80,7 @@
         let help = "The delay of the process's event loop in milliseconds, the newest and the \
                     longest since the last reading.";
         page.gauges("loop_lag_ms", help, &lag);
-        let ahead = [("box", self.day.ahead_ms())];
+        let ahead = [("box", self.clock_watch.ahead_ms())];
         let help = "How far the box's clock is ahead of the time of day at the process's start, \
                     carried on by a clock that never steps; in milliseconds.";
         page.gauges("clock_ahead_ms", help, &ahead);
--- a/lib/daemon/src/dispatch/processor.rs
+++ b/lib/daemon/src/dispatch/processor.rs
@@ -1,4 +1,4 @@
-//! How much of the processor time that it may use a process uses.
+//! Measurement of the share of its processor time limit that a process uses.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,33 +6,34 @@
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// A share is taken over this long: a process that is held back by its limit runs by turns of a tenth of that.
-const SPAN: Duration = Duration::from_secs(1);
-/// A process is held back by its limit, so a reading above this, in percent, is not of processor time: some systems give
-/// the steady clock instead. An entry that took it at its word would be handed nothing.
-const MOST_PLAUSIBLE: u32 = 150;
+/// The minimum time between two samples. A process throttled by its limit runs in periods of a tenth of this, so a
+/// sample covers several of them.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Shares above this are discarded, in percent. The limit keeps real shares below it, but some systems return the
+/// monotonic clock instead of the processor time, and an entry that trusted such a value would be handed no jobs.
+const MAX_PLAUSIBLE_PERCENT: u32 = 150;
 
-/// What a process has used since a reading.
+/// Measures the share of its processor time that this process uses.
 #[derive(Debug)]
 pub struct ProcessorUse {
-    /// The cores that the process may use; none if the settings do not say.
+    /// The cores that the process may use; none if the settings don't give them.
     cores: Option<f64>,
-    /// The time of the last reading and the processor time by then; none before the first.
+    /// The time of the last sample and the processor time used until then; none before the first sample.
     last: Cell<Option<(Duration, Duration)>>,
 }
 
 impl ProcessorUse {
-    /// The use of a process that may use `cores`.
+    /// Creates a measurement for a process that may use `cores`.
     pub fn new(cores: Option<f64>) -> ProcessorUse {
         let last = Cell::default();
         ProcessorUse { cores, last }
     }
 
-    /// The share used since the last reading, in percent, if it is time for one at `elapsed`.
+    /// Returns the share used since the last sample, in percent, if a sample is due at `elapsed`.
     pub fn read(&self, elapsed: Duration) -> Option<u32> {
         let cores = self.cores?;
         let last = self.last.get();
-        if last.is_some_and(|(at, _)| elapsed.saturating_sub(at) < SPAN) {
+        if last.is_some_and(|(at, _)| elapsed.saturating_sub(at) < SAMPLE_INTERVAL) {
             return None;
         }
         let used_now = processor_time()?;
@@ -42,14 +43,14 @@
     }
 }
 
-/// What share `used` is of what `cores` give in `span`, in percent; none if that can't be.
+/// Returns `used` in percent of the processor time of `cores` in `span`; none if the result is implausible.
 pub fn share_percent(used: Duration, span: Duration, cores: f64) -> Option<u32> {
     let granted = span.as_secs_f64() * cores;
     let share = (granted > 0.0).then(|| (used.as_secs_f64() / granted * 100.0).round() as u32);
-    share.filter(|percent| *percent <= MOST_PLAUSIBLE)
+    share.filter(|percent| *percent <= MAX_PLAUSIBLE_PERCENT)
 }
 
-/// The processor time of this process; none where the system does not tell.
+/// Returns the processor time of this process; none if the system does not provide it.
 fn processor_time() -> Option<Duration> {
     let time = clock_gettime(ClockId::CLOCK_PROCESS_CPUTIME_ID).ok()?;
     Some(Duration::from(time))
--- a/lib/daemon/src/dispatch/recall.rs
+++ b/lib/daemon/src/dispatch/recall.rs
@@ -51,7 +51,7 @@
     leaving: CancellationToken,
 ) {
     tokio::select! {
-        item = follow::read(&*store, &key) => {
+        item = follow::read_with_retry(&*store, &key) => {
             if let Some(item) = item {
                 restore_worker(&host, &item.value);
             }
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -32,7 +32,7 @@
 use crate::dispatch::channel::LinkEnd;
 use crate::dispatch::channel::Listener;
 use crate::dispatch::channel::Wanted;
-use crate::dispatch::day_watch::DayWatch;
+use crate::dispatch::day_watch::ClockWatch;
 use crate::dispatch::division::Divided;
 use crate::dispatch::division::Division;
 use crate::dispatch::forwarding::ForwarderHost;
@@ -66,7 +66,7 @@
     own: SocketAddr,
     links: Links,
     lag: LoopLag,
-    day: DayWatch,
+    clock_watch: ClockWatch,
     processor: ProcessorUse,
     callers: RefCell<HashMap<CallerId, oneshot::Sender<JobOutcome>>>,
     next_caller: Cell<u64>,
@@ -146,7 +146,7 @@
             own,
             links: Links::default(),
             lag: LoopLag::default(),
-            day: DayWatch::new(clock),
+            clock_watch: ClockWatch::new(clock),
             processor: ProcessorUse::new(cores),
             callers: RefCell::default(),
             next_caller: Cell::new(1),
@@ -172,7 +172,7 @@
                 if let Some(late) = ticking.inner.lag.sleep(TICK).await {
                     ticking.log(Kind::LoopLate, format!("{} ms", late.as_millis()));
                 }
-                if let Some(step) = ticking.inner.day.look(ticking.now()) {
+                if let Some(step) = ticking.inner.clock_watch.check(ticking.now()) {
                     ticking.log(Kind::ClockStepped, step.to_string());
                 }
                 let elapsed = ticking.inner.clock.elapsed();
@@ -333,14 +333,14 @@
     pub fn process(&self) -> ProcessGauges<'_> {
         ProcessGauges {
             lag: &self.inner.lag,
-            day: &self.inner.day,
+            clock_watch: &self.inner.clock_watch,
             traffic: &self.inner.links.traffic,
             dropped: self.inner.log.borrow().dropped(),
         }
     }
 
     fn keep_link(&self, address: SocketAddr) {
-        if address == self.inner.own || !self.inner.links.begin(address) {
+        if address == self.inner.own || !self.inner.links.begin_dialling(address) {
             return;
         }
         let host = self.clone();
@@ -352,8 +352,8 @@
             let known = address.to_string();
             let reading = host.clone();
             let linked = move || reading.read(|s| s.is_linked_to(&known));
-            links::keep(address, host.clone(), linked).await;
-            host.inner.links.end(address);
+            links::maintain(address, host.clone(), linked).await;
+            host.inner.links.end_dialling(address);
         });
     }
 
@@ -395,7 +395,7 @@
 
     fn greeting(&self) -> proto::Greeting {
         proto::Greeting {
-            divided: self.inner.division.told(),
+            divided: self.inner.division.to_greeting(),
             ..self.read(Scheduler::greeting)
         }
     }
@@ -404,7 +404,7 @@
         if theirs.address == self.inner.own.to_string() && !theirs.executor {
             return Wanted::Never;
         }
-        if self.inner.division.hear(theirs) {
+        if self.inner.division.set_from_greeting(theirs) {
             let detail = self.inner.division.describe(&theirs.name);
             self.log(Kind::FleetDivided, detail);
         }
@@ -414,12 +414,12 @@
         }
     }
 
-    fn directions(&self, theirs: &proto::Greeting) -> Vec<proto::Member> {
+    fn redirect_targets(&self, theirs: &proto::Greeting) -> Vec<proto::Member> {
         let named = |f: &Forwarder| f.schedulers_beside(&theirs.name);
         self.forwarder().map(|f| f.read(named)).unwrap_or_default()
     }
 
-    fn directed(&self, members: Vec<proto::Member>) {
+    fn handle_redirect(&self, members: Vec<proto::Member>) {
         links::addresses(&members)
             .into_iter()
             .for_each(|address| self.dial(address));
--- a/lib/daemon/src/dispatch/traffic.rs
+++ b/lib/daemon/src/dispatch/traffic.rs
@@ -1,4 +1,5 @@
-//! What passes on the links of a process: frames by kind each way, and what waits to be sent.
+//! Traffic counters for the links of a process: frames by kind and bytes in each direction, and the frames and bytes
+//! that wait to be sent.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,7 +9,7 @@
 use bytes::Bytes;
 use stackcourse_lib::protos::dispatch::frame::Body;
 
-/// Kinds of frames, as the metrics name them.
+/// Names of the kinds of frames in the metrics.
 const KINDS: [&str; 6] = [
     "greeting",
     "orders",
@@ -29,7 +30,7 @@
     }
 }
 
-/// Counts of one direction.
+/// Counters for one direction.
 #[derive(Debug, Default)]
 struct Direction {
     frames: [Cell<u64>; KINDS.len()],
@@ -59,13 +60,12 @@
 }
 
 impl Traffic {
-    /// Counts a frame that came in.
+    /// Counts a received frame.
     pub fn count_received(&self, body: &Body, bytes: usize) {
         self.received.count(kind_of(body), bytes);
     }
 
-    /// Counts a frame that is to be sent, and its encoded form; it counts as waiting until it is
-    /// dropped.
+    /// Counts a frame to be sent and wraps its encoded form, which counts as waiting until it is dropped.
     pub fn enqueue(self: &Rc<Traffic>, body: &Body, bytes: Bytes) -> Outgoing {
         self.sent.count(kind_of(body), bytes.len());
         self.waiting_frames.set(self.waiting_frames.get() + 1);
@@ -73,32 +73,32 @@
             .set(self.waiting_bytes.get() + bytes.len());
         Outgoing {
             bytes,
-            since: Instant::now(),
+            queued_at: Instant::now(),
             traffic: self.clone(),
         }
     }
 
-    /// Frames sent, by kind.
+    /// Returns the number of frames sent, by kind.
     pub fn sent(&self) -> impl Iterator<Item = (&'static str, u64)> {
         self.sent.frames()
     }
 
-    /// Frames received, by kind.
+    /// Returns the number of frames received, by kind.
     pub fn received(&self) -> impl Iterator<Item = (&'static str, u64)> {
         self.received.frames()
     }
 
-    /// Bytes sent, and bytes received.
+    /// Returns the number of bytes sent and of bytes received.
     pub fn bytes(&self) -> [u64; 2] {
         [self.sent.bytes.get(), self.received.bytes.get()]
     }
 
-    /// Frames and bytes that wait in the send queues of all links.
+    /// Returns the number of frames and of bytes that wait in the send queues of all links.
     pub fn waiting(&self) -> [usize; 2] {
         [self.waiting_frames.get(), self.waiting_bytes.get()]
     }
 
-    /// The longest wait in a send queue since this was last asked.
+    /// Returns the longest wait in a send queue since the last call, and resets it.
     pub fn take_longest_wait(&self) -> Duration {
         self.longest_wait.take()
     }
@@ -108,12 +108,12 @@
 #[derive(Debug)]
 pub struct Outgoing {
     bytes: Bytes,
-    since: Instant,
+    queued_at: Instant,
     traffic: Rc<Traffic>,
 }
 
 impl Outgoing {
-    /// What is to be written.
+    /// Returns the encoded frame.
     pub fn bytes(&self) -> Bytes {
         self.bytes.clone()
     }
@@ -125,7 +125,7 @@
         traffic.waiting_frames.set(traffic.waiting_frames.get() - 1);
         let bytes = traffic.waiting_bytes.get() - self.bytes.len();
         traffic.waiting_bytes.set(bytes);
-        let longest = traffic.longest_wait.get().max(self.since.elapsed());
+        let longest = traffic.longest_wait.get().max(self.queued_at.elapsed());
         traffic.longest_wait.set(longest);
     }
 }
