--- a/lib/daemon/src/dispatch.rs
+++ b/lib/daemon/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! The processes of the dispatch plane: they give its state machines a clock, links, a store and
-//! a worker.
+//! The processes of the dispatch plane, which provide its state machines with a clock, links, a store and a worker.
 //!
-//! Everything of a process runs on one thread. The state machine stands in a cell; whatever
-//! happens is handed to it, and what it wants done is done before the next thing is looked at.
+//! Each process runs on a single thread and holds its state machine in a `RefCell`. It passes every event to the state
+//! machine and performs the resulting actions before it handles the next event.
 
+pub mod agent_record;
 pub mod channel;
 pub mod day_watch;
 pub mod division;
@@ -16,7 +16,6 @@
 pub mod log_sink;
 pub mod metrics_page;
 pub mod processor;
-pub mod recall;
 pub mod scheduler_host;
 pub mod store;
 pub mod traffic;
--- a/lib/daemon/src/dispatch/recall.rs
+++ b/lib/daemon/src/dispatch/agent_record.rs
@@ -1,7 +1,8 @@
-//! What an agent keeps in the store for its next life: what its worker says of itself. A worker
-//! speaks up every second or two; an agent that was killed and started again asks it at once
-//! under the life that stands in the store. If the worker is still in that life it is known at once
-//! what runs there; tasks start once the worker has said again what room it has.
+//! The record that an agent keeps in the store for its next incarnation: the last heartbeat of its worker.
+//!
+//! A worker sends a heartbeat only every second or two. An agent that was killed and started again uses the record to
+//! ask the worker at once for its runs, under the recorded incarnation of the worker. If that incarnation still runs,
+//! the agent knows its runs at once; new tasks start only after the next heartbeat has reported the capacity.
 
 use std::rc::Rc;
 
@@ -21,30 +22,30 @@
 /// The value of an agent's key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgentRecord {
-    /// What the worker last said of itself; none if there is no worker.
+    /// The worker's last heartbeat; none if there is no worker.
     pub worker: Option<WorkerHeartbeat>,
 }
 
 impl AgentRecord {
-    /// Reads a value of the store.
+    /// Parses a record from a value of the store.
     ///
     /// # Errors
     ///
-    /// When it is no such record.
+    /// When the value is not such a record.
     pub fn parse(value: &[u8]) -> Result<AgentRecord, serde_json::Error> {
         serde_json::from_slice(value)
     }
 
-    /// As it stands in the store.
+    /// Returns the record as it is stored.
     pub fn bytes(&self) -> Bytes {
         let json = serde_json::to_vec(self);
         json.expect("texts and numbers have a JSON form").into()
     }
 }
 
-/// Keeps an agent's key until `leaving` is cancelled, after having read what its earlier life has
-/// left there, and writes it anew when the worker says something new.
-pub async fn keep_recorded<W: Worker, S: KeyStore>(
+/// Restores the worker from the record of the agent's earlier incarnation, then keeps the agent's key registered until
+/// `leaving` is cancelled and writes each change of the worker's heartbeat to it.
+pub async fn maintain_record<W: Worker, S: KeyStore>(
     host: ExecutorHost<W>,
     store: Rc<S>,
     key: String,
@@ -58,9 +59,9 @@
         }
         () = leaving.cancelled() => return,
     }
-    let kept = host.kept();
-    let (told, value) = watch::channel(record(&kept.borrow()));
-    let writing = actix_rt::spawn(pass_on(kept, told));
+    let saved_heartbeat = host.saved_heartbeat();
+    let (sender, value) = watch::channel(record(&saved_heartbeat.borrow()));
+    let writing = actix_rt::spawn(write_changes(saved_heartbeat, sender));
     follow::keep_registered(store, key, value, leaving).await;
     writing.abort();
 }
@@ -80,9 +81,12 @@
     }
 }
 
-/// Passes on what the worker says of itself, as it changes.
-async fn pass_on(mut kept: watch::Receiver<Option<WorkerHeartbeat>>, told: watch::Sender<Bytes>) {
-    while kept.changed().await.is_ok() {
-        told.send_replace(record(&kept.borrow_and_update()));
+/// Turns each change of the worker's heartbeat into a new value for the key.
+async fn write_changes(
+    mut saved_heartbeat: watch::Receiver<Option<WorkerHeartbeat>>,
+    sender: watch::Sender<Bytes>,
+) {
+    while saved_heartbeat.changed().await.is_ok() {
+        sender.send_replace(record(&saved_heartbeat.borrow_and_update()));
     }
 }
--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -1,4 +1,4 @@
-//! An executor under the real runtime.
+//! The host of an executor: it connects the state machine to the clock, the links, the worker and the log.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -38,20 +38,20 @@
 use crate::dispatch::metrics_page::ProcessGauges;
 use crate::dispatch::traffic::Traffic;
 
-/// Time passes for the executor in steps of this.
+/// The interval between ticks of the executor.
 const TICK: Duration = Duration::from_millis(25);
 
-/// A worker, as an executor speaks to it.
+/// The calls that an executor makes to its worker.
 pub trait Worker: 'static {
     /// Starts a run.
     fn start(&self, call: StartCall) -> impl Future<Output = OrderReply>;
     /// Stops a run.
     fn stop(&self, life: String, run: RunName, fence: u64) -> impl Future<Output = OrderReply>;
-    /// Keeps the runs alive and lists them.
+    /// Renews the runs and lists them.
     fn hold(&self, call: HoldCall) -> impl Future<Output = HoldReply>;
 }
 
-/// An executor, its links and its worker.
+/// An executor with its links and its worker. Cheap to clone.
 pub struct ExecutorHost<W> {
     inner: Rc<Inner<W>>,
 }
@@ -69,8 +69,8 @@
     division: Division,
     executor: RefCell<Executor>,
     worker: W,
-    /// What the worker says of itself, to be kept for the next life.
-    kept: watch::Sender<Option<WorkerHeartbeat>>,
+    /// The worker's heartbeat to be stored for the agent's next incarnation.
+    saved_heartbeat: watch::Sender<Option<WorkerHeartbeat>>,
     clock: BootClock,
     links: Links,
     lag: LoopLag,
@@ -79,7 +79,7 @@
 }
 
 impl<W: Worker> ExecutorHost<W> {
-    /// Starts an executor. `seeds` are asked who there is while the store does not answer.
+    /// Starts an executor. It asks the `seeds` for the members while the store does not answer.
     pub fn start(
         setup: ExecutorSetup,
         seeds: Vec<SocketAddr>,
@@ -92,7 +92,7 @@
             division: Division::new(&setup.name, seeds),
             executor: RefCell::new(Executor::new(setup)),
             worker,
-            kept: watch::Sender::default(),
+            saved_heartbeat: watch::Sender::default(),
             clock,
             links: Links::default(),
             lag: LoopLag::default(),
@@ -117,12 +117,12 @@
         host
     }
 
-    /// This process's clock.
+    /// Returns the time of this process's clock.
     pub fn now(&self) -> Mono {
         self.inner.clock.now()
     }
 
-    /// Gives the executor something to do, and does what it wants done.
+    /// Runs `work` on the executor and performs the resulting actions.
     pub fn with<R>(&self, work: impl FnOnce(&mut Executor, Mono) -> R) -> R {
         let now = self.now();
         let (result, actions) = {
@@ -136,7 +136,7 @@
         result
     }
 
-    /// Reads something of the executor.
+    /// Reads from the executor without changing it.
     pub fn read<R>(&self, read: impl FnOnce(&Executor) -> R) -> R {
         read(&self.inner.executor.borrow())
     }
@@ -147,8 +147,8 @@
         self.inner.log.borrow_mut().log(self.now(), &event);
     }
 
-    /// How late this process gets to what is due, and what passes on its links.
-    pub fn process(&self) -> ProcessGauges<'_> {
+    /// Returns the metrics that are common to all processes.
+    pub fn process_gauges(&self) -> ProcessGauges<'_> {
         ProcessGauges {
             lag: &self.inner.lag,
             clock_watch: &self.inner.clock_watch,
@@ -157,9 +157,9 @@
         }
     }
 
-    /// What the worker says of itself, as it changes, to be kept for the next life.
-    pub fn kept(&self) -> watch::Receiver<Option<WorkerHeartbeat>> {
-        self.inner.kept.subscribe()
+    /// Returns the worker's heartbeat, with its changes, to be stored for the agent's next incarnation.
+    pub fn saved_heartbeat(&self) -> watch::Receiver<Option<WorkerHeartbeat>> {
+        self.inner.saved_heartbeat.subscribe()
     }
 
     fn keep_link(&self, address: SocketAddr) {
@@ -183,7 +183,7 @@
                 .into_iter()
                 .for_each(|address| self.dial(address)),
             Action::SaveHeartbeat(heartbeat) => {
-                self.inner.kept.send_replace(heartbeat);
+                self.inner.saved_heartbeat.send_replace(heartbeat);
             }
             Action::Log(event) => self.inner.log.borrow_mut().log(now, &event),
         }
--- a/lib/daemon/src/dispatch/http.rs
+++ b/lib/daemon/src/dispatch/http.rs
@@ -1,7 +1,7 @@
-//! A small HTTP/1.1 server on actix's HTTP layer, on the thread of the process.
+//! A small HTTP/1.1 server on actix's HTTP layer that runs on the process's own thread.
 //!
-//! It takes whole bodies and tells a handler when its caller has gone away. The framework's own
-//! server would serve from threads of its own, and each request would cross threads twice.
+//! It reads whole bodies and notifies a handler when its caller disconnects. The framework's own server would use
+//! threads of its own, so that each request would cross threads twice.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -32,33 +32,33 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// How long a caller may take to send the head of a request.
+/// The time that a caller may take to send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long an idle connection stays open.
-const IDLE: Duration = Duration::from_secs(15);
+/// The time for which an idle connection stays open.
+const KEEP_ALIVE: Duration = Duration::from_secs(15);
 
-/// Tells that a caller has closed its end of a connection.
+/// Notifies when a caller closes its end of a connection.
 #[derive(Clone, Default)]
-pub struct Gone {
-    inner: Rc<GoneInner>,
+pub struct Disconnect {
+    inner: Rc<DisconnectInner>,
 }
 
 #[derive(Default)]
-struct GoneInner {
-    gone: Cell<bool>,
+struct DisconnectInner {
+    is_closed: Cell<bool>,
     notify: Notify,
 }
 
-impl Gone {
+impl Disconnect {
     fn set(&self) {
-        self.inner.gone.set(true);
+        self.inner.is_closed.set(true);
         self.inner.notify.notify_waiters();
     }
 
-    /// Waits until the caller has gone.
+    /// Waits until the caller has disconnected.
     pub async fn wait(&self) {
         let notified = self.inner.notify.notified();
-        if !self.inner.gone.get() {
+        if !self.inner.is_closed.get() {
             notified.await;
         }
     }
@@ -68,43 +68,43 @@
 pub struct Call {
     /// The method, the target and the headers.
     pub request: Request,
-    /// The body, or none if it was longer than allowed.
+    /// The body; none if it exceeded the limit.
     pub body: Option<Bytes>,
-    /// Tells that the caller has gone.
-    pub gone: Gone,
+    /// Notifies when the caller disconnects.
+    pub disconnect: Disconnect,
 }
 
 impl Call {
-    /// A header as text.
+    /// Returns a header as text, if it is present and readable.
     pub fn header(&self, name: &str) -> Option<&str> {
         let value = self.request.headers().get(name)?;
         value.to_str().ok()
     }
 }
 
-/// What serves requests.
+/// Serves HTTP requests.
 pub trait Handler: 'static {
-    /// The largest body that is read, in bytes.
+    /// Returns the size limit of a request body, in bytes.
     fn max_body(&self) -> usize;
     /// Serves one request.
     fn serve(&self, call: Call) -> impl Future<Output = Response<BoxBody>>;
-    /// Whether a connection ends with its next answer.
-    fn closes(&self) -> bool {
+    /// Returns whether the connection is closed after this response.
+    fn closes_connection(&self) -> bool {
         false
     }
 }
 
-/// Serves a listener for as long as the process lives.
+/// Serves the connections of a listener for as long as the process runs.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: Rc<H>) {
     let service = fn_service(move |request: Request| {
         let handler = handler.clone();
-        async move { Ok::<_, actix_http::Error>(take(&*handler, request).await) }
+        async move { Ok::<_, actix_http::Error>(handle_request(&*handler, request).await) }
     });
     let factory = HttpService::build()
         .client_request_timeout(HEAD_TIMEOUT)
-        .keep_alive(IDLE)
-        .on_connect_ext(|io: &Watched, data| {
-            data.insert(io.gone.clone());
+        .keep_alive(KEEP_ALIVE)
+        .on_connect_ext(|io: &WatchedStream, data| {
+            data.insert(io.disconnect.clone());
         })
         .h1(service);
     let Ok(service) = ServiceFactory::new_service(&factory, ()).await else {
@@ -112,13 +112,13 @@
     };
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            actix_rt::time::sleep(ACCEPT_AGAIN).await;
+            actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let watched = Watched {
+        let watched = WatchedStream {
             stream,
-            gone: Gone::default(),
+            disconnect: Disconnect::default(),
         };
         let connection = service.call((watched, Some(peer)));
         actix_rt::spawn(async move {
@@ -127,24 +127,27 @@
     }
 }
 
-/// How long to wait after a connection could not be accepted, as when descriptors have run out.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// The delay before accepting again after a failure, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-async fn take<H: Handler>(handler: &H, mut request: Request) -> Response<BoxBody> {
-    let gone = request.conn_data::<Gone>().cloned().unwrap_or_default();
+async fn handle_request<H: Handler>(handler: &H, mut request: Request) -> Response<BoxBody> {
+    let disconnect = request
+        .conn_data::<Disconnect>()
+        .cloned()
+        .unwrap_or_default();
     let body = read_body(request.take_payload(), handler.max_body()).await;
     let mut response = match body {
         Ok(body) => {
             let call = Call {
                 request,
                 body,
-                gone,
+                disconnect,
             };
             handler.serve(call).await
         }
         Err(_) => Response::bad_request().map_into_boxed_body(),
     };
-    if handler.closes() {
+    if handler.closes_connection() {
         let head = response.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
@@ -153,48 +156,48 @@
 
 type AnyPayload = actix_http::Payload;
 
-async fn read_body(payload: AnyPayload, most: usize) -> Result<Option<Bytes>, io::Error> {
+async fn read_body(payload: AnyPayload, max_bytes: usize) -> Result<Option<Bytes>, io::Error> {
     let mut payload = payload;
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     let mut fits = true;
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(io::Error::other)?;
-        fits &= whole.len() + chunk.len() <= most;
+        fits &= collected.len() + chunk.len() <= max_bytes;
         if fits {
-            whole.extend_from_slice(&chunk);
+            collected.extend_from_slice(&chunk);
         }
     }
-    Ok(fits.then(|| whole.freeze()))
+    Ok(fits.then(|| collected.freeze()))
 }
 
-/// A connection that notices when the other end has closed it.
-struct Watched {
+/// A connection that detects when the other end closes it.
+struct WatchedStream {
     stream: TcpStream,
-    gone: Gone,
+    disconnect: Disconnect,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WatchedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let room = buf.remaining();
+        let capacity = buf.remaining();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        let over = match &polled {
-            Poll::Ready(Ok(())) => room > 0 && buf.filled().len() == before,
+        let closed = match &polled {
+            Poll::Ready(Ok(())) => capacity > 0 && buf.filled().len() == before,
             Poll::Ready(Err(_)) => true,
             Poll::Pending => false,
         };
-        if over {
-            self.gone.set();
+        if closed {
+            self.disconnect.set();
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WatchedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -212,7 +215,7 @@
     }
 }
 
-/// Binds a listener for callers.
+/// Binds a TCP listener for callers.
 ///
 /// # Errors
 ///
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -330,7 +330,7 @@
     }
 
     /// How late this process gets to what is due, and what passes on its links.
-    pub fn process(&self) -> ProcessGauges<'_> {
+    pub fn process_gauges(&self) -> ProcessGauges<'_> {
         ProcessGauges {
             lag: &self.inner.lag,
             clock_watch: &self.inner.clock_watch,
