--- a/cli/src/commands/platform.rs
+++ b/cli/src/commands/platform.rs
@@ -30,7 +30,7 @@
 
 /// Runs until it is asked to stop, then leaves as planned.
 pub fn run(matches: &ArgMatches) -> Result<(), Failure> {
-    let file = settings::file_named().map_err(|e| settings_failure(&e))?;
+    let file = settings::settings_file().map_err(|e| settings_failure(&e))?;
     match matches.subcommand() {
         Some(("entry", _)) => {
             let settings = load(&file)?;
--- a/lib/daemon/src/dispatch/channel.rs
+++ b/lib/daemon/src/dispatch/channel.rs
@@ -1,6 +1,6 @@
 //! Links of the dispatch plane: TCP connections that carry length-delimited protobuf frames.
 //!
-//! Both ends first exchange greetings. A [`Listener`] decides by them whether the link is wanted, and is told of each
+//! Both ends first exchange greetings. A [`LinkHandler`] decides by them whether the link is wanted, and is told of each
 //! message and of the end of the link.
 
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
 
 /// Whether a link to a process is wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum LinkDecision {
     /// The link is wanted.
     Yes,
     /// The division of the fleet is not known yet; the link can be tried again later.
@@ -76,10 +76,10 @@
 pub enum LinkEnd {
     /// This process closed the link.
     #[error("closed here")]
-    Here,
+    ClosedLocally,
     /// The other process closed the link or exited.
     #[error("closed by the other end")]
-    There,
+    ClosedByPeer,
     /// The connection broke.
     #[error("the connection broke: {0}")]
     Broken(std::io::Error),
@@ -100,7 +100,7 @@
 }
 
 impl ChannelSender {
-    /// Queues a message. Drops it if the link is down, which the listener learns from [`Listener::down`].
+    /// Queues a message. Drops it if the link is down, which the listener learns from [`LinkHandler::down`].
     pub fn send(&self, body: Body) {
         let frame = proto::Frame { body: Some(body) };
         let bytes = Bytes::from(frame.encode_to_vec());
@@ -111,13 +111,13 @@
 }
 
 /// Handles the events of links and decides which links are wanted.
-pub trait Listener: 'static {
+pub trait LinkHandler: 'static {
     /// Returns the settings for links.
     fn policy(&self) -> LinkPolicy;
     /// Returns the greeting to send.
     fn greeting(&self) -> proto::Greeting;
     /// Returns whether a link to the sender of this greeting is wanted.
-    fn wants(&self, theirs: &proto::Greeting) -> Wanted;
+    fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision;
     /// Returns the schedulers to which a process without a wanted link should connect instead, as far as they are known.
     fn redirect_targets(&self, _theirs: &proto::Greeting) -> Vec<proto::Member> {
         Vec::new()
@@ -183,7 +183,7 @@
 pub async fn dial(
     address: SocketAddr,
     timeout: Duration,
-    listener: &impl Listener,
+    listener: &impl LinkHandler,
 ) -> Result<(), ChannelError> {
     let connecting = TcpStream::connect(address);
     let connected = tokio::time::timeout(timeout, connecting).await;
@@ -196,18 +196,18 @@
 /// # Errors
 ///
 /// When the link could not be set up.
-pub async fn serve(stream: TcpStream, listener: &impl Listener) -> Result<(), ChannelError> {
+pub async fn serve(stream: TcpStream, listener: &impl LinkHandler) -> Result<(), ChannelError> {
     let mut wire = frame_stream(stream);
     let greeting = exchange_greetings(&mut wire, listener.greeting());
     let greeted = tokio::time::timeout(listener.policy().greeting, greeting).await;
     let theirs = greeted.map_err(|_| ChannelError::GreetingTimeout)??;
-    match listener.wants(&theirs) {
-        Wanted::Yes => {
+    match listener.decide_link(&theirs) {
+        LinkDecision::Yes => {
             run_link(wire, theirs, listener).await;
             Ok(())
         }
-        Wanted::NotYet => Err(ChannelError::PartitionsUnknown),
-        Wanted::Never => {
+        LinkDecision::NotYet => Err(ChannelError::PartitionsUnknown),
+        LinkDecision::Never => {
             let redirecting = exchange_redirects(&mut wire, &theirs, listener);
             let _ = tokio::time::timeout(listener.policy().greeting, redirecting).await;
             Err(ChannelError::OtherPartition)
@@ -220,7 +220,7 @@
 async fn exchange_redirects(
     wire: &mut Wire,
     theirs: &proto::Greeting,
-    listener: &impl Listener,
+    listener: &impl LinkHandler,
 ) -> Result<(), ChannelError> {
     let members = listener.redirect_targets(theirs);
     if !members.is_empty() {
@@ -239,7 +239,7 @@
     Ok(())
 }
 
-async fn run_link(wire: Wire, theirs: proto::Greeting, listener: &impl Listener) {
+async fn run_link(wire: Wire, theirs: proto::Greeting, listener: &impl LinkHandler) {
     let link = LinkId(NEXT_LINK.fetch_add(1, Ordering::Relaxed));
     let traffic = listener.traffic();
     let (sink, mut stream) = wire.split();
@@ -255,13 +255,13 @@
     let end = loop {
         let next = tokio::select! {
             next = stream.next() => next,
-            written = &mut writer => break written.unwrap_or(LinkEnd::Here),
-            () = closed.cancelled() => break LinkEnd::Here,
+            written = &mut writer => break written.unwrap_or(LinkEnd::ClosedLocally),
+            () = closed.cancelled() => break LinkEnd::ClosedLocally,
         };
         let bytes = match next {
             Some(Ok(bytes)) => bytes,
             Some(Err(e)) => break LinkEnd::Broken(e),
-            None => break LinkEnd::There,
+            None => break LinkEnd::ClosedByPeer,
         };
         let size = bytes.len();
         match proto::Frame::decode(bytes) {
@@ -287,7 +287,7 @@
             return LinkEnd::Broken(e);
         }
     }
-    LinkEnd::Here
+    LinkEnd::ClosedLocally
 }
 
 async fn write_queued(
--- a/lib/daemon/src/dispatch/division.rs
+++ b/lib/daemon/src/dispatch/division.rs
@@ -17,7 +17,7 @@
 use stackcourse_lib::protos::dispatch as proto;
 use tokio::sync::watch;
 
-use crate::dispatch::channel::Wanted;
+use crate::dispatch::channel::LinkDecision;
 use crate::dispatch::follow;
 use crate::dispatch::follow::FaultLog;
 use crate::dispatch::follow::Follower;
@@ -43,7 +43,7 @@
 }
 
 /// A process that needs the division of the fleet.
-pub trait Divided: Clone + 'static {
+pub trait PartitionedHost: Clone + 'static {
     /// Returns what the process knows of the division.
     fn division(&self) -> &Division;
     /// Connects to the scheduler at an address.
@@ -121,22 +121,22 @@
     }
 
     /// Returns whether a link to the sender of a greeting is wanted, which is so if both belong to the same partition.
-    pub fn wants(&self, theirs: &proto::Greeting) -> Wanted {
+    pub fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision {
         let Some(partitions) = self.get() else {
-            return Wanted::NotYet;
+            return LinkDecision::NotYet;
         };
         if theirs.divided != self.to_greeting() {
-            return Wanted::NotYet;
+            return LinkDecision::NotYet;
         }
         match partitions.of_name(&theirs.name) == partitions.of_name(&self.name) {
-            true => Wanted::Yes,
-            false => Wanted::Never,
+            true => LinkDecision::Yes,
+            false => LinkDecision::Never,
         }
     }
 }
 
 /// Connects to the schedulers named in the settings, which know the division and the other members.
-pub fn dial_seeds<H: Divided>(host: &H) {
+pub fn dial_seeds<H: PartitionedHost>(host: &H) {
     for seed in &host.division().seeds {
         host.dial(*seed);
     }
@@ -147,7 +147,7 @@
     faults: FaultLog,
 }
 
-impl<H: Divided> DivisionFollower<H> {
+impl<H: PartitionedHost> DivisionFollower<H> {
     /// Logs that the stored division is invalid, and falls back to the running processes, which still know it.
     fn report_fault(&self, item: &Item) {
         if self.faults.mark_logged(&item.key) {
@@ -159,8 +159,8 @@
     }
 }
 
-impl<H: Divided> Follower for DivisionFollower<H> {
-    fn value(&self, item: &Item) {
+impl<H: PartitionedHost> Follower for DivisionFollower<H> {
+    fn on_put(&self, item: &Item) {
         if item.key != DIVISION_KEY {
             return;
         }
@@ -187,7 +187,10 @@
 }
 
 /// Waits until the division is known, from the store or from a greeting, and returns it.
-pub async fn learn<H: Divided, S: KeyStore>(host: H, store: Rc<S>) -> Partitions {
+pub async fn wait_for_division<H: PartitionedHost, S: KeyStore>(
+    host: H,
+    store: Rc<S>,
+) -> Partitions {
     let follower = DivisionFollower {
         host: host.clone(),
         faults: FaultLog::default(),
@@ -205,7 +208,11 @@
 
 /// Divides a fleet that has no division yet: counts its processes until two successive counts agree, and writes the
 /// number of partitions for that size. The first process to write decides.
-pub async fn found<H: Divided, S: KeyStore>(host: H, store: Rc<S>, policy: PartitionPolicy) {
+pub async fn establish<H: PartitionedHost, S: KeyStore>(
+    host: H,
+    store: Rc<S>,
+    policy: PartitionPolicy,
+) {
     let spread = policy.count_again * 2;
     actix_rt::time::sleep(policy.appear + spread - jitter(spread)).await;
     let mut previous_size = None;
@@ -270,7 +277,11 @@
 
 /// Writes the division if the store has none. The process takes the result from its watch of the key, so a lost reply
 /// does no harm.
-async fn write_division<H: Divided, S: KeyStore>(host: &H, store: &S, partitions: Partitions) {
+async fn write_division<H: PartitionedHost, S: KeyStore>(
+    host: &H,
+    store: &S,
+    partitions: Partitions,
+) {
     let record = DivisionRecord {
         bits: partitions.bits(),
     };
--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -25,12 +25,12 @@
 
 use crate::boot_clock::BootClock;
 use crate::dispatch::channel::ChannelSender;
+use crate::dispatch::channel::LinkDecision;
 use crate::dispatch::channel::LinkEnd;
-use crate::dispatch::channel::Listener;
-use crate::dispatch::channel::Wanted;
+use crate::dispatch::channel::LinkHandler;
 use crate::dispatch::day_watch::ClockWatch;
-use crate::dispatch::division::Divided;
 use crate::dispatch::division::Division;
+use crate::dispatch::division::PartitionedHost;
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::links;
 use crate::dispatch::links::Links;
@@ -215,7 +215,7 @@
     }
 }
 
-impl<W: Worker> Divided for ExecutorHost<W> {
+impl<W: Worker> PartitionedHost for ExecutorHost<W> {
     fn division(&self) -> &Division {
         &self.inner.division
     }
@@ -229,7 +229,7 @@
     }
 }
 
-impl<W: Worker> Listener for ExecutorHost<W> {
+impl<W: Worker> LinkHandler for ExecutorHost<W> {
     fn policy(&self) -> LinkPolicy {
         self.inner.policy
     }
@@ -241,15 +241,15 @@
         }
     }
 
-    fn wants(&self, theirs: &proto::Greeting) -> Wanted {
+    fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision {
         if theirs.executor {
-            return Wanted::Never;
+            return LinkDecision::Never;
         }
         if self.inner.division.set_from_greeting(theirs) {
             let detail = self.inner.division.describe(&theirs.name);
             self.log(Kind::FleetDivided, detail);
         }
-        self.inner.division.wants(theirs)
+        self.inner.division.decide_link(theirs)
     }
 
     fn handle_redirect(&self, members: Vec<proto::Member>) {
--- a/lib/daemon/src/dispatch/follow.rs
+++ b/lib/daemon/src/dispatch/follow.rs
@@ -32,12 +32,12 @@
 /// Handles the keys that [`follow`] reads, and writes its log lines.
 pub trait Follower: 'static {
     /// Handles the present value of a watched key.
-    fn value(&self, item: &Item);
+    fn on_put(&self, item: &Item);
     /// Handles the deletion of a watched key at a revision.
     fn deleted(&self, _key: &str, _revision: u64) {}
     /// Handles the full list of watched keys as of revision `at`. A key that is not in the list does not exist.
     fn listed(&self, items: &[Item], _at: u64) {
-        items.iter().for_each(|item| self.value(item));
+        items.iter().for_each(|item| self.on_put(item));
     }
     /// Handles an answer of the store, which confirms that the values passed on so far are current.
     fn confirmed(&self) {}
@@ -46,7 +46,7 @@
     /// Writes a log line.
     fn log(&self, kind: Kind, detail: String);
     /// Returns the longest delay between retries while the store does not answer.
-    fn longest_pause(&self) -> Duration {
+    fn max_retry_delay(&self) -> Duration {
         RETRY_DELAY.1
     }
 }
@@ -115,7 +115,7 @@
             }
             Err(error) => log_unavailable(&follower, &unavailable, &prefix, &error),
         }
-        let max_delay = follower.longest_pause();
+        let max_delay = follower.max_retry_delay();
         actix_rt::time::sleep(jitter(delay.min(max_delay))).await;
         delay = (delay * 2).min(max_delay);
     }
@@ -137,9 +137,9 @@
                     match change {
                         Change::Put(item) => {
                             faults.log_item(follower, &item);
-                            follower.value(&item);
+                            follower.on_put(&item);
                         }
-                        Change::Gone { key, revision } => follower.deleted(&key, revision),
+                        Change::Deleted { key, revision } => follower.deleted(&key, revision),
                     }
                 }
                 follower.confirmed();
@@ -195,7 +195,7 @@
                 REGISTRATION.1
             }
             Err(error) => {
-                if error == StoreError::NoLease {
+                if error == StoreError::LeaseExpired {
                     registered = None;
                 }
                 let wait = delay;
--- a/lib/daemon/src/dispatch/forwarding.rs
+++ b/lib/daemon/src/dispatch/forwarding.rs
@@ -27,9 +27,9 @@
 
 use crate::dispatch::channel;
 use crate::dispatch::channel::ChannelSender;
+use crate::dispatch::channel::LinkDecision;
 use crate::dispatch::channel::LinkEnd;
-use crate::dispatch::channel::Listener;
-use crate::dispatch::channel::Wanted;
+use crate::dispatch::channel::LinkHandler;
 use crate::dispatch::links::Links;
 use crate::dispatch::scheduler_host::SchedulerHost;
 use crate::dispatch::traffic::Traffic;
@@ -193,7 +193,7 @@
     }
 }
 
-impl Listener for ForwarderHost {
+impl LinkHandler for ForwarderHost {
     fn policy(&self) -> LinkPolicy {
         self.inner.host.policy()
     }
@@ -205,10 +205,10 @@
         }
     }
 
-    fn wants(&self, theirs: &proto::Greeting) -> Wanted {
+    fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision {
         match theirs.executor {
-            true => Wanted::Never,
-            false => Wanted::Yes,
+            true => LinkDecision::Never,
+            false => LinkDecision::Yes,
         }
     }
 
--- a/lib/daemon/src/dispatch/lag.rs
+++ b/lib/daemon/src/dispatch/lag.rs
@@ -28,11 +28,11 @@
     pub async fn sleep(&self, span: Duration) -> Option<Duration> {
         let begun = Instant::now();
         actix_rt::time::sleep(span).await;
-        self.note(begun.elapsed().saturating_sub(span), Instant::now())
+        self.record(begun.elapsed().saturating_sub(span), Instant::now())
     }
 
     /// Records a delay measured at `now`. Returns the delay to log, as for [`LoopLag::sleep`].
-    pub fn note(&self, late: Duration, now: Instant) -> Option<Duration> {
+    pub fn record(&self, late: Duration, now: Instant) -> Option<Duration> {
         self.last.set(late);
         self.longest.set(self.longest.get().max(late));
         self.unlogged.set(self.unlogged.get().max(late));
--- a/lib/daemon/src/dispatch/links.rs
+++ b/lib/daemon/src/dispatch/links.rs
@@ -15,7 +15,7 @@
 use crate::dispatch::channel;
 use crate::dispatch::channel::ChannelError;
 use crate::dispatch::channel::ChannelSender;
-use crate::dispatch::channel::Listener;
+use crate::dispatch::channel::LinkHandler;
 use crate::dispatch::traffic::Traffic;
 
 /// The open links of a process, by their numbers, and the addresses being dialled.
@@ -64,7 +64,7 @@
 
 /// Maintains a link to an address for as long as this process runs, or until the process there turns out to belong to
 /// another partition. While `linked` returns true there is a link already, and it only polls `linked` again.
-pub async fn maintain<L: Listener>(address: SocketAddr, listener: L, linked: impl Fn() -> bool) {
+pub async fn maintain<L: LinkHandler>(address: SocketAddr, listener: L, linked: impl Fn() -> bool) {
     let policy = listener.policy();
     let mut wait = policy.redial_first;
     let mut connect_timeout = policy.connect_first;
--- a/lib/daemon/src/dispatch/processor.rs
+++ b/lib/daemon/src/dispatch/processor.rs
@@ -15,22 +15,22 @@
 
 /// Measures the share of its processor time that this process uses.
 #[derive(Debug)]
-pub struct ProcessorUse {
+pub struct CpuUsage {
     /// The cores that the process may use; none if the settings don't give them.
     cores: Option<f64>,
     /// The time of the last sample and the processor time used until then; none before the first sample.
     last: Cell<Option<(Duration, Duration)>>,
 }
 
-impl ProcessorUse {
+impl CpuUsage {
     /// Creates a measurement for a process that may use `cores`.
-    pub fn new(cores: Option<f64>) -> ProcessorUse {
+    pub fn new(cores: Option<f64>) -> CpuUsage {
         let last = Cell::default();
-        ProcessorUse { cores, last }
+        CpuUsage { cores, last }
     }
 
     /// Returns the share used since the last sample, in percent, if a sample is due at `elapsed`.
-    pub fn read(&self, elapsed: Duration) -> Option<u32> {
+    pub fn sample(&self, elapsed: Duration) -> Option<u32> {
         let cores = self.cores?;
         let last = self.last.get();
         if last.is_some_and(|(at, _)| elapsed.saturating_sub(at) < SAMPLE_INTERVAL) {
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -29,12 +29,12 @@
 use crate::boot_clock::BootClock;
 use crate::dispatch::channel;
 use crate::dispatch::channel::ChannelSender;
+use crate::dispatch::channel::LinkDecision;
 use crate::dispatch::channel::LinkEnd;
-use crate::dispatch::channel::Listener;
-use crate::dispatch::channel::Wanted;
+use crate::dispatch::channel::LinkHandler;
 use crate::dispatch::day_watch::ClockWatch;
-use crate::dispatch::division::Divided;
 use crate::dispatch::division::Division;
+use crate::dispatch::division::PartitionedHost;
 use crate::dispatch::forwarding::ForwarderHost;
 use crate::dispatch::forwarding::Inbound;
 use crate::dispatch::forwarding::Reply;
@@ -43,7 +43,7 @@
 use crate::dispatch::links::Links;
 use crate::dispatch::log_sink::LogSink;
 use crate::dispatch::metrics_page::ProcessGauges;
-use crate::dispatch::processor::ProcessorUse;
+use crate::dispatch::processor::CpuUsage;
 use crate::dispatch::traffic::Traffic;
 
 /// Time passes for the scheduler in steps of this.
@@ -67,7 +67,7 @@
     links: Links,
     lag: LoopLag,
     clock_watch: ClockWatch,
-    processor: ProcessorUse,
+    processor: CpuUsage,
     callers: RefCell<HashMap<CallerId, oneshot::Sender<JobOutcome>>>,
     next_caller: Cell<u64>,
     log: RefCell<LogSink>,
@@ -147,7 +147,7 @@
             links: Links::default(),
             lag: LoopLag::default(),
             clock_watch: ClockWatch::new(clock),
-            processor: ProcessorUse::new(cores),
+            processor: CpuUsage::new(cores),
             callers: RefCell::default(),
             next_caller: Cell::new(1),
             log: RefCell::new(log),
@@ -176,7 +176,7 @@
                     ticking.log(Kind::ClockStepped, step.to_string());
                 }
                 let elapsed = ticking.inner.clock.elapsed();
-                if let Some(percent) = ticking.inner.processor.read(elapsed) {
+                if let Some(percent) = ticking.inner.processor.sample(elapsed) {
                     ticking.with(|s, now| s.set_busy(now, percent));
                 }
                 ticking.with(|s, now| s.tick(now));
@@ -374,7 +374,7 @@
     }
 }
 
-impl Divided for SchedulerHost {
+impl PartitionedHost for SchedulerHost {
     fn division(&self) -> &Division {
         &self.inner.division
     }
@@ -388,7 +388,7 @@
     }
 }
 
-impl Listener for SchedulerHost {
+impl LinkHandler for SchedulerHost {
     fn policy(&self) -> LinkPolicy {
         self.inner.policy.links
     }
@@ -400,16 +400,16 @@
         }
     }
 
-    fn wants(&self, theirs: &proto::Greeting) -> Wanted {
+    fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision {
         if theirs.address == self.inner.own.to_string() && !theirs.executor {
-            return Wanted::Never;
+            return LinkDecision::Never;
         }
         if self.inner.division.set_from_greeting(theirs) {
             let detail = self.inner.division.describe(&theirs.name);
             self.log(Kind::FleetDivided, detail);
         }
-        match self.inner.division.wants(theirs) {
-            Wanted::Never if theirs.forwards => Wanted::Yes,
+        match self.inner.division.decide_link(theirs) {
+            LinkDecision::Never if theirs.forwards => LinkDecision::Yes,
             wanted => wanted,
         }
     }
--- a/lib/daemon/src/dispatch/store.rs
+++ b/lib/daemon/src/dispatch/store.rs
@@ -11,7 +11,7 @@
 pub enum StoreError {
     /// The store did not answer in time, or could not be reached.
     #[error("the store does not answer")]
-    Away,
+    Unavailable,
     /// The store rejected the call and did nothing.
     #[error("the store rejected the call with status {0}")]
     Refused(u16),
@@ -20,7 +20,7 @@
     Compacted,
     /// The lease has expired or does not exist.
     #[error("the lease has expired")]
-    NoLease,
+    LeaseExpired,
     /// The condition of a write does not hold.
     #[error("another write came first")]
     Conflict,
@@ -49,7 +49,7 @@
     /// A key was written.
     Put(Item),
     /// A key was deleted.
-    Gone {
+    Deleted {
         /// The key.
         key: String,
         /// The revision of the deletion.
--- a/lib/daemon/tests/runner/test_channel.rs
+++ b/lib/daemon/tests/runner/test_channel.rs
@@ -10,9 +10,9 @@
 use prost::Message;
 use stackcourse_daemon::dispatch::channel;
 use stackcourse_daemon::dispatch::channel::ChannelSender;
+use stackcourse_daemon::dispatch::channel::LinkDecision;
 use stackcourse_daemon::dispatch::channel::LinkEnd;
-use stackcourse_daemon::dispatch::channel::Listener;
-use stackcourse_daemon::dispatch::channel::Wanted;
+use stackcourse_daemon::dispatch::channel::LinkHandler;
 use stackcourse_daemon::dispatch::traffic::Traffic;
 use stackcourse_lib::dispatch::policy::Links as LinkPolicy;
 use stackcourse_lib::prelude::LinkId;
@@ -30,7 +30,7 @@
     ended_here: Cell<bool>,
 }
 
-impl Listener for Owner {
+impl LinkHandler for Owner {
     fn policy(&self) -> LinkPolicy {
         LinkPolicy::default()
     }
@@ -39,8 +39,8 @@
         proto::Greeting::default()
     }
 
-    fn wants(&self, _theirs: &proto::Greeting) -> Wanted {
-        Wanted::Yes
+    fn decide_link(&self, _theirs: &proto::Greeting) -> LinkDecision {
+        LinkDecision::Yes
     }
 
     fn up(&self, _link: LinkId, _theirs: &proto::Greeting, sender: ChannelSender) {
@@ -50,7 +50,7 @@
     fn message(&self, _link: LinkId, _body: Body) {}
 
     fn down(&self, _link: LinkId, _theirs: &proto::Greeting, end: LinkEnd) {
-        self.ended_here.set(matches!(end, LinkEnd::Here));
+        self.ended_here.set(matches!(end, LinkEnd::ClosedLocally));
     }
 
     fn traffic(&self) -> Rc<Traffic> {
--- a/lib/daemon/tests/runner/test_division.rs
+++ b/lib/daemon/tests/runner/test_division.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use stackcourse_daemon::dispatch::division;
-use stackcourse_daemon::dispatch::division::Divided;
 use stackcourse_daemon::dispatch::division::Division;
+use stackcourse_daemon::dispatch::division::PartitionedHost;
 use stackcourse_daemon::dispatch::store::Change;
 use stackcourse_daemon::dispatch::store::Item;
 use stackcourse_daemon::dispatch::store::KeyStore;
@@ -73,7 +73,7 @@
     }
 
     async fn put(&self, _: &str, _: Bytes, _: Option<Lease>) -> Result<(), StoreError> {
-        Err(StoreError::Away)
+        Err(StoreError::Unavailable)
     }
 
     async fn create(&self, key: &str, value: Bytes) -> Result<(), StoreError> {
@@ -86,15 +86,15 @@
     }
 
     async fn grant(&self, _ttl: Duration) -> Result<Lease, StoreError> {
-        Err(StoreError::Away)
+        Err(StoreError::Unavailable)
     }
 
     async fn renew(&self, _lease: Lease) -> Result<(), StoreError> {
-        Err(StoreError::Away)
+        Err(StoreError::Unavailable)
     }
 
     async fn end(&self, _lease: Lease) -> Result<(), StoreError> {
-        Err(StoreError::Away)
+        Err(StoreError::Unavailable)
     }
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-impl Divided for Process {
+impl PartitionedHost for Process {
     fn division(&self) -> &Division {
         &self.division
     }
@@ -145,9 +145,9 @@
 async fn test_division_is_not_founded_before_the_processes_have_registered() {
     let store = Rc::new(MemoryStore::default());
     let process = Process::new("edge-0", Vec::new());
-    let founding = division::found(process.clone(), store.clone(), hasty());
+    let founding = division::establish(process.clone(), store.clone(), hasty());
     let founding = actix_rt::spawn(founding);
-    let learning = actix_rt::spawn(division::learn(process.clone(), store.clone()));
+    let learning = actix_rt::spawn(division::wait_for_division(process.clone(), store.clone()));
     names("edge", 6)
         .iter()
         .for_each(|name| store.register(division::SCHEDULERS, name));
@@ -168,7 +168,7 @@
     store.write(KEY.to_owned(), "{\"bits\": 99}");
     let seed: SocketAddr = "127.0.0.1:7700".parse().expect("an address");
     let process = Process::new("edge-0", vec![seed]);
-    let learning = actix_rt::spawn(division::learn(process.clone(), store));
+    let learning = actix_rt::spawn(division::wait_for_division(process.clone(), store));
     actix_rt::time::sleep(Duration::from_millis(50)).await;
     assert_eq!(process.dialled.borrow().first(), Some(&seed));
     assert_eq!(process.division.get(), None);
--- a/lib/daemon/tests/runner/test_follow.rs
+++ b/lib/daemon/tests/runner/test_follow.rs
@@ -83,13 +83,13 @@
 }
 
 impl Follower for Needy {
-    fn value(&self, _item: &Item) {
+    fn on_put(&self, _item: &Item) {
         self.got.set(self.got.get().or(Some(Instant::now())));
     }
 
     fn log(&self, _kind: Kind, _detail: String) {}
 
-    fn longest_pause(&self) -> Duration {
+    fn max_retry_delay(&self) -> Duration {
         Duration::from_millis(50)
     }
 }
@@ -132,7 +132,7 @@
 impl ForgetfulStore {
     fn answer<T>(&self, value: T) -> Result<T, StoreError> {
         if self.away.contains(&Instant::now()) {
-            return Err(StoreError::Away);
+            return Err(StoreError::Unavailable);
         }
         Ok(value)
     }
@@ -169,7 +169,7 @@
     }
 
     async fn create(&self, _: &str, _: Bytes) -> Result<(), StoreError> {
-        Err(StoreError::Away)
+        Err(StoreError::Unavailable)
     }
 
     async fn grant(&self, _ttl: Duration) -> Result<Lease, StoreError> {
@@ -181,7 +181,7 @@
         self.answer(())?;
         let lapsed = lease.0 == 0 && Instant::now() >= self.away.end;
         if lapsed {
-            Err(StoreError::NoLease)
+            Err(StoreError::LeaseExpired)
         } else {
             Ok(())
         }
--- a/lib/daemon/tests/runner/test_sight.rs
+++ b/lib/daemon/tests/runner/test_sight.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use stackcourse_daemon::dispatch::lag::LoopLag;
-use stackcourse_daemon::dispatch::processor::ProcessorUse;
+use stackcourse_daemon::dispatch::processor::CpuUsage;
 use stackcourse_daemon::dispatch::processor::share_percent;
 use stackcourse_daemon::dispatch::traffic::Traffic;
 use stackcourse_lib::protos::dispatch as proto;
@@ -19,14 +19,14 @@
 fn test_lag_lines_are_bounded_and_lose_no_delay() {
     let lag = LoopLag::default();
     let begin = Instant::now();
-    assert_eq!(lag.note(millis(5), begin), None);
-    assert_eq!(lag.note(millis(300), begin), Some(millis(300)));
+    assert_eq!(lag.record(millis(5), begin), None);
+    assert_eq!(lag.record(millis(300), begin), Some(millis(300)));
     // Longer delays within the same second wait for the next line, the longest is told.
-    assert_eq!(lag.note(millis(900), begin + millis(400)), None);
-    assert_eq!(lag.note(millis(250), begin + millis(800)), None);
+    assert_eq!(lag.record(millis(900), begin + millis(400)), None);
+    assert_eq!(lag.record(millis(250), begin + millis(800)), None);
     let later = begin + millis(1100);
-    assert_eq!(lag.note(millis(1), later), Some(millis(900)));
-    assert_eq!(lag.note(millis(1), later + millis(1100)), None);
+    assert_eq!(lag.record(millis(1), later), Some(millis(900)));
+    assert_eq!(lag.record(millis(1), later + millis(1100)), None);
     assert_eq!(lag.take(), [millis(1), millis(900)]);
     assert_eq!(lag.take(), [millis(1), millis(0)]);
 }
@@ -63,11 +63,11 @@
 
 #[test]
 fn test_processor_use_is_read_once_a_second_where_the_share_is_known() {
-    let known = ProcessorUse::new(Some(1000.0));
-    assert_eq!(known.read(millis(5000)), None, "nothing to compare with");
-    assert_eq!(known.read(millis(5999)), None);
-    assert!(known.read(millis(6000)).is_some());
-    assert_eq!(known.read(millis(6999)), None);
-    assert!(known.read(millis(7000)).is_some());
-    assert_eq!(ProcessorUse::new(None).read(millis(5000)), None);
+    let known = CpuUsage::new(Some(1000.0));
+    assert_eq!(known.sample(millis(5000)), None, "nothing to compare with");
+    assert_eq!(known.sample(millis(5999)), None);
+    assert!(known.sample(millis(6000)).is_some());
+    assert_eq!(known.sample(millis(6999)), None);
+    assert!(known.sample(millis(7000)).is_some());
+    assert_eq!(CpuUsage::new(None).sample(millis(5000)), None);
 }
