--- a/lib/daemon/src/dispatch/channel.rs
+++ b/lib/daemon/src/dispatch/channel.rs
@@ -100,7 +100,7 @@
 }
 
 impl ChannelSender {
-    /// Queues a message. Drops it if the link is down, which the listener learns from [`LinkHandler::down`].
+    /// Queues a message. Drops it if the link is down, which the handler learns from [`LinkHandler::down`].
     pub fn send(&self, body: Body) {
         let frame = proto::Frame { body: Some(body) };
         let bytes = Bytes::from(frame.encode_to_vec());
@@ -183,12 +183,12 @@
 pub async fn dial(
     address: SocketAddr,
     timeout: Duration,
-    listener: &impl LinkHandler,
+    handler: &impl LinkHandler,
 ) -> Result<(), ChannelError> {
     let connecting = TcpStream::connect(address);
     let connected = tokio::time::timeout(timeout, connecting).await;
     let stream = connected.map_err(|_| ChannelError::ConnectTimeout)??;
-    serve(stream, listener).await
+    serve(stream, handler).await
 }
 
 /// Exchanges greetings on a connection and runs the link until it is down.
@@ -196,20 +196,20 @@
 /// # Errors
 ///
 /// When the link could not be set up.
-pub async fn serve(stream: TcpStream, listener: &impl LinkHandler) -> Result<(), ChannelError> {
+pub async fn serve(stream: TcpStream, handler: &impl LinkHandler) -> Result<(), ChannelError> {
     let mut wire = frame_stream(stream);
-    let greeting = exchange_greetings(&mut wire, listener.greeting());
-    let greeted = tokio::time::timeout(listener.policy().greeting, greeting).await;
+    let greeting = exchange_greetings(&mut wire, handler.greeting());
+    let greeted = tokio::time::timeout(handler.policy().greeting, greeting).await;
     let theirs = greeted.map_err(|_| ChannelError::GreetingTimeout)??;
-    match listener.decide_link(&theirs) {
+    match handler.decide_link(&theirs) {
         LinkDecision::Yes => {
-            run_link(wire, theirs, listener).await;
+            run_link(wire, theirs, handler).await;
             Ok(())
         }
         LinkDecision::NotYet => Err(ChannelError::PartitionsUnknown),
         LinkDecision::Never => {
-            let redirecting = exchange_redirects(&mut wire, &theirs, listener);
-            let _ = tokio::time::timeout(listener.policy().greeting, redirecting).await;
+            let redirecting = exchange_redirects(&mut wire, &theirs, handler);
+            let _ = tokio::time::timeout(handler.policy().greeting, redirecting).await;
             Err(ChannelError::OtherPartition)
         }
     }
@@ -220,9 +220,9 @@
 async fn exchange_redirects(
     wire: &mut Wire,
     theirs: &proto::Greeting,
-    listener: &impl LinkHandler,
+    handler: &impl LinkHandler,
 ) -> Result<(), ChannelError> {
-    let members = listener.redirect_targets(theirs);
+    let members = handler.redirect_targets(theirs);
     if !members.is_empty() {
         let update = proto::PeerUpdate {
             members,
@@ -234,14 +234,14 @@
         return Ok(());
     };
     if let Some(Body::Peer(update)) = proto::Frame::decode(frame?).ok().and_then(|f| f.body) {
-        listener.handle_redirect(update.members);
+        handler.handle_redirect(update.members);
     }
     Ok(())
 }
 
-async fn run_link(wire: Wire, theirs: proto::Greeting, listener: &impl LinkHandler) {
+async fn run_link(wire: Wire, theirs: proto::Greeting, handler: &impl LinkHandler) {
     let link = LinkId(NEXT_LINK.fetch_add(1, Ordering::Relaxed));
-    let traffic = listener.traffic();
+    let traffic = handler.traffic();
     let (sink, mut stream) = wire.split();
     let (queue, receiver) = mpsc::unbounded_channel();
     let mut writer = actix_rt::spawn(write_frames(sink, receiver));
@@ -251,7 +251,7 @@
         traffic: traffic.clone(),
         _close_guard: closed.clone().drop_guard(),
     };
-    listener.up(link, &theirs, sender);
+    handler.up(link, &theirs, sender);
     let end = loop {
         let next = tokio::select! {
             next = stream.next() => next,
@@ -268,14 +268,14 @@
             Ok(frame) => {
                 if let Some(body) = frame.body {
                     traffic.count_received(&body, size);
-                    listener.message(link, body);
+                    handler.message(link, body);
                 }
             }
             Err(e) => break LinkEnd::Unreadable(e),
         }
     };
     writer.abort();
-    listener.down(link, &theirs, end);
+    handler.down(link, &theirs, end);
 }
 
 type WireSink = futures::stream::SplitSink<Wire, Bytes>;
--- a/lib/daemon/src/dispatch/forwarding.rs
+++ b/lib/daemon/src/dispatch/forwarding.rs
@@ -1,4 +1,5 @@
-//! Jobs of other partitions under the real runtime: a forwarder and its links, and the jobs that other entries forward.
+//! The host of a forwarder, which forwards the jobs of other partitions over links of its own, and the handling of the
+//! jobs that other entries forward to this one.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -34,13 +35,13 @@
 use crate::dispatch::scheduler_host::SchedulerHost;
 use crate::dispatch::traffic::Traffic;
 
-/// Time passes for the forwarder in steps of this.
+/// The interval between ticks of the forwarder.
 const TICK: Duration = Duration::from_millis(20);
 
-/// The partitions whose schedulers are to be read, as they come up.
-pub type Wanting = mpsc::UnboundedReceiver<(Partition, Freshness)>;
+/// Receives the requests of the forwarder to read the schedulers of a partition from the store.
+pub type ReadRequests = mpsc::UnboundedReceiver<(Partition, Freshness)>;
 
-/// A forwarder, its links and its callers. Cheap to clone.
+/// A forwarder with its links and its callers. Cheap to clone.
 #[derive(Clone)]
 pub struct ForwarderHost {
     inner: Rc<Inner>,
@@ -52,19 +53,19 @@
     links: Links,
     callers: RefCell<HashMap<CallerId, oneshot::Sender<JobOutcome>>>,
     next_caller: Cell<u64>,
-    wanted: mpsc::UnboundedSender<(Partition, Freshness)>,
+    read_requests: mpsc::UnboundedSender<(Partition, Freshness)>,
 }
 
-/// The answer to a forwarded request. Dropping it before it has come takes the request back.
-pub struct Reply {
+/// Waits for the outcome of a forwarded request. Dropping it before the outcome is known withdraws the request.
+pub struct ForwardedWaiter {
     host: ForwarderHost,
     caller: CallerId,
     receiver: oneshot::Receiver<JobOutcome>,
     done: bool,
 }
 
-impl Reply {
-    /// Waits for it.
+impl ForwardedWaiter {
+    /// Waits for the outcome.
     pub async fn outcome(mut self) -> JobOutcome {
         let outcome = (&mut self.receiver).await;
         self.done = true;
@@ -72,7 +73,7 @@
     }
 }
 
-impl Drop for Reply {
+impl Drop for ForwardedWaiter {
     fn drop(&mut self) {
         if !self.done {
             self.host.inner.callers.borrow_mut().remove(&self.caller);
@@ -83,17 +84,17 @@
 }
 
 impl ForwarderHost {
-    /// Starts a forwarder beside a scheduler. The partitions whose schedulers it wants to be read come out of the
-    /// receiver.
-    pub fn start(host: &SchedulerHost, forwarder: Forwarder) -> (ForwarderHost, Wanting) {
-        let (wanted, reading) = mpsc::unbounded_channel();
+    /// Starts a forwarder for the entry of a scheduler. Also returns the receiver of the forwarder's requests to read the
+    /// schedulers of a partition.
+    pub fn start(host: &SchedulerHost, forwarder: Forwarder) -> (ForwarderHost, ReadRequests) {
+        let (read_requests, requests) = mpsc::unbounded_channel();
         let inner = Inner {
             host: host.clone(),
             forwarder: RefCell::new(forwarder),
             links: Links::default(),
             callers: RefCell::default(),
             next_caller: Cell::new(1),
-            wanted,
+            read_requests,
         };
         let forwarding = ForwarderHost {
             inner: Rc::new(inner),
@@ -106,10 +107,10 @@
                 actix_rt::time::sleep(TICK).await;
             }
         });
-        (forwarding, reading)
+        (forwarding, requests)
     }
 
-    /// Gives the forwarder something to do, and does what it wants done.
+    /// Runs `work` on the forwarder and performs the resulting actions.
     pub fn with<R>(&self, work: impl FnOnce(&mut Forwarder) -> R) -> R {
         let (result, actions) = {
             let mut forwarder = self.inner.forwarder.borrow_mut();
@@ -122,35 +123,35 @@
         result
     }
 
-    /// Reads something of the forwarder.
+    /// Reads from the forwarder without changing it.
     pub fn read<R>(&self, read: impl FnOnce(&Forwarder) -> R) -> R {
         read(&self.inner.forwarder.borrow())
     }
 
-    /// Whether a job is of another partition.
-    pub fn is_foreign(&self, number: JobNumber) -> bool {
+    /// Returns whether a job belongs to another partition.
+    pub fn is_remote(&self, number: JobNumber) -> bool {
         self.read(|f| f.partitions().of_job(number) != f.own())
     }
 
-    /// Hands in a job of another partition.
-    pub fn submit(&self, request: JobRequest) -> Reply {
+    /// Submits a job of another partition.
+    pub fn submit(&self, request: JobRequest) -> ForwardedWaiter {
         let now = self.inner.host.now();
-        self.ask(|f, caller| f.submit(now, caller, request))
+        self.send_request(|f, caller| f.submit(now, caller, request))
     }
 
     /// Cancels a job of another partition.
-    pub fn cancel(&self, number: JobNumber) -> Reply {
+    pub fn cancel(&self, number: JobNumber) -> ForwardedWaiter {
         let now = self.inner.host.now();
-        self.ask(|f, caller| f.cancel(now, caller, number))
+        self.send_request(|f, caller| f.cancel(now, caller, number))
     }
 
-    fn ask(&self, ask: impl FnOnce(&mut Forwarder, CallerId)) -> Reply {
+    fn send_request(&self, send: impl FnOnce(&mut Forwarder, CallerId)) -> ForwardedWaiter {
         let caller = CallerId(self.inner.next_caller.get());
         self.inner.next_caller.set(caller.0 + 1);
         let (sender, receiver) = oneshot::channel();
         self.inner.callers.borrow_mut().insert(caller, sender);
-        self.with(|f| ask(f, caller));
-        Reply {
+        self.with(|f| send(f, caller));
+        ForwardedWaiter {
             host: self.clone(),
             caller,
             receiver,
@@ -169,8 +170,8 @@
                 }
             }
             Action::Read(partition, freshness) => {
-                // It is read by a task that ends with the process.
-                let _ = self.inner.wanted.send((partition, freshness));
+                // The receiving task runs until the process ends, so sending can't fail before.
+                let _ = self.inner.read_requests.send((partition, freshness));
             }
             Action::Log(event) => self.inner.host.log_event(&event),
         }
@@ -181,8 +182,8 @@
         let host = self.clone();
         actix_rt::spawn(async move {
             if let Ok(address) = address {
-                let patience = host.policy().connect_first;
-                if let Err(e) = channel::dial(address, patience, &host).await {
+                let timeout = host.policy().connect_first;
+                if let Err(e) = channel::dial(address, timeout, &host).await {
                     let detail = format!("forwarding to {name}: {e}");
                     host.inner.host.log(Kind::LinkDown, detail);
                 }
@@ -247,37 +248,37 @@
 }
 
 struct InboundLink {
-    /// What runs for its callers.
-    open: HashMap<u64, JoinHandle<()>>,
-    beating: JoinHandle<()>,
+    /// The tasks that wait for the jobs of its callers.
+    tasks: HashMap<u64, JoinHandle<()>>,
+    heartbeats: JoinHandle<()>,
 }
 
 impl Inbound {
-    /// Whether a link is one of these.
-    pub fn holds(&self, link: LinkId) -> bool {
+    /// Returns whether a link is an inbound one.
+    pub fn contains(&self, link: LinkId) -> bool {
         self.links.borrow().contains_key(&link)
     }
 
-    /// Notes a link that is up.
+    /// Adds a link that is up.
     pub fn up(&self, host: &SchedulerHost, link: LinkId) {
-        let opened = InboundLink {
-            open: HashMap::new(),
-            beating: actix_rt::spawn(beat(host.clone(), link)),
+        let inbound_link = InboundLink {
+            tasks: HashMap::new(),
+            heartbeats: actix_rt::spawn(send_heartbeats(host.clone(), link)),
         };
-        self.links.borrow_mut().insert(link, opened);
+        self.links.borrow_mut().insert(link, inbound_link);
     }
 
-    /// Gives up what a link has forwarded; whether it is one of these.
+    /// Aborts the tasks for the jobs forwarded on a link that is down. Returns whether it was an inbound link.
     pub fn down(&self, link: LinkId) -> bool {
         let Some(closed) = self.links.borrow_mut().remove(&link) else {
             return false;
         };
-        closed.beating.abort();
-        closed.open.into_values().for_each(|task| task.abort());
+        closed.heartbeats.abort();
+        closed.tasks.into_values().for_each(|task| task.abort());
         true
     }
 
-    /// Takes what is forwarded.
+    /// Handles the jobs, the cancellations and the departures of callers that a link forwards.
     pub fn message(&self, host: &SchedulerHost, link: LinkId, forward: proto::Forward) {
         for caller in forward.left {
             if let Some(task) = self.remove(link, caller) {
@@ -287,7 +288,7 @@
         for job in forward.jobs {
             let request = job.job.as_ref().map(JobRequest::from_proto);
             if let Some(request) = request {
-                let task = actix_rt::spawn(run(host.clone(), link, job.caller, request));
+                let task = actix_rt::spawn(run_forwarded(host.clone(), link, job.caller, request));
                 self.insert(link, job.caller, task);
             }
         }
@@ -297,30 +298,34 @@
                 true => JobOutcome::Cancelled,
                 false => JobOutcome::Unknown,
             };
-            host.reply(link, Some((cancel.caller, outcome)));
+            host.send_reply(link, Some((cancel.caller, outcome)));
         }
     }
 
     fn insert(&self, link: LinkId, caller: u64, task: JoinHandle<()>) {
         if let Some(known) = self.links.borrow_mut().get_mut(&link) {
-            known.open.insert(caller, task);
+            known.tasks.insert(caller, task);
         }
     }
 
     fn remove(&self, link: LinkId, caller: u64) -> Option<JoinHandle<()>> {
-        self.links.borrow_mut().get_mut(&link)?.open.remove(&caller)
+        self.links
+            .borrow_mut()
+            .get_mut(&link)?
+            .tasks
+            .remove(&caller)
     }
 
     fn is_idle(&self, link: LinkId) -> bool {
         let links = self.links.borrow();
-        links.get(&link).is_none_or(|known| known.open.is_empty())
+        links.get(&link).is_none_or(|known| known.tasks.is_empty())
     }
 }
 
-/// Runs a forwarded job and tells how it ended.
-async fn run(host: SchedulerHost, link: LinkId, caller: u64, request: JobRequest) {
+/// Runs a forwarded job and reports its outcome to the entry that forwarded it.
+async fn run_forwarded(host: SchedulerHost, link: LinkId, caller: u64, request: JobRequest) {
     let outcome = match request.check() {
-        Ok(()) if host.is_foreign(request.number) => {
+        Ok(()) if host.is_remote(request.number) => {
             let detail = format!(
                 "{} forwarded to another partition than its own",
                 request.number
@@ -328,7 +333,7 @@
             host.log(Kind::ForwardFailed, detail);
             JobOutcome::Unknown
         }
-        Ok(()) => host.submit_here(request).outcome().await,
+        Ok(()) => host.submit_local(request).outcome().await,
         Err(error) => {
             let detail = format!("{} forwarded: {error}", request.number);
             host.log(Kind::JobRefused, detail);
@@ -336,20 +341,20 @@
         }
     };
     host.inbound().remove(link, caller);
-    host.reply(link, Some((caller, outcome)));
+    host.send_reply(link, Some((caller, outcome)));
 }
 
-/// Tells the other end at once whether this process is ready, when that has changed, and that this process lives while
-/// jobs are at work for it.
-async fn beat(host: SchedulerHost, link: LinkId) {
-    let mut told = host.read(Scheduler::is_ready);
-    host.reply(link, None);
+/// Sends heartbeats to the other end of an inbound link: one at once, and one in each interval in which the readiness of
+/// this process has changed or jobs run for the other end.
+async fn send_heartbeats(host: SchedulerHost, link: LinkId) {
+    let mut reported = host.read(Scheduler::is_ready);
+    host.send_reply(link, None);
     loop {
         actix_rt::time::sleep(host.forward_heartbeat()).await;
         let ready = host.read(Scheduler::is_ready);
-        if ready != told || !host.inbound().is_idle(link) {
-            host.reply(link, None);
+        if ready != reported || !host.inbound().is_idle(link) {
+            host.send_reply(link, None);
         }
-        told = ready;
+        reported = ready;
     }
 }
--- a/lib/daemon/src/dispatch/links.rs
+++ b/lib/daemon/src/dispatch/links.rs
@@ -64,8 +64,8 @@
 
 /// Maintains a link to an address for as long as this process runs, or until the process there turns out to belong to
 /// another partition. While `linked` returns true there is a link already, and it only polls `linked` again.
-pub async fn maintain<L: LinkHandler>(address: SocketAddr, listener: L, linked: impl Fn() -> bool) {
-    let policy = listener.policy();
+pub async fn maintain<L: LinkHandler>(address: SocketAddr, handler: L, linked: impl Fn() -> bool) {
+    let policy = handler.policy();
     let mut wait = policy.redial_first;
     let mut connect_timeout = policy.connect_first;
     loop {
@@ -73,7 +73,7 @@
             actix_rt::time::sleep(policy.redial_last).await;
             continue;
         }
-        match channel::dial(address, connect_timeout, &listener).await {
+        match channel::dial(address, connect_timeout, &handler).await {
             Ok(()) => {
                 wait = policy.redial_first;
                 connect_timeout = policy.connect_first;
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -1,4 +1,4 @@
-//! Metrics of the dispatch plane in Prometheus' text format, made when asked for.
+//! Metrics of the dispatch plane in the Prometheus text format, built on request from the counters of the state machines.
 
 use prometheus::Encoder;
 use prometheus::HistogramVec;
@@ -17,6 +17,7 @@
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::traffic::Traffic;
 
+/// A page of metrics under construction.
 struct Page {
     registry: Registry,
 }
@@ -61,15 +62,15 @@
     }
 }
 
-/// What processes of either role tell of themselves.
+/// The metrics that are common to processes of both roles.
 pub struct ProcessGauges<'a> {
     /// The delay of the event loop.
     pub lag: &'a LoopLag,
-    /// The box's clock.
+    /// The watch of the box's clock.
     pub clock_watch: &'a ClockWatch,
-    /// The links' traffic.
+    /// The traffic on all links.
     pub traffic: &'a Traffic,
-    /// Log lines that were left out because their reader was too slow.
+    /// The number of log lines that were left out because the queue of the log sink was full.
     pub dropped: u64,
 }
 
@@ -110,8 +111,8 @@
     }
 }
 
-/// The metrics of a scheduler.
-pub fn of_scheduler(scheduler: &Scheduler, now: Mono, process: &ProcessGauges<'_>) -> String {
+/// Returns the metrics page of a scheduler.
+pub fn scheduler_page(scheduler: &Scheduler, now: Mono, process: &ProcessGauges<'_>) -> String {
     let page = Page {
         registry: Registry::new(),
     };
@@ -187,8 +188,8 @@
     page.text()
 }
 
-/// The metrics of an executor.
-pub fn of_executor(executor: &Executor, process: &ProcessGauges<'_>) -> String {
+/// Returns the metrics page of an executor.
+pub fn executor_page(executor: &Executor, process: &ProcessGauges<'_>) -> String {
     let page = Page {
         registry: Registry::new(),
     };
@@ -232,8 +233,8 @@
     page.text()
 }
 
-/// The metrics of a forwarder.
-pub fn of_forwarder(forwarder: &Forwarder) -> String {
+/// Returns the metrics page of a forwarder.
+pub fn forwarder_page(forwarder: &Forwarder) -> String {
     let page = Page {
         registry: Registry::new(),
     };
@@ -258,15 +259,15 @@
     page.text()
 }
 
-/// A counter of calls to the store, by kind and result.
+/// Creates a counter of calls to the store, by kind and result.
 pub fn call_counter() -> IntCounterVec {
     let help = "Calls to the store, by kind and result.";
     let opts = Opts::new("stackcourse_store_calls_total", help);
     IntCounterVec::new(opts, &["kind", "result"]).expect("a constant name")
 }
 
-/// The page of such a counter.
-pub fn of_calls(calls: &IntCounterVec) -> String {
+/// Returns the metrics page of a counter of calls to the store.
+pub fn store_calls_page(calls: &IntCounterVec) -> String {
     let page = Page {
         registry: Registry::new(),
     };
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -1,4 +1,4 @@
-//! A scheduler under the real runtime.
+//! The host of a scheduler: it connects the state machine to the clock, the links, the callers and the log.
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -35,9 +35,9 @@
 use crate::dispatch::day_watch::ClockWatch;
 use crate::dispatch::division::Division;
 use crate::dispatch::division::PartitionedHost;
+use crate::dispatch::forwarding::ForwardedWaiter;
 use crate::dispatch::forwarding::ForwarderHost;
 use crate::dispatch::forwarding::Inbound;
-use crate::dispatch::forwarding::Reply;
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::links;
 use crate::dispatch::links::Links;
@@ -46,10 +46,10 @@
 use crate::dispatch::processor::CpuUsage;
 use crate::dispatch::traffic::Traffic;
 
-/// Time passes for the scheduler in steps of this.
+/// The interval between ticks of the scheduler.
 const TICK: Duration = Duration::from_millis(20);
 
-/// A scheduler, its links and its callers. Cheap to clone.
+/// A scheduler with its links and its callers. Cheap to clone.
 #[derive(Clone)]
 pub struct SchedulerHost {
     inner: Rc<Inner>,
@@ -58,12 +58,12 @@
 struct Inner {
     policy: Policy,
     division: Division,
-    /// Hands on the jobs of other partitions, if there are any.
+    /// Forwards the jobs of other partitions, if the fleet has any.
     forwarder: OnceCell<ForwarderHost>,
     inbound: Inbound,
     scheduler: RefCell<Scheduler>,
     clock: BootClock,
-    own: SocketAddr,
+    own_address: SocketAddr,
     links: Links,
     lag: LoopLag,
     clock_watch: ClockWatch,
@@ -73,25 +73,26 @@
     log: RefCell<LogSink>,
 }
 
-/// The end of a job, as its caller waits for it: of one that runs here, or in another partition.
+/// Waits for the outcome of a job that runs here or in another partition.
 pub enum Waiter {
-    /// It is one of this partition.
-    Here(LocalWaiter),
-    /// It is forwarded.
-    Elsewhere(Reply),
+    /// The job belongs to this partition.
+    Local(LocalWaiter),
+    /// The job is forwarded to another partition.
+    Forwarded(ForwardedWaiter),
 }
 
 impl Waiter {
-    /// Waits for the end.
+    /// Waits for the outcome.
     pub async fn outcome(self) -> JobOutcome {
         match self {
-            Waiter::Here(waiter) => waiter.outcome().await,
-            Waiter::Elsewhere(reply) => reply.outcome().await,
+            Waiter::Local(waiter) => waiter.outcome().await,
+            Waiter::Forwarded(waiter) => waiter.outcome().await,
         }
     }
 }
 
-/// The end of a job that runs here. Dropping it tells the scheduler that the caller has left.
+/// Waits for the outcome of a job that runs here. Dropping it before the outcome is known tells the scheduler that the
+/// caller has left.
 pub struct LocalWaiter {
     host: SchedulerHost,
     caller: CallerId,
@@ -101,7 +102,7 @@
 }
 
 impl LocalWaiter {
-    /// Waits for the end.
+    /// Waits for the outcome.
     pub async fn outcome(mut self) -> JobOutcome {
         let outcome = (&mut self.receiver).await;
         self.done = true;
@@ -120,8 +121,8 @@
 }
 
 impl SchedulerHost {
-    /// Starts a scheduler that listens at `listen` and is reached by others at `own`. `seeds` are asked who there is
-    /// while the store does not answer. `cores` is what the process may use of the processors, if that is known.
+    /// Starts a scheduler that listens at `listen` and that others reach at `own_address`. It asks the `seeds` for the
+    /// members while the store does not answer. `cores` is the processor limit of the process, if it is known.
     ///
     /// # Errors
     ///
@@ -130,7 +131,7 @@
         setup: SchedulerSetup,
         seeds: Vec<SocketAddr>,
         listen: SocketAddr,
-        own: SocketAddr,
+        own_address: SocketAddr,
         cores: Option<f64>,
         log: LogSink,
     ) -> std::io::Result<SchedulerHost> {
@@ -143,7 +144,7 @@
             inbound: Inbound::default(),
             scheduler: RefCell::new(Scheduler::new(setup)),
             clock,
-            own,
+            own_address,
             links: Links::default(),
             lag: LoopLag::default(),
             clock_watch: ClockWatch::new(clock),
@@ -185,12 +186,12 @@
         Ok(host)
     }
 
-    /// This process's clock.
+    /// Returns the time of this process's clock.
     pub fn now(&self) -> Mono {
         self.inner.clock.now()
     }
 
-    /// Gives the scheduler something to do, and does what it wants done.
+    /// Runs `work` on the scheduler and performs the resulting actions.
     pub fn with<R>(&self, work: impl FnOnce(&mut Scheduler, Mono) -> R) -> R {
         let now = self.now();
         let (result, actions) = {
@@ -204,23 +205,24 @@
         result
     }
 
-    /// Reads something of the scheduler.
+    /// Reads from the scheduler without changing it.
     pub fn read<R>(&self, read: impl FnOnce(&Scheduler) -> R) -> R {
         read(&self.inner.scheduler.borrow())
     }
 
-    /// Has the jobs of other partitions forwarded from now on.
-    pub fn forward_by(&self, forwarder: ForwarderHost) {
-        // It is started once, when the division becomes known.
+    /// Sets the forwarder for the jobs of other partitions.
+    pub fn set_forwarder(&self, forwarder: ForwarderHost) {
+        // The forwarder is started only once, when the division becomes known, so the cell is empty.
         let _ = self.inner.forwarder.set(forwarder);
     }
 
-    /// The forwarder, in a fleet that is divided.
+    /// Returns the forwarder, if the fleet has several partitions.
     pub fn forwarder(&self) -> Option<&ForwarderHost> {
         self.inner.forwarder.get()
     }
 
-    /// Whether requests should be sent here: those of this partition are served, and the others can be forwarded.
+    /// Returns whether requests should be sent to this entry: the scheduler is ready for the jobs of its own partition, and
+    /// those of other partitions can be forwarded.
     pub fn is_ready(&self) -> bool {
         let divided = self.inner.division.get().is_some_and(|p| p.count() > 1);
         let forwards = match self.forwarder() {
@@ -230,21 +232,21 @@
         forwards && self.read(Scheduler::is_ready)
     }
 
-    /// Whether no job is held or forwarded and nobody waits.
+    /// Returns whether no job is held or forwarded and no caller waits.
     pub fn is_idle(&self) -> bool {
         let forwarded = self.forwarder().is_none_or(|f| f.read(Forwarder::is_idle));
         forwarded && self.read(Scheduler::is_idle)
     }
 
-    /// How long no job has come.
-    pub fn untaken(&self) -> Duration {
+    /// Returns the time since the last job was accepted or forwarded.
+    pub fn since_last_job(&self) -> Duration {
         let now = self.now();
-        let here = self.read(|s| s.untaken(now));
+        let local = self.read(|s| s.untaken(now));
         let forwarded = self.forwarder().map(|f| f.read(|f| f.untaken(now)));
-        forwarded.map_or(here, |span| span.min(here))
+        forwarded.map_or(local, |span| span.min(local))
     }
 
-    /// Gives up all that is held and forwarded, so that every caller has an answer.
+    /// Gives up all jobs held here and forwarded, so that every caller gets an answer.
     pub fn abandon(&self) {
         self.with(|s, now| s.abandon(now));
         if let Some(forwarder) = self.forwarder() {
@@ -253,33 +255,33 @@
         }
     }
 
-    /// Hands in a job, at the partition that runs it.
+    /// Submits a job to the partition that runs it.
     pub fn submit(&self, request: JobRequest) -> Waiter {
-        match self.foreign(request.number) {
-            Some(forwarder) => Waiter::Elsewhere(forwarder.submit(request)),
-            None => Waiter::Here(self.submit_here(request)),
+        match self.forwarder_for(request.number) {
+            Some(forwarder) => Waiter::Forwarded(forwarder.submit(request)),
+            None => Waiter::Local(self.submit_local(request)),
         }
     }
 
-    /// Cancels a job; whether it is known.
+    /// Cancels a job. Returns whether it was known.
     pub async fn cancel(&self, number: JobNumber) -> bool {
-        match self.foreign(number) {
+        match self.forwarder_for(number) {
             Some(forwarder) => forwarder.cancel(number).outcome().await == JobOutcome::Cancelled,
             None => self.with(|s, now| s.cancel(now, number)),
         }
     }
 
-    fn foreign(&self, number: JobNumber) -> Option<&ForwarderHost> {
-        self.forwarder().filter(|f| f.is_foreign(number))
+    fn forwarder_for(&self, number: JobNumber) -> Option<&ForwarderHost> {
+        self.forwarder().filter(|f| f.is_remote(number))
     }
 
-    /// Whether a job is of another partition.
-    pub(super) fn is_foreign(&self, number: JobNumber) -> bool {
-        self.foreign(number).is_some()
+    /// Returns whether a job belongs to another partition.
+    pub(super) fn is_remote(&self, number: JobNumber) -> bool {
+        self.forwarder_for(number).is_some()
     }
 
-    /// Hands in a job that runs here.
-    pub(super) fn submit_here(&self, request: JobRequest) -> LocalWaiter {
+    /// Submits a job that runs in this partition.
+    pub(super) fn submit_local(&self, request: JobRequest) -> LocalWaiter {
         let caller = CallerId(self.inner.next_caller.get());
         self.inner.next_caller.set(caller.0 + 1);
         let (sender, receiver) = oneshot::channel();
@@ -301,35 +303,35 @@
         self.inner.log.borrow_mut().log(self.now(), &event);
     }
 
-    /// Writes a log line that is made already.
+    /// Writes the log line of an event.
     pub(super) fn log_event(&self, event: &Event) {
         self.inner.log.borrow_mut().log(self.now(), event);
     }
 
-    /// What other entries have forwarded.
+    /// Returns the links on which other entries forward jobs to this one.
     pub(super) fn inbound(&self) -> &Inbound {
         &self.inner.inbound
     }
 
-    /// How often an entry hears of this one while it has forwarded something here.
+    /// Returns the interval of heartbeats to an entry that has forwarded jobs here.
     pub(super) fn forward_heartbeat(&self) -> Duration {
         self.inner.policy.partitions.heartbeat
     }
 
-    /// Answers an entry that forwards jobs here: how one ended, if any has.
-    pub(super) fn reply(&self, link: LinkId, end: Option<(u64, JobOutcome)>) {
-        let told = |(caller, outcome): (u64, JobOutcome)| proto::ForwardedEnd {
+    /// Sends a reply to an entry that forwards jobs here: the readiness of this scheduler and the outcome of a job, if any.
+    pub(super) fn send_reply(&self, link: LinkId, end: Option<(u64, JobOutcome)>) {
+        let to_proto = |(caller, outcome): (u64, JobOutcome)| proto::ForwardedEnd {
             caller,
             outcome: outcome.code(),
         };
         let reply = proto::ForwardReply {
-            ends: end.map(told).into_iter().collect(),
+            ends: end.map(to_proto).into_iter().collect(),
             ready: self.read(Scheduler::is_ready),
         };
         self.inner.links.send(link, Body::ForwardReply(reply));
     }
 
-    /// How late this process gets to what is due, and what passes on its links.
+    /// Returns the metrics that are common to all processes.
     pub fn process_gauges(&self) -> ProcessGauges<'_> {
         ProcessGauges {
             lag: &self.inner.lag,
@@ -340,13 +342,14 @@
     }
 
     fn keep_link(&self, address: SocketAddr) {
-        if address == self.inner.own || !self.inner.links.begin_dialling(address) {
+        if address == self.inner.own_address || !self.inner.links.begin_dialling(address) {
             return;
         }
         let host = self.clone();
         actix_rt::spawn(async move {
-            // Of two schedulers that know each other, one is given the time to connect first.
-            if address < host.inner.own {
+            // Two schedulers that know each other would both connect. The one with the higher address waits, so that
+            // the other one can connect first.
+            if address < host.inner.own_address {
                 actix_rt::time::sleep(host.inner.policy.links.yield_for).await;
             }
             let known = address.to_string();
@@ -401,7 +404,7 @@
     }
 
     fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision {
-        if theirs.address == self.inner.own.to_string() && !theirs.executor {
+        if theirs.address == self.inner.own_address.to_string() && !theirs.executor {
             return LinkDecision::Never;
         }
         if self.inner.division.set_from_greeting(theirs) {
@@ -410,7 +413,7 @@
         }
         match self.inner.division.decide_link(theirs) {
             LinkDecision::Never if theirs.forwards => LinkDecision::Yes,
-            wanted => wanted,
+            decision => decision,
         }
     }
 
@@ -435,7 +438,7 @@
 
     fn message(&self, link: LinkId, body: Body) {
         match body {
-            Body::Forward(forward) if self.inner.inbound.holds(link) => {
+            Body::Forward(forward) if self.inner.inbound.contains(link) => {
                 self.inner.inbound.message(self, link, forward);
             }
             body => self.with(|s, now| s.message(now, link, body)),
