--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -46,7 +46,12 @@
     /// Starts a run.
     fn start(&self, call: StartCall) -> impl Future<Output = OrderReply>;
     /// Stops a run.
-    fn stop(&self, life: String, run: RunName, fence: u64) -> impl Future<Output = OrderReply>;
+    fn stop(
+        &self,
+        incarnation: String,
+        run: RunName,
+        fence: u64,
+    ) -> impl Future<Output = OrderReply>;
     /// Renews the runs and lists them.
     fn hold(&self, call: HoldCall) -> impl Future<Output = HoldReply>;
 }
@@ -177,7 +182,7 @@
             Action::Send(link, body) => self.inner.links.send(link, *body),
             Action::Close(link) => self.inner.links.remove(link),
             Action::Start(call) => self.call_start(call),
-            Action::Stop(life, run, fence) => self.call_stop(life, run, fence),
+            Action::Stop(incarnation, run, fence) => self.call_stop(incarnation, run, fence),
             Action::Hold(call) => self.call_hold(call),
             Action::Dial(members) => links::addresses(&members)
                 .into_iter()
@@ -198,10 +203,10 @@
         });
     }
 
-    fn call_stop(&self, life: String, run: RunName, fence: u64) {
+    fn call_stop(&self, incarnation: String, run: RunName, fence: u64) {
         let host = self.clone();
         actix_rt::spawn(async move {
-            let reply = host.inner.worker.stop(life, run, fence).await;
+            let reply = host.inner.worker.stop(incarnation, run, fence).await;
             host.with(|e, now| e.handle_stop_reply(now, run, reply));
         });
     }
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -238,7 +238,7 @@
         forwarded && self.read(Scheduler::is_idle)
     }
 
-    /// Returns the time since the last job was accepted or forwarded.
+    /// Returns the time since the last job was accepted or the last request was forwarded.
     pub fn since_last_job(&self) -> Duration {
         let now = self.now();
         let local = self.read(|s| s.untaken(now));
