--- a/lib/daemon/src/dispatch.rs
+++ b/lib/daemon/src/dispatch.rs
@@ -1,7 +1,8 @@
-//! The processes of the dispatch plane, which provide its state machines with a clock, links, a store and a worker.
+//! The processes of the dispatch plane, which provide its state machines with a clock, links, a store and a
+//! worker.
 //!
-//! Each process runs on a single thread and holds its state machine in a `RefCell`. It passes every event to the state
-//! machine and performs the resulting actions before it handles the next event.
+//! Each process runs on a single thread and holds its state machine in a `RefCell`. It passes every event to
+//! the state machine and performs the resulting actions before it handles the next event.
 
 pub mod agent_record;
 pub mod channel;
--- a/lib/daemon/src/dispatch/agent_record.rs
+++ b/lib/daemon/src/dispatch/agent_record.rs
@@ -1,8 +1,9 @@
 //! The record that an agent keeps in the store for its next incarnation: the last heartbeat of its worker.
 //!
-//! A worker sends a heartbeat only every second or two. An agent that was killed and started again uses the record to
-//! ask the worker at once for its runs, under the recorded incarnation of the worker. If that incarnation still runs,
-//! the agent knows its runs at once; new tasks start only after the next heartbeat has reported the capacity.
+//! A worker sends a heartbeat only every second or two. An agent that was killed and started again uses the
+//! record to ask the worker at once for its runs, under the recorded incarnation of the worker. If that
+//! incarnation still runs, the agent knows its runs at once; new tasks start only after the next heartbeat
+//! has reported the capacity.
 
 use std::rc::Rc;
 
@@ -43,8 +44,8 @@
     }
 }
 
-/// Restores the worker from the record of the agent's earlier incarnation, then keeps the agent's key registered until
-/// `leaving` is cancelled and writes each change of the worker's heartbeat to it.
+/// Restores the worker from the record of the agent's earlier incarnation, then keeps the agent's key
+/// registered until `leaving` is cancelled and writes each change of the worker's heartbeat to it.
 pub async fn maintain_record<W: Worker, S: KeyStore>(
     host: ExecutorHost<W>,
     store: Rc<S>,
--- a/lib/daemon/src/dispatch/channel.rs
+++ b/lib/daemon/src/dispatch/channel.rs
@@ -1,7 +1,7 @@
 //! Links of the dispatch plane: TCP connections that carry length-delimited protobuf frames.
 //!
-//! Both ends first exchange greetings. A [`LinkHandler`] decides by them whether the link is wanted, and is told of each
-//! message and of the end of the link.
+//! Both ends first exchange greetings. A [`LinkHandler`] decides by them whether the link is wanted, and is
+//! told of each message and of the end of the link.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -55,7 +55,7 @@
     /// The other end belongs to another partition, so no link to it will be wanted.
     #[error("the other end belongs to another partition")]
     OtherPartition,
-    /// The division of the fleet is not known yet, so this process can't tell whether the link is wanted.
+    /// The division of the fleet is not known to both ends yet, so it is open whether the link is wanted.
     #[error("the division of the fleet is not known yet")]
     PartitionsUnknown,
 }
@@ -65,7 +65,7 @@
 pub enum LinkDecision {
     /// The link is wanted.
     Yes,
-    /// The division of the fleet is not known yet; the link can be tried again later.
+    /// The division of the fleet is not known to both ends yet; the link can be tried again later.
     NotYet,
     /// The link is not wanted, now or later.
     Never,
@@ -90,8 +90,9 @@
 
 /// The sending half of a link. Dropping it closes the link at once and discards the queued frames.
 ///
-/// A link is dropped when its other end is silent or another link replaces it, and by then the queued frames are out
-/// of date. Sending them first could take up to 28 s on a full link, and no new link was dialled in that time.
+/// A link is dropped when its other end is silent or another link replaces it, and by then the queued frames
+/// are out of date. Sending them first could take up to 28 s on a full link, and no new link was dialled in
+/// that time.
 #[derive(Debug)]
 pub struct ChannelSender {
     queue: mpsc::UnboundedSender<Outgoing>,
@@ -118,11 +119,13 @@
     fn greeting(&self) -> proto::Greeting;
     /// Returns whether a link to the sender of this greeting is wanted.
     fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision;
-    /// Returns the schedulers to which a process without a wanted link should connect instead, as far as they are known.
+    /// Returns the schedulers to which a process without a wanted link should connect instead, as far as they
+    /// are known.
     fn redirect_targets(&self, _theirs: &proto::Greeting) -> Vec<proto::Member> {
         Vec::new()
     }
-    /// Handles the schedulers that a process without a wanted link has named as targets to connect to instead.
+    /// Handles the schedulers that a process without a wanted link has named as targets to connect to
+    /// instead.
     fn handle_redirect(&self, _members: Vec<proto::Member>) {}
     /// Handles a link that is up.
     fn up(&self, link: LinkId, theirs: &proto::Greeting, sender: ChannelSender);
@@ -215,8 +218,8 @@
     }
 }
 
-/// Exchanges the addresses of suitable schedulers with a process of another partition, which may have connected here
-/// because it could not read them from the store.
+/// Exchanges the addresses of suitable schedulers with a process of another partition, which may have
+/// connected here because it could not read them from the store.
 async fn exchange_redirects(
     wire: &mut Wire,
     theirs: &proto::Greeting,
@@ -280,7 +283,8 @@
 
 type WireSink = futures::stream::SplitSink<Wire, Bytes>;
 
-/// Writes queued frames and flushes whenever the queue is empty. Returns when the sender is dropped or writing fails.
+/// Writes queued frames and flushes whenever the queue is empty. Returns when the sender is dropped or
+/// writing fails.
 async fn write_frames(mut sink: WireSink, mut queue: mpsc::UnboundedReceiver<Outgoing>) -> LinkEnd {
     while let Some(first) = queue.recv().await {
         if let Err(e) = write_queued(&mut sink, first, &mut queue).await {
--- a/lib/daemon/src/dispatch/day_watch.rs
+++ b/lib/daemon/src/dispatch/day_watch.rs
@@ -45,8 +45,8 @@
         step
     }
 
-    /// Returns by how many milliseconds the box's clock is ahead of the time at the start plus the time elapsed since,
-    /// as of the last reported step.
+    /// Returns by how many milliseconds the box's clock is ahead of the time at the start plus the time
+    /// elapsed since, as of the last reported step.
     pub fn ahead_ms(&self) -> i64 {
         self.steps.get().told_ms()
     }
--- a/lib/daemon/src/dispatch/division.rs
+++ b/lib/daemon/src/dispatch/division.rs
@@ -1,7 +1,8 @@
 //! The division of the fleet: the number of partitions, as far as a process knows it.
 //!
-//! A process reads the division from the store or, while the store does not answer, takes it from the first greeting
-//! that carries it. The first entry that has counted the processes of a new fleet writes it; it never changes afterwards.
+//! A process reads the division from the store or, while the store does not answer, takes it from the first
+//! greeting that carries it. The first entry that has counted the processes of a new fleet writes it; it
+//! never changes afterwards.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -61,7 +62,8 @@
 }
 
 impl Division {
-    /// Creates an unknown division for the process `name`, which asks the `seeds` while the store does not answer.
+    /// Creates an unknown division for the process `name`, which asks the `seeds` while the store does not
+    /// answer.
     pub fn new(name: &str, seeds: Vec<SocketAddr>) -> Division {
         Division {
             name: name.to_owned(),
@@ -93,14 +95,16 @@
         self.get().map(|p| p.of_name(&self.name))
     }
 
-    /// Describes the division for the log: the number of partitions, the own one and the origin of the information.
+    /// Describes the division for the log: the number of partitions, the own one and the origin of the
+    /// information.
     pub fn describe(&self, origin: &str) -> String {
         let count = self.get().map_or(0, Partitions::count);
         let own = self.own().map(|own| format!(", this is {own}"));
         format!("{count}{}, from {origin}", own.unwrap_or_default())
     }
 
-    /// Sets the division unless it is known already, since it never changes. Returns whether it was unknown before.
+    /// Sets the division unless it is known already, since it never changes. Returns whether it was unknown
+    /// before.
     pub fn set(&self, partitions: Partitions) -> bool {
         self.known.send_if_modified(|known| {
             let is_first = known.is_none();
@@ -120,7 +124,8 @@
         announced.is_some_and(|partitions| self.set(partitions))
     }
 
-    /// Returns whether a link to the sender of a greeting is wanted, which is so if both belong to the same partition.
+    /// Returns whether a link to the sender of a greeting is wanted, which is so if both belong to the same
+    /// partition.
     pub fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision {
         let Some(partitions) = self.get() else {
             return LinkDecision::NotYet;
@@ -148,7 +153,8 @@
 }
 
 impl<H: PartitionedHost> DivisionFollower<H> {
-    /// Logs that the stored division is invalid, and falls back to the running processes, which still know it.
+    /// Logs that the stored division is invalid, and falls back to the running processes, which still know
+    /// it.
     fn report_fault(&self, item: &Item) {
         if self.faults.mark_logged(&item.key) {
             let max_bits = partition::MAX_BITS;
@@ -177,7 +183,7 @@
         }
     }
 
-    fn store_unavailable(&self) {
+    fn on_unavailable(&self) {
         dial_seeds(&self.host);
     }
 
@@ -206,8 +212,8 @@
     partitions
 }
 
-/// Divides a fleet that has no division yet: counts its processes until two successive counts agree, and writes the
-/// number of partitions for that size. The first process to write decides.
+/// Divides a fleet that has no division yet: counts its processes until two successive counts agree, and
+/// writes the number of partitions for that size. The first process to write decides.
 pub async fn establish<H: PartitionedHost, S: KeyStore>(
     host: H,
     store: Rc<S>,
@@ -238,8 +244,8 @@
 }
 
 impl ListedProcesses {
-    /// Returns whether `scheduler` and at least one executor are listed. A list without them is incomplete, because the
-    /// processes are still registering.
+    /// Returns whether `scheduler` and at least one executor are listed. A list without them is incomplete,
+    /// because the processes are still registering.
     fn is_registered(&self, scheduler: &str) -> bool {
         let registered = self.schedulers.iter().any(|name| name == scheduler);
         registered && !self.executors.is_empty()
@@ -275,8 +281,8 @@
     name.ok_or_else(|| "not the key of a process".to_owned())
 }
 
-/// Writes the division if the store has none. The process takes the result from its watch of the key, so a lost reply
-/// does no harm.
+/// Writes the division if the store has none. The process takes the result from its watch of the key, so a
+/// lost reply does no harm.
 async fn write_division<H: PartitionedHost, S: KeyStore>(
     host: &H,
     store: &S,
--- a/lib/daemon/src/dispatch/follow.rs
+++ b/lib/daemon/src/dispatch/follow.rs
@@ -1,8 +1,9 @@
-//! Following keys of the store, such as the operator's configuration and the list of members, and keeping the key of
-//! this process registered under a lease.
+//! Following keys of the store, such as the operator's configuration and the list of members, and keeping the
+//! key of this process registered under a lease.
 //!
-//! While the store does not answer, a follower keeps the last values and retries. The disappearance of a member's key
-//! does not mean that the member is dead: members are only added here, and found dead when their links fail.
+//! While the store does not answer, a follower keeps the last values and retries. The disappearance of a
+//! member's key does not mean that the member is dead: members are only added here, and found dead when their
+//! links fail.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -34,15 +35,16 @@
     /// Handles the present value of a watched key.
     fn on_put(&self, item: &Item);
     /// Handles the deletion of a watched key at a revision.
-    fn deleted(&self, _key: &str, _revision: u64) {}
-    /// Handles the full list of watched keys as of revision `at`. A key that is not in the list does not exist.
-    fn listed(&self, items: &[Item], _at: u64) {
+    fn on_delete(&self, _key: &str, _revision: u64) {}
+    /// Handles the full list of watched keys as of revision `at`. A key that is not in the list does not
+    /// exist.
+    fn on_list(&self, items: &[Item], _at: u64) {
         items.iter().for_each(|item| self.on_put(item));
     }
     /// Handles an answer of the store, which confirms that the values passed on so far are current.
-    fn confirmed(&self) {}
+    fn on_confirmed(&self) {}
     /// Handles the first failure of a call to the store, at the start or after an answer.
-    fn store_unavailable(&self) {}
+    fn on_unavailable(&self) {}
     /// Writes a log line.
     fn log(&self, kind: Kind, detail: String);
     /// Returns the longest delay between retries while the store does not answer.
@@ -51,7 +53,8 @@
     }
 }
 
-/// The start of a watch: the prefix of the keys, the revision `at` to continue from, and the wait of one call.
+/// The start of a watch: the prefix of the keys, the revision `at` to continue from, and the wait of one
+/// call.
 #[derive(Clone, Copy, Debug)]
 struct WatchStart<'a> {
     prefix: &'a str,
@@ -79,15 +82,16 @@
         }
     }
 
-    /// Marks a key as logged. Returns whether it is to be logged now, which is so for the first call for each key until
-    /// the limit is reached.
+    /// Marks a key as logged. Returns whether it is to be logged now, which is so for the first call for each
+    /// key until the limit is reached.
     pub fn mark_logged(&self, key: &str) -> bool {
         let mut logged = self.logged.borrow_mut();
         logged.len() < MAX_LOGGED_FAULTS && logged.insert(key.to_owned())
     }
 }
 
-/// Follows all keys that begin with a prefix, for as long as the process runs. Each watch call waits up to `wait`.
+/// Follows all keys that begin with a prefix, for as long as the process runs. Each watch call waits up to
+/// `wait`.
 pub async fn follow<S: KeyStore, F: Follower>(
     store: Rc<S>,
     prefix: String,
@@ -106,8 +110,8 @@
                 items
                     .iter()
                     .for_each(|item| faults.log_item(&follower, item));
-                follower.listed(&items, at);
-                follower.confirmed();
+                follower.on_list(&items, at);
+                follower.on_confirmed();
                 let prefix = prefix.as_str();
                 let from = WatchStart { prefix, at, wait };
                 let error = watch(&*store, from, &follower, &faults).await;
@@ -139,10 +143,10 @@
                             faults.log_item(follower, &item);
                             follower.on_put(&item);
                         }
-                        Change::Deleted { key, revision } => follower.deleted(&key, revision),
+                        Change::Deleted { key, revision } => follower.on_delete(&key, revision),
                     }
                 }
-                follower.confirmed();
+                follower.on_confirmed();
             }
             Err(error) => return error,
         }
@@ -156,7 +160,7 @@
     error: &StoreError,
 ) {
     if !unavailable.replace(true) {
-        follower.store_unavailable();
+        follower.on_unavailable();
         follower.log(
             Kind::StoreUnavailable,
             format!("watching {prefix}: {error}"),
@@ -170,8 +174,8 @@
     }
 }
 
-/// Keeps a key registered under a lease until `leaving` is cancelled, and then removes it by ending the lease. Writes
-/// each new value at once.
+/// Keeps a key registered under a lease until `leaving` is cancelled, and then removes it by ending the
+/// lease. Writes each new value at once.
 pub async fn keep_registered<S: KeyStore>(
     store: Rc<S>,
     key: String,
@@ -261,8 +265,8 @@
     Ok(Registered { lease, value })
 }
 
-/// Writes a changed value, or renews the lease. Checks now and then that the key still exists, because a key can be
-/// deleted while its lease is valid.
+/// Writes a changed value, or renews the lease. Checks now and then that the key still exists, because a key
+/// can be deleted while its lease is valid.
 async fn refresh<S: KeyStore>(
     store: &S,
     registration: &Registered,
--- a/lib/daemon/src/dispatch/forwarding.rs
+++ b/lib/daemon/src/dispatch/forwarding.rs
@@ -1,5 +1,5 @@
-//! The host of a forwarder, which forwards the jobs of other partitions over links of its own, and the handling of the
-//! jobs that other entries forward to this one.
+//! The host of a forwarder, which forwards the jobs of other partitions over links of its own, and the
+//! handling of the jobs that other entries forward to this one.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -56,7 +56,8 @@
     read_requests: mpsc::UnboundedSender<(Partition, Freshness)>,
 }
 
-/// Waits for the outcome of a forwarded request. Dropping it before the outcome is known withdraws the request.
+/// Waits for the outcome of a forwarded request. Dropping it before the outcome is known withdraws the
+/// request.
 pub struct ForwardedWaiter {
     host: ForwarderHost,
     caller: CallerId,
@@ -84,8 +85,8 @@
 }
 
 impl ForwarderHost {
-    /// Starts a forwarder for the entry of a scheduler. Also returns the receiver of the forwarder's requests to read the
-    /// schedulers of a partition.
+    /// Starts a forwarder for the entry of a scheduler. Also returns the receiver of the forwarder's requests
+    /// to read the schedulers of a partition.
     pub fn start(host: &SchedulerHost, forwarder: Forwarder) -> (ForwarderHost, ReadRequests) {
         let (read_requests, requests) = mpsc::unbounded_channel();
         let inner = Inner {
@@ -268,7 +269,8 @@
         self.links.borrow_mut().insert(link, inbound_link);
     }
 
-    /// Aborts the tasks for the jobs forwarded on a link that is down. Returns whether it was an inbound link.
+    /// Aborts the tasks for the jobs forwarded on a link that is down. Returns whether it was an inbound
+    /// link.
     pub fn down(&self, link: LinkId) -> bool {
         let Some(closed) = self.links.borrow_mut().remove(&link) else {
             return false;
@@ -344,8 +346,8 @@
     host.send_reply(link, Some((caller, outcome)));
 }
 
-/// Sends heartbeats to the other end of an inbound link: one at once, and one in each interval in which the readiness of
-/// this process has changed or jobs run for the other end.
+/// Sends heartbeats to the other end of an inbound link: one at once, and one in each interval in which the
+/// readiness of this process has changed or jobs run for the other end.
 async fn send_heartbeats(host: SchedulerHost, link: LinkId) {
     let mut reported = host.read(Scheduler::is_ready);
     host.send_reply(link, None);
--- a/lib/daemon/src/dispatch/http.rs
+++ b/lib/daemon/src/dispatch/http.rs
@@ -1,7 +1,7 @@
 //! A small HTTP/1.1 server on actix's HTTP layer that runs on the process's own thread.
 //!
-//! It reads whole bodies and notifies a handler when its caller disconnects. The framework's own server would use
-//! threads of its own, so that each request would cross threads twice.
+//! It reads whole bodies and notifies a handler when its caller disconnects. The framework's own server would
+//! use threads of its own, so that each request would cross threads twice.
 
 use std::cell::Cell;
 use std::future::Future;
--- a/lib/daemon/src/dispatch/lag.rs
+++ b/lib/daemon/src/dispatch/lag.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Delays of at least this are logged. It is less than a third of the silence of 700 ms after which peers close their
-/// links, so that the log line precedes the loss of links.
+/// Delays of at least this are logged. It is less than a third of the silence of 700 ms after which peers
+/// close their links, so that the log line precedes the loss of links.
 const LOG_THRESHOLD: Duration = Duration::from_millis(200);
 /// The minimum time between two log lines about the delay.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -23,8 +23,8 @@
 }
 
 impl LoopLag {
-    /// Sleeps for `span` and records by how much the wake-up was late. Returns the longest delay since the last log line
-    /// if it is to be logged now.
+    /// Sleeps for `span` and records by how much the wake-up was late. Returns the longest delay since the
+    /// last log line if it is to be logged now.
     pub async fn sleep(&self, span: Duration) -> Option<Duration> {
         let begun = Instant::now();
         actix_rt::time::sleep(span).await;
--- a/lib/daemon/src/dispatch/links.rs
+++ b/lib/daemon/src/dispatch/links.rs
@@ -62,8 +62,9 @@
     members.iter().filter_map(parse).collect()
 }
 
-/// Maintains a link to an address for as long as this process runs, or until the process there turns out to belong to
-/// another partition. While `linked` returns true there is a link already, and it only polls `linked` again.
+/// Maintains a link to an address for as long as this process runs, or until the process there turns out to
+/// belong to another partition. While `linked` returns true there is a link already, and it only polls
+/// `linked` again.
 pub async fn maintain<L: LinkHandler>(address: SocketAddr, handler: L, linked: impl Fn() -> bool) {
     let policy = handler.policy();
     let mut wait = policy.redial_first;
--- a/lib/daemon/src/dispatch/log_sink.rs
+++ b/lib/daemon/src/dispatch/log_sink.rs
@@ -1,8 +1,8 @@
 //! A log sink that never blocks the process.
 //!
-//! Lines go through a bounded queue to a thread that writes them. Lines that find the queue full or exceed the budget
-//! of their event for one second are left out and counted; a later line carries the count. Errors and warnings have a
-//! larger budget than informational events.
+//! Lines go through a bounded queue to a thread that writes them. Lines that find the queue full or exceed
+//! the budget of their event for one second are left out and counted; a later line carries the count. Errors
+//! and warnings have a larger budget than informational events.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -27,8 +27,8 @@
 const WARN_BUDGET: u32 = 300;
 /// The time for which lines are collected before they are written.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// The maximum number of lines in one batch, a quarter of the queue. Without this limit the writer could collect lines
-/// for as long as they arrive without writing any, and none would be counted as left out.
+/// The maximum number of lines in one batch, a quarter of the queue. Without this limit the writer could
+/// collect lines for as long as they arrive without writing any, and none would be counted as left out.
 const MAX_BATCH_LINES: usize = QUEUE_LINES / 4;
 
 /// The lines of one event in the present second.
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -1,4 +1,5 @@
-//! Metrics of the dispatch plane in the Prometheus text format, built on request from the counters of the state machines.
+//! Metrics of the dispatch plane in the Prometheus text format, built on request from the counters of the
+//! state machines.
 
 use prometheus::Encoder;
 use prometheus::HistogramVec;
--- a/lib/daemon/src/dispatch/processor.rs
+++ b/lib/daemon/src/dispatch/processor.rs
@@ -6,11 +6,12 @@
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// The minimum time between two samples. A process throttled by its limit runs in periods of a tenth of this, so a
-/// sample covers several of them.
+/// The minimum time between two samples. A process throttled by its limit runs in periods of a tenth of this,
+/// so a sample covers several of them.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Shares above this are discarded, in percent. The limit keeps real shares below it, but some systems return the
-/// monotonic clock instead of the processor time, and an entry that trusted such a value would be handed no jobs.
+/// Shares above this are discarded, in percent. The limit keeps real shares below it, but some systems return
+/// the monotonic clock instead of the processor time, and an entry that trusted such a value would be handed
+/// no jobs.
 const MAX_PLAUSIBLE_PERCENT: u32 = 150;
 
 /// Measures the share of its processor time that this process uses.
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Waits for the outcome of a job that runs here. Dropping it before the outcome is known tells the scheduler that the
-/// caller has left.
+/// Waits for the outcome of a job that runs here. Dropping it before the outcome is known tells the scheduler
+/// that the caller has left.
 pub struct LocalWaiter {
     host: SchedulerHost,
     caller: CallerId,
@@ -121,8 +121,9 @@
 }
 
 impl SchedulerHost {
-    /// Starts a scheduler that listens at `listen` and that others reach at `own_address`. It asks the `seeds` for the
-    /// members while the store does not answer. `cores` is the processor limit of the process, if it is known.
+    /// Starts a scheduler that listens at `listen` and that others reach at `own_address`. It asks the
+    /// `seeds` for the members while the store does not answer. `cores` is the processor limit of the
+    /// process, if it is known.
     ///
     /// # Errors
     ///
@@ -221,8 +222,8 @@
         self.inner.forwarder.get()
     }
 
-    /// Returns whether requests should be sent to this entry: the scheduler is ready for the jobs of its own partition, and
-    /// those of other partitions can be forwarded.
+    /// Returns whether requests should be sent to this entry: the scheduler is ready for the jobs of its own
+    /// partition, and those of other partitions can be forwarded.
     pub fn is_ready(&self) -> bool {
         let divided = self.inner.division.get().is_some_and(|p| p.count() > 1);
         let forwards = match self.forwarder() {
@@ -318,7 +319,8 @@
         self.inner.policy.partitions.heartbeat
     }
 
-    /// Sends a reply to an entry that forwards jobs here: the readiness of this scheduler and the outcome of a job, if any.
+    /// Sends a reply to an entry that forwards jobs here: the readiness of this scheduler and the outcome of
+    /// a job, if any.
     pub(super) fn send_reply(&self, link: LinkId, end: Option<(u64, JobOutcome)>) {
         let to_proto = |(caller, outcome): (u64, JobOutcome)| proto::ForwardedEnd {
             caller,
@@ -347,8 +349,8 @@
         }
         let host = self.clone();
         actix_rt::spawn(async move {
-            // Two schedulers that know each other would both connect. The one with the higher address waits, so that
-            // the other one can connect first.
+            // Two schedulers that know each other would both connect. The one with the higher address waits,
+            // so that the other one can connect first.
             if address < host.inner.own_address {
                 actix_rt::time::sleep(host.inner.policy.links.yield_for).await;
             }
--- a/lib/daemon/src/dispatch/store.rs
+++ b/lib/daemon/src/dispatch/store.rs
@@ -1,4 +1,5 @@
-//! The key-value store as the dispatch plane uses it: keys with revisions, watches, leases and conditional writes.
+//! The key-value store as the dispatch plane uses it: keys with revisions, watches, leases and conditional
+//! writes.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,7 +7,8 @@
 use bytes::Bytes;
 use thiserror::Error;
 
-/// Reasons why a call failed. A write that failed may have been applied all the same, or may be applied later.
+/// Reasons why a call failed. A write that failed may have been applied all the same, or may be applied
+/// later.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StoreError {
     /// The store did not answer in time, or could not be reached.
@@ -38,8 +40,8 @@
     pub value: Bytes,
     /// The revision of the last change.
     pub revision: u64,
-    /// The reason why the key or the value can't be read, with its place; none if both can be read. The key is empty if
-    /// it is what can't be read.
+    /// The reason why the key or the value can't be read, with its place; none if both can be read. The key
+    /// is empty if it is what can't be read.
     pub fault: Option<String>,
 }
 
@@ -65,14 +67,16 @@
 pub trait KeyStore: 'static {
     /// Reads a key. Also returns the store's revision.
     fn get(&self, key: &str) -> impl Future<Output = Result<(Option<Item>, u64), StoreError>>;
-    /// Reads a key; the result may be some seconds old. Stores without such a cheaper read do an ordinary one.
+    /// Reads a key; the result may be some seconds old. Stores without such a cheaper read do an ordinary
+    /// one.
     fn get_stale(
         &self,
         key: &str,
     ) -> impl Future<Output = Result<(Option<Item>, u64), StoreError>> {
         self.get(key)
     }
-    /// Reads all keys that begin with `prefix`; the result may be some seconds old, as with [`KeyStore::get_stale`].
+    /// Reads all keys that begin with `prefix`; the result may be some seconds old, as with
+    /// [`KeyStore::get_stale`].
     fn list_stale(
         &self,
         prefix: &str,
--- a/lib/daemon/src/dispatch/traffic.rs
+++ b/lib/daemon/src/dispatch/traffic.rs
@@ -1,5 +1,5 @@
-//! Traffic counters for the links of a process: frames by kind and bytes in each direction, and the frames and bytes
-//! that wait to be sent.
+//! Traffic counters for the links of a process: frames by kind and bytes in each direction, and the frames
+//! and bytes that wait to be sent.
 
 use std::cell::Cell;
 use std::rc::Rc;
