--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -1,4 +1,4 @@
-//! An executor under the real runtime.
+//! The host of an executor: it connects the state machine to the clock, the links, the worker and the log.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -25,12 +25,12 @@
 
 use crate::boot_clock::BootClock;
 use crate::dispatch::channel::ChannelSender;
+use crate::dispatch::channel::LinkDecision;
 use crate::dispatch::channel::LinkEnd;
-use crate::dispatch::channel::Listener;
-use crate::dispatch::channel::Wanted;
-use crate::dispatch::day_watch::DayWatch;
-use crate::dispatch::division::Divided;
+use crate::dispatch::channel::LinkHandler;
+use crate::dispatch::day_watch::ClockWatch;
 use crate::dispatch::division::Division;
+use crate::dispatch::division::PartitionedHost;
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::links;
 use crate::dispatch::links::Links;
@@ -38,20 +38,25 @@
 use crate::dispatch::metrics_page::ProcessGauges;
 use crate::dispatch::traffic::Traffic;
 
-/// Time passes for the executor in steps of this.
+/// The interval between ticks of the executor.
 const TICK: Duration = Duration::from_millis(25);
 
-/// A worker, as an executor speaks to it.
+/// The calls that an executor makes to its worker.
 pub trait Worker: 'static {
     /// Starts a run.
     fn start(&self, call: StartCall) -> impl Future<Output = OrderReply>;
     /// Stops a run.
-    fn stop(&self, life: String, run: RunName, fence: u64) -> impl Future<Output = OrderReply>;
-    /// Keeps the runs alive and lists them.
+    fn stop(
+        &self,
+        incarnation: String,
+        run: RunName,
+        fence: u64,
+    ) -> impl Future<Output = OrderReply>;
+    /// Renews the runs and lists them.
     fn hold(&self, call: HoldCall) -> impl Future<Output = HoldReply>;
 }
 
-/// An executor, its links and its worker.
+/// An executor with its links and its worker. Cheap to clone.
 pub struct ExecutorHost<W> {
     inner: Rc<Inner<W>>,
 }
@@ -69,17 +74,17 @@
     division: Division,
     executor: RefCell<Executor>,
     worker: W,
-    /// What the worker says of itself, to be kept for the next life.
-    kept: watch::Sender<Option<WorkerHeartbeat>>,
+    /// The worker's heartbeat to be stored for the agent's next incarnation.
+    saved_heartbeat: watch::Sender<Option<WorkerHeartbeat>>,
     clock: BootClock,
     links: Links,
     lag: LoopLag,
-    day: DayWatch,
+    clock_watch: ClockWatch,
     log: RefCell<LogSink>,
 }
 
 impl<W: Worker> ExecutorHost<W> {
-    /// Starts an executor. `seeds` are asked who there is while the store does not answer.
+    /// Starts an executor. It asks the `seeds` for the members while the store does not answer.
     pub fn start(
         setup: ExecutorSetup,
         seeds: Vec<SocketAddr>,
@@ -92,11 +97,11 @@
             division: Division::new(&setup.name, seeds),
             executor: RefCell::new(Executor::new(setup)),
             worker,
-            kept: watch::Sender::default(),
+            saved_heartbeat: watch::Sender::default(),
             clock,
             links: Links::default(),
             lag: LoopLag::default(),
-            day: DayWatch::new(clock),
+            clock_watch: ClockWatch::new(clock),
             log: RefCell::new(log),
         };
         let host = ExecutorHost {
@@ -108,7 +113,7 @@
                 if let Some(late) = ticking.inner.lag.sleep(TICK).await {
                     ticking.log(Kind::LoopLate, format!("{} ms", late.as_millis()));
                 }
-                if let Some(step) = ticking.inner.day.look(ticking.now()) {
+                if let Some(step) = ticking.inner.clock_watch.check(ticking.now()) {
                     ticking.log(Kind::ClockStepped, step.to_string());
                 }
                 ticking.with(|e, now| e.tick(now));
@@ -117,12 +122,12 @@
         host
     }
 
-    /// This process's clock.
+    /// Returns the time of this process's clock.
     pub fn now(&self) -> Mono {
         self.inner.clock.now()
     }
 
-    /// Gives the executor something to do, and does what it wants done.
+    /// Runs `work` on the executor and performs the resulting actions.
     pub fn with<R>(&self, work: impl FnOnce(&mut Executor, Mono) -> R) -> R {
         let now = self.now();
         let (result, actions) = {
@@ -136,7 +141,7 @@
         result
     }
 
-    /// Reads something of the executor.
+    /// Reads from the executor without changing it.
     pub fn read<R>(&self, read: impl FnOnce(&Executor) -> R) -> R {
         read(&self.inner.executor.borrow())
     }
@@ -147,27 +152,27 @@
         self.inner.log.borrow_mut().log(self.now(), &event);
     }
 
-    /// How late this process gets to what is due, and what passes on its links.
-    pub fn process(&self) -> ProcessGauges<'_> {
+    /// Returns the metrics that are common to all processes.
+    pub fn process_gauges(&self) -> ProcessGauges<'_> {
         ProcessGauges {
             lag: &self.inner.lag,
-            day: &self.inner.day,
+            clock_watch: &self.inner.clock_watch,
             traffic: &self.inner.links.traffic,
             dropped: self.inner.log.borrow().dropped(),
         }
     }
 
-    /// What the worker says of itself, as it changes, to be kept for the next life.
-    pub fn kept(&self) -> watch::Receiver<Option<WorkerHeartbeat>> {
-        self.inner.kept.subscribe()
+    /// Returns the worker's heartbeat, with its changes, to be stored for the agent's next incarnation.
+    pub fn saved_heartbeat(&self) -> watch::Receiver<Option<WorkerHeartbeat>> {
+        self.inner.saved_heartbeat.subscribe()
     }
 
     fn keep_link(&self, address: SocketAddr) {
-        if self.inner.links.begin(address) {
+        if self.inner.links.begin_dialling(address) {
             let host = self.clone();
             actix_rt::spawn(async move {
-                links::keep(address, host.clone(), || false).await;
-                host.inner.links.end(address);
+                links::maintain(address, host.clone(), || false).await;
+                host.inner.links.end_dialling(address);
             });
         }
     }
@@ -177,13 +182,13 @@
             Action::Send(link, body) => self.inner.links.send(link, *body),
             Action::Close(link) => self.inner.links.remove(link),
             Action::Start(call) => self.call_start(call),
-            Action::Stop(life, run, fence) => self.call_stop(life, run, fence),
+            Action::Stop(incarnation, run, fence) => self.call_stop(incarnation, run, fence),
             Action::Hold(call) => self.call_hold(call),
             Action::Dial(members) => links::addresses(&members)
                 .into_iter()
                 .for_each(|address| self.dial(address)),
             Action::SaveHeartbeat(heartbeat) => {
-                self.inner.kept.send_replace(heartbeat);
+                self.inner.saved_heartbeat.send_replace(heartbeat);
             }
             Action::Log(event) => self.inner.log.borrow_mut().log(now, &event),
         }
@@ -198,10 +203,10 @@
         });
     }
 
-    fn call_stop(&self, life: String, run: RunName, fence: u64) {
+    fn call_stop(&self, incarnation: String, run: RunName, fence: u64) {
         let host = self.clone();
         actix_rt::spawn(async move {
-            let reply = host.inner.worker.stop(life, run, fence).await;
+            let reply = host.inner.worker.stop(incarnation, run, fence).await;
             host.with(|e, now| e.handle_stop_reply(now, run, reply));
         });
     }
@@ -215,7 +220,7 @@
     }
 }
 
-impl<W: Worker> Divided for ExecutorHost<W> {
+impl<W: Worker> PartitionedHost for ExecutorHost<W> {
     fn division(&self) -> &Division {
         &self.inner.division
     }
@@ -229,30 +234,30 @@
     }
 }
 
-impl<W: Worker> Listener for ExecutorHost<W> {
+impl<W: Worker> LinkHandler for ExecutorHost<W> {
     fn policy(&self) -> LinkPolicy {
         self.inner.policy
     }
 
     fn greeting(&self) -> proto::Greeting {
         proto::Greeting {
-            divided: self.inner.division.told(),
+            divided: self.inner.division.to_greeting(),
             ..self.read(Executor::greeting)
         }
     }
 
-    fn wants(&self, theirs: &proto::Greeting) -> Wanted {
+    fn decide_link(&self, theirs: &proto::Greeting) -> LinkDecision {
         if theirs.executor {
-            return Wanted::Never;
+            return LinkDecision::Never;
         }
-        if self.inner.division.hear(theirs) {
+        if self.inner.division.set_from_greeting(theirs) {
             let detail = self.inner.division.describe(&theirs.name);
             self.log(Kind::FleetDivided, detail);
         }
-        self.inner.division.wants(theirs)
+        self.inner.division.decide_link(theirs)
     }
 
-    fn directed(&self, members: Vec<proto::Member>) {
+    fn handle_redirect(&self, members: Vec<proto::Member>) {
         links::addresses(&members)
             .into_iter()
             .for_each(|address| self.dial(address));
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -1,4 +1,5 @@
-//! Metrics of the dispatch plane in Prometheus' text format, made when asked for.
+//! Metrics of the dispatch plane in the Prometheus text format, built on request from the counters of the
+//! state machines.
 
 use prometheus::Encoder;
 use prometheus::HistogramVec;
@@ -13,10 +14,11 @@
 use stackcourse_lib::dispatch::scheduler::Scheduler;
 use stackcourse_lib::prelude::Mono;
 
-use crate::dispatch::day_watch::DayWatch;
+use crate::dispatch::day_watch::ClockWatch;
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::traffic::Traffic;
 
+/// A page of metrics under construction.
 struct Page {
     registry: Registry,
 }
@@ -61,15 +63,15 @@
     }
 }
 
-/// What processes of either role tell of themselves.
+/// The metrics that are common to processes of both roles.
 pub struct ProcessGauges<'a> {
     /// The delay of the event loop.
     pub lag: &'a LoopLag,
-    /// The box's clock.
-    pub day: &'a DayWatch,
-    /// The links' traffic.
+    /// The watch of the box's clock.
+    pub clock_watch: &'a ClockWatch,
+    /// The traffic on all links.
     pub traffic: &'a Traffic,
-    /// Log lines that were left out because their reader was too slow.
+    /// The number of log lines that were left out because the queue of the log sink was full.
     pub dropped: u64,
 }
 
@@ -80,7 +82,7 @@
         let help = "The delay of the process's event loop in milliseconds, the newest and the \
                     longest since the last reading.";
         page.gauges("loop_lag_ms", help, &lag);
-        let ahead = [("box", self.day.ahead_ms())];
+        let ahead = [("box", self.clock_watch.ahead_ms())];
         let help = "How far the box's clock is ahead of the time of day at the process's start, \
                     carried on by a clock that never steps; in milliseconds.";
         page.gauges("clock_ahead_ms", help, &ahead);
@@ -110,8 +112,8 @@
     }
 }
 
-/// The metrics of a scheduler.
-pub fn of_scheduler(scheduler: &Scheduler, now: Mono, process: &ProcessGauges<'_>) -> String {
+/// Returns the metrics page of a scheduler.
+pub fn scheduler_page(scheduler: &Scheduler, now: Mono, process: &ProcessGauges<'_>) -> String {
     let page = Page {
         registry: Registry::new(),
     };
@@ -187,8 +189,8 @@
     page.text()
 }
 
-/// The metrics of an executor.
-pub fn of_executor(executor: &Executor, process: &ProcessGauges<'_>) -> String {
+/// Returns the metrics page of an executor.
+pub fn executor_page(executor: &Executor, process: &ProcessGauges<'_>) -> String {
     let page = Page {
         registry: Registry::new(),
     };
@@ -232,8 +234,8 @@
     page.text()
 }
 
-/// The metrics of a forwarder.
-pub fn of_forwarder(forwarder: &Forwarder) -> String {
+/// Returns the metrics page of a forwarder.
+pub fn forwarder_page(forwarder: &Forwarder) -> String {
     let page = Page {
         registry: Registry::new(),
     };
@@ -258,15 +260,15 @@
     page.text()
 }
 
-/// A counter of calls to the store, by kind and result.
+/// Creates a counter of calls to the store, by kind and result.
 pub fn call_counter() -> IntCounterVec {
     let help = "Calls to the store, by kind and result.";
     let opts = Opts::new("stackcourse_store_calls_total", help);
     IntCounterVec::new(opts, &["kind", "result"]).expect("a constant name")
 }
 
-/// The page of such a counter.
-pub fn of_calls(calls: &IntCounterVec) -> String {
+/// Returns the metrics page of a counter of calls to the store.
+pub fn store_calls_page(calls: &IntCounterVec) -> String {
     let page = Page {
         registry: Registry::new(),
     };
--- a/lib/daemon/tests/runner/test_follow.rs
+++ b/lib/daemon/tests/runner/test_follow.rs
@@ -83,14 +83,14 @@
 }
 
 impl Follower for ImpatientFollower {
-    fn value(&self, _item: &Item) {
+    fn on_put(&self, _item: &Item) {
         self.received
             .set(self.received.get().or(Some(Instant::now())));
     }
 
     fn log(&self, _kind: Kind, _detail: String) {}
 
-    fn longest_pause(&self) -> Duration {
+    fn max_retry_delay(&self) -> Duration {
         Duration::from_millis(50)
     }
 }
@@ -136,7 +136,7 @@
 impl LeaseLosingStore {
     fn answer<T>(&self, value: T) -> Result<T, StoreError> {
         if self.outage.contains(&Instant::now()) {
-            return Err(StoreError::Away);
+            return Err(StoreError::Unavailable);
         }
         Ok(value)
     }
@@ -173,7 +173,7 @@
     }
 
     async fn create(&self, _: &str, _: Bytes) -> Result<(), StoreError> {
-        Err(StoreError::Away)
+        Err(StoreError::Unavailable)
     }
 
     async fn grant(&self, _ttl: Duration) -> Result<Lease, StoreError> {
@@ -185,7 +185,7 @@
         self.answer(())?;
         let expired = lease.0 == 0 && Instant::now() >= self.outage.end;
         if expired {
-            Err(StoreError::NoLease)
+            Err(StoreError::LeaseExpired)
         } else {
             Ok(())
         }
