--- a/lib/daemon/src/boot_clock.rs
+++ b/lib/daemon/src/boot_clock.rs
@@ -1,7 +1,7 @@
-//! The clock on which leases, objectives and silence are measured.
+//! The monotonic clock with which leases, objectives and silences are measured.
 //!
-//! It counts the time in which the machine was suspended. The system's ordinary steady clock does not: an executor that
-//! wakes from a suspension would take leases for valid that were given up elsewhere, and a task would run twice.
+//! It counts the time for which the machine was suspended. The system's ordinary monotonic clock does not: an executor
+//! that resumes after a suspension would treat leases as valid that have expired elsewhere, and a task would run twice.
 
 use std::time::Duration;
 
@@ -10,42 +10,42 @@
 use stackcourse_lib::clock::Mono;
 use stackcourse_lib::clock::micros;
 
-/// A reading of a clock, as a span since an arbitrary start.
-type Reading = fn() -> Duration;
+/// Reads a clock, as the time since an arbitrary start.
+type ClockSource = fn() -> Duration;
 
-/// A clock that starts when it is made.
+/// A clock that counts from its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
-    read: Reading,
+    read: ClockSource,
     start: Duration,
 }
 
 impl BootClock {
-    /// Starts a clock.
+    /// Starts a clock on the system's boot-time clock.
     pub fn start() -> BootClock {
         BootClock::reading(since_boot)
     }
 
-    /// Starts a clock on given readings.
-    pub fn reading(read: Reading) -> BootClock {
+    /// Starts a clock on another source, for tests.
+    pub fn reading(read: ClockSource) -> BootClock {
         let start = read();
         BootClock { read, start }
     }
 
-    /// The time since it was started, suspensions included.
+    /// Returns the time since the clock was started, suspensions included.
     pub fn elapsed(&self) -> Duration {
         (self.read)().saturating_sub(self.start)
     }
 
-    /// The present as state machines are given it; never zero.
+    /// Returns the current time in the form that state machines take. It is never zero.
     pub fn now(&self) -> Mono {
         Mono(micros(self.elapsed()) + 1)
     }
 }
 
 fn since_boot() -> Duration {
-    // Linux has had this clock since 2.6.39; a process that can't tell how long it was suspended
-    // must not hold leases.
+    // A process that can't tell how long it was suspended must not hold leases, so a missing clock is fatal. Linux has
+    // this clock since 2.6.39.
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
     Duration::from(time.expect("the system has a clock that counts suspended time"))
 }
--- a/lib/daemon/src/day_time.rs
+++ b/lib/daemon/src/day_time.rs
@@ -1,13 +1,15 @@
-//! The box's time of day. It may be set ahead or back at any moment, so nothing that a promise rests
-//! on is counted by it; see [`crate::ticker`] for the time that state machines are given.
+//! The box's wall clock.
+//!
+//! It may be set ahead or back at any moment, so no duration that a guarantee depends on is measured with it. See
+//! [`crate::ticker`] for the time that state machines receive.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
 use stackcourse_lib::clock::millis;
 
-/// The time of day by the box's clock, in milliseconds since the Unix epoch; 0 if it is before that.
+/// Returns the time of the box's wall clock in milliseconds since the Unix epoch, or 0 if it is before the epoch.
 pub fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, millis)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, millis)
 }
--- a/lib/daemon/src/kernel/tests.rs
+++ b/lib/daemon/src/kernel/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn test_kernel_finds_by_name_and_type() {
+fn test_kernel_find_by_name_and_type() {
     let kernel = Kernel::default();
     kernel.register("answer", 42_u32);
     assert_eq!(kernel.find::<u32>("answer"), Ok(42));
--- a/lib/daemon/src/logging.rs
+++ b/lib/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: numbered events, as text or as JSON lines, on standard error.
+//! Logging of numbered events to standard error, as lines of text or of JSON.
 
 use flexi_logger::DeferredNow;
 use flexi_logger::FlexiLoggerError;
@@ -9,21 +9,21 @@
 use stackcourse_lib::event::Event;
 use stackcourse_lib::event::Level;
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text an event.
+    /// One line of text per event.
     #[default]
     Text,
-    /// One JSON object an event.
+    /// One JSON object per event and line.
     Json,
 }
 
-/// Starts logging. Keep the handle: dropping it ends it.
+/// Starts logging. Dropping the returned handle stops it.
 ///
 /// # Errors
 ///
-/// When a logger has been started before, or the level is none.
+/// Returns an error if a logger was started before or `level` is not a valid level.
 pub fn start(level: &str, format: LogFormat) -> Result<LoggerHandle, FlexiLoggerError> {
     let logger = Logger::try_with_str(level)?;
     let write = match format {
@@ -33,7 +33,7 @@
     logger.log_to_stderr().format(write).start()
 }
 
-/// Logs an event.
+/// Logs an event at the level of its kind.
 pub fn log_event(event: &Event) {
     let level = match event.kind.level() {
         Level::Error => log::Level::Error,
@@ -58,7 +58,7 @@
     record: &Record<'_>,
 ) -> std::io::Result<()> {
     let text = record.args().to_string();
-    let code = text.split(' ').next().filter(|w| is_code(w));
+    let code = text.split(' ').next().filter(|w| is_event_code(w));
     let line = json!({
         "time": now.format("%Y-%m-%dT%H:%M:%S%.3f%:z").to_string(),
         "level": record.level().as_str(),
@@ -68,7 +68,7 @@
     write!(out, "{line}")
 }
 
-fn is_code(word: &str) -> bool {
+fn is_event_code(word: &str) -> bool {
     let digits = word.strip_prefix("SC");
     digits.is_some_and(|d| d.len() == 3 && d.bytes().all(|b| b.is_ascii_digit()))
 }
--- a/lib/daemon/src/settings.rs
+++ b/lib/daemon/src/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of the processes, read from JSON files. All findings are reported together.
+//! Settings of the entry and agent processes, read from JSON files.
+//!
+//! A file is checked completely: all findings are reported together, and settings with a finding are never used.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,15 +20,15 @@
 
 use crate::logging::LogFormat;
 
-/// Why settings can't be used.
+/// The reason why settings can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("{file} can't be read")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// The file has findings.
@@ -37,17 +39,17 @@
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// What concerns decisions.
+    /// The settings that the state machine's decisions depend on.
     pub setup: EntrySetup,
-    /// Where callers are served.
+    /// The address at which callers are served.
     pub http: SocketAddr,
-    /// Where peers and agents are served.
+    /// The address at which links from peers and agents are accepted.
     pub listen: SocketAddr,
-    /// The store's base URL.
+    /// The base URL of the store.
     pub store: String,
-    /// The largest body of a request, in bytes.
+    /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// For how long a leaving entry goes on answering after it has nothing left to do.
+    /// The least time for which a leaving entry goes on answering, even if it is drained sooner.
     pub linger: Duration,
     /// How logs are written.
     pub log: LogSettings,
@@ -56,44 +58,45 @@
 /// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// What concerns decisions.
+    /// The settings that the state machine's decisions depend on.
     pub setup: AgentSetup,
-    /// Entries to begin with; they tell of the others.
+    /// The addresses of the entries to link first. These announce the other entries.
     pub entries: Vec<SocketAddr>,
-    /// The back end's base URL.
+    /// The base URL of the backend server.
     pub backend: String,
-    /// The most connections to the back end.
+    /// The largest number of connections to the backend server.
     pub connections: usize,
-    /// How long an idle connection to the back end is kept; to be below the back end's own bound.
+    /// The time for which an idle connection to the backend server is kept. It must be shorter than the backend
+    /// server's own idle timeout.
     pub keepalive: Duration,
-    /// The largest answer of the back end, in bytes.
+    /// The largest answer of the backend server, in bytes.
     pub answer_bytes: usize,
-    /// Where metrics and health are served, if anywhere.
+    /// The address at which metrics and health are served, if any.
     pub http: Option<SocketAddr>,
     /// How logs are written.
     pub log: LogSettings,
 }
 
-/// How logs are written.
+/// Settings of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least level: `error`, `warn`, `info` or `debug`.
+    /// The lowest level that is logged: `error`, `warn`, `info` or `debug`.
     pub level: String,
-    /// Text or JSON lines.
+    /// The format of the log lines.
     pub format: LogFormat,
 }
 
 /// Settings that are read from a JSON file.
 pub trait Settings: Sized {
-    /// Reads them from a document, reporting what is wrong with it. What is returned beside a
-    /// finding is not used.
+    /// Reads the settings from a document and adds what is wrong with it to `findings`. The returned settings are
+    /// ignored if there is a finding.
     fn read(value: &Value, findings: &mut Findings) -> Option<Self>;
 
     /// Reads a settings file.
     ///
     /// # Errors
     ///
-    /// When the file can't be read, or every finding about it.
+    /// Returns an error if the file can't be read, or all findings in the file.
     fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         match std::fs::read(path) {
@@ -102,17 +105,17 @@
         }
     }
 
-    /// Reads settings from the text of a file.
+    /// Reads settings from the text of a file. `file` names the file in findings.
     ///
     /// # Errors
     ///
-    /// Every finding.
+    /// Returns all findings in the text.
     fn parse(file: &str, text: &[u8]) -> Result<Self, SettingsError> {
         let mut findings = Findings::new(file);
         let read = findings
             .parse(text)
             .and_then(|value| Self::read(&value, &mut findings));
-        finish(read, findings)
+        into_result(read, findings)
     }
 }
 
@@ -128,7 +131,7 @@
     }
 }
 
-fn finish<T>(read: Option<T>, findings: Findings) -> Result<T, SettingsError> {
+fn into_result<T>(read: Option<T>, findings: Findings) -> Result<T, SettingsError> {
     match read {
         Some(settings) if findings.is_empty() => Ok(settings),
         _ => Err(SettingsError::Findings(findings.into_list())),
@@ -140,86 +143,86 @@
     let name = read_name(&mut f, findings);
     let mut setup = EntrySetup::new(&name, rand::random());
     setup.zone = f.text("zone", None, findings);
-    let http = address(&mut f, "http", None, findings);
-    let listen = address(&mut f, "listen", None, findings);
-    setup.address = advertised(&mut f, "advertise", listen, findings);
-    setup.http = advertised(&mut f, "advertise_http", http, findings);
+    let http = read_address(&mut f, "http", None, findings);
+    let listen = read_address(&mut f, "listen", None, findings);
+    setup.address = read_advertised_address(&mut f, "advertise", listen, findings);
+    setup.http = read_advertised_address(&mut f, "advertise_http", http, findings);
     let store = f.text("store", None, findings);
     setup.shards = f.number("shards", u64::from(setup.shards), 1..=4_096, findings) as u32;
     let tenure = &mut setup.tenure;
-    span(
+    read_duration(
         &mut f,
         "lease_ms",
         &mut tenure.lease,
         500..=60_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "ride_ms",
         &mut tenure.ride,
         1_000..=3_600_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "promise_ms",
         &mut tenure.promise,
         300..=60_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "confirm_ms",
         &mut setup.read_interval,
         50..=30_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "beat_ms",
         &mut setup.heartbeat_interval,
         50..=10_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "suspect_ms",
         &mut setup.suspect_timeout,
         200..=60_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "strike_ms",
         &mut setup.removal_timeout,
         5_000..=3_600_000,
         findings,
     );
-    span(&mut f, "grace_ms", &mut setup.grace, 100..=60_000, findings);
-    span(
+    read_duration(&mut f, "grace_ms", &mut setup.grace, 100..=60_000, findings);
+    read_duration(
         &mut f,
         "horizon_ms",
         &mut setup.horizon,
         60_000..=86_400_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "ahead_ms",
         &mut setup.max_ahead,
         0..=600_000,
         findings,
     );
-    span(&mut f, "skew_ms", &mut setup.skew, 0..=60_000, findings);
-    span(
+    read_duration(&mut f, "skew_ms", &mut setup.skew, 0..=60_000, findings);
+    read_duration(
         &mut f,
         "wait_ms",
         &mut setup.max_wait,
         10..=600_000,
         findings,
     );
-    span(
+    read_duration(
         &mut f,
         "park_ms",
         &mut setup.owner_timeout,
@@ -228,7 +231,7 @@
     );
     let budget = setup.budget as u64;
     setup.budget = f.number("budget_bytes", budget, 1 << 20..=1 << 40, findings) as usize;
-    setup.policy = f.word("policy", &POLICIES, findings);
+    setup.policy = f.word("policy", &PLACEMENT_POLICIES, findings);
     let settings = EntrySettings {
         http,
         listen,
@@ -239,11 +242,11 @@
         setup,
     };
     f.finish(findings);
-    check_spans(&settings.setup, findings);
+    check_durations(&settings.setup, findings);
     Some(settings)
 }
 
-const POLICIES: [(&str, Policy); 5] = [
+const PLACEMENT_POLICIES: [(&str, Policy); 5] = [
     ("least-fill", Policy::LeastFill),
     ("two-choices", Policy::TwoChoices),
     ("least-own", Policy::LeastOwn),
@@ -251,10 +254,11 @@
     ("random", Policy::Random),
 ];
 
-/// Spans that only work together.
-fn check_spans(setup: &EntrySetup, findings: &mut Findings) {
+/// Adds a finding for each duration that does not fit another one.
+fn check_durations(setup: &EntrySetup, findings: &mut Findings) {
     if setup.read_interval * 2 > setup.tenure.lease {
-        let message = "must be at most half of `lease_ms`, or the right lapses between reads";
+        let message =
+            "must be at most half of `lease_ms`, or the right to act expires between reads";
         findings.add("/confirm_ms", message);
     }
     if setup.heartbeat_interval * 3 > setup.suspect_timeout {
@@ -262,7 +266,8 @@
         findings.add("/beat_ms", message);
     }
     if setup.heartbeat_interval * 3 > setup.tenure.promise {
-        let message = "must be at most a third of `promise_ms`, or promises lapse between beats";
+        let message =
+            "must be at most a third of `promise_ms`, or promises expire between heartbeats";
         findings.add("/beat_ms", message);
     }
     if setup.tenure.ride < setup.tenure.lease {
@@ -276,33 +281,33 @@
     let room = match f.value("room") {
         Some(value) => read_room(value, "/room", findings),
         None => {
-            findings.add("/room", "is required: what the backend server has to give");
+            findings.add("/room", "is required: the capacity of the backend server");
             Room::TASK
         }
     };
     let mut setup = AgentSetup::new(&name, rand::random(), room);
     setup.zone = f.text("zone", None, findings);
     setup.hall = f.text("hall", None, findings);
-    let entries = addresses(&mut f, "entries", findings);
+    let entries = read_addresses(&mut f, "entries", findings);
     let backend = f.text("backend", None, findings);
     if !backend.starts_with("http://") && !backend.is_empty() {
         findings.add("/backend", "must be a URL that begins with `http://`");
     }
     let queue = setup.queue as u64;
     setup.queue = f.number("queue", queue, 1..=100_000, findings) as usize;
-    span(
+    read_duration(
         &mut f,
         "horizon_ms",
         &mut setup.horizon,
         60_000..=86_400_000,
         findings,
     );
-    span(&mut f, "skew_ms", &mut setup.skew, 0..=60_000, findings);
+    read_duration(&mut f, "skew_ms", &mut setup.skew, 0..=60_000, findings);
     let budget = setup.budget as u64;
     setup.budget = f.number("budget_bytes", budget, 0..=1 << 40, findings) as usize;
-    span(&mut f, "renew_ms", &mut setup.renew, 50..=2_000, findings);
-    span(&mut f, "idle_ms", &mut setup.idle, 50..=2_500, findings);
-    span(
+    read_duration(&mut f, "renew_ms", &mut setup.renew, 50..=2_000, findings);
+    read_duration(&mut f, "idle_ms", &mut setup.idle, 50..=2_500, findings);
+    read_duration(
         &mut f,
         "standby_ms",
         &mut setup.standby,
@@ -316,7 +321,7 @@
         connections: f.number("connections", 60, 1..=10_000, findings) as usize,
         keepalive: Duration::from_millis(f.number("keepalive_ms", 2_000, 0..=600_000, findings)),
         answer_bytes: f.number("answer_bytes", 1 << 20, 64..=8 << 20, findings) as usize,
-        http: http.then(|| address(&mut f, "http", None, findings)),
+        http: http.then(|| read_address(&mut f, "http", None, findings)),
         log: read_log(&mut f, findings),
         setup,
     };
@@ -347,7 +352,7 @@
     }
 }
 
-fn span(
+fn read_duration(
     f: &mut Fields<'_>,
     name: &'static str,
     value: &mut Duration,
@@ -358,36 +363,40 @@
     *value = Duration::from_millis(f.number(name, default, range, findings));
 }
 
-fn address(
+fn read_address(
     f: &mut Fields<'_>,
     name: &'static str,
     default: Option<&str>,
     findings: &mut Findings,
 ) -> SocketAddr {
     let text = f.text(name, default, findings);
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+    let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
     if text.is_empty() {
-        return nowhere;
+        return placeholder;
     }
     text.parse().unwrap_or_else(|_| {
         let message = format!("must be an IP address and port, is `{text}`");
         findings.add(&f.at(name), message);
-        nowhere
+        placeholder
     })
 }
 
-/// Where others reach this process, if not where it listens.
-fn advertised(
+/// Reads the address at which other processes reach this one. Defaults to `listen`.
+fn read_advertised_address(
     f: &mut Fields<'_>,
     name: &'static str,
     listen: SocketAddr,
     findings: &mut Findings,
 ) -> String {
     let default = listen.to_string();
-    address(f, name, Some(&default), findings).to_string()
+    read_address(f, name, Some(&default), findings).to_string()
 }
 
-fn addresses(f: &mut Fields<'_>, name: &'static str, findings: &mut Findings) -> Vec<SocketAddr> {
+fn read_addresses(
+    f: &mut Fields<'_>,
+    name: &'static str,
+    findings: &mut Findings,
+) -> Vec<SocketAddr> {
     let texts = f.texts(name, findings).unwrap_or_default();
     if texts.is_empty() {
         findings.add(&f.at(name), "must list at least one IP address and port");
--- a/lib/daemon/src/settings/tests.rs
+++ b/lib/daemon/src/settings/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn test_settings_report_all_findings_together() {
+fn test_entry_settings_findings() {
     let text = br#"{"name": "e 1", "http": "localhost:80", "listen": "127.0.0.1:1",
         "store": "http://127.0.0.1:8500", "confirm_ms": 1500, "colour": 3,
         "policy": "best"}"#;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn test_settings_of_an_agent_have_defaults() {
+fn test_agent_settings_defaults() {
     let text = br#"{"name": "w1", "zone": "z", "hall": "h", "room": {"slots": 8},
         "entries": ["127.0.0.1:7001"], "backend": "http://127.0.0.1:9000"}"#;
     let settings = AgentSettings::parse("a.json", text).unwrap();
