--- a/cli/src/commands/dev.rs
+++ b/cli/src/commands/dev.rs
@@ -6,11 +6,11 @@
 use clap::ArgMatches;
 use clap::Command;
 use clap::value_parser;
-use stackcourse_daemon::day_time;
 use stackcourse_daemon::dev;
 use stackcourse_daemon::kernel::Kernel;
 use stackcourse_daemon::logging;
 use stackcourse_daemon::logging::LogFormat;
+use stackcourse_daemon::system_clock;
 use stackcourse_lib::job_id::JobId;
 
 use super::block_on;
@@ -41,7 +41,7 @@
             let hint = "choose another address with --listen";
             Failure::of(&e, hint, EXIT_FAILURE)
         })?;
-        handle.ready().await;
+        handle.wait_until_ready().await;
         let at = handle.entry.http;
         println!("stackcourse dev: ready at http://{at}");
         println!("try: {}", example(at));
@@ -54,7 +54,7 @@
 
 /// A `curl` command that works for as long as its job id is fresh.
 fn example(at: SocketAddr) -> String {
-    let job = JobId::mint(day_time::unix_ms(), &rand_bytes());
+    let job = JobId::mint(system_clock::unix_ms(), &rand_bytes());
     format!(
         "curl -s -X PUT http://{at}/v1/services/echo/jobs/{job} \
          -d '{{\"tasks\": [{{\"page\": 1}}, {{\"page\": 2}}], \"deadline_ms\": 2000}}'"
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -80,9 +80,15 @@
         .get_many::<String>("entry")
         .map(|list| list.cloned().collect());
     let (newest, addresses) = match given {
-        Some(list) => (operator::newest(&store).await.map_or(0, |n| n.0), list),
+        Some(list) => (
+            operator::newest_version(&store).await.map_or(0, |n| n.0),
+            list,
+        ),
         None => {
-            let newest = operator::newest(&store).await.map_err(unreachable)?.0;
+            let newest = operator::newest_version(&store)
+                .await
+                .map_err(unreachable)?
+                .0;
             let record = store.get(RECORD_KEY).await.map_err(unreachable)?;
             let record = record.and_then(|r| OwnershipRecord::parse(&r.value).ok());
             let members = record.map(|r| r.members).unwrap_or_default();
--- a/cli/src/failure.rs
+++ b/cli/src/failure.rs
@@ -107,7 +107,7 @@
                 let hint = "look at `stackcourse audit`, bring the file up to date, apply again";
                 Failure::of(&error, hint, EXIT_CONFLICT)
             }
-            ApplyError::Unsettled { .. } => {
+            ApplyError::Unconfirmed { .. } => {
                 let hint = "run the same command again once the store answers: it changes nothing \
                             if the version is in force";
                 Failure::of(&error, hint, EXIT_UNSETTLED)
--- a/cli/tests/runner/test_clock.rs
+++ b/cli/tests/runner/test_clock.rs
@@ -6,11 +6,11 @@
 
 use serde_json::json;
 use stackcourse_daemon::boot_clock::BootClock;
-use stackcourse_daemon::day_time;
 use stackcourse_daemon::dev;
 use stackcourse_daemon::kernel::Kernel;
-use stackcourse_daemon::ticker::CLOCK;
-use stackcourse_daemon::ticker::Ticker;
+use stackcourse_daemon::process_clock::CLOCK;
+use stackcourse_daemon::process_clock::ProcessClock;
+use stackcourse_daemon::system_clock;
 use stackcourse_lib::job_id::JobId;
 use stackcourse_testutils::cluster::free_address;
 use stackcourse_testutils::cluster::put_job;
@@ -20,7 +20,7 @@
 
 fn box_ms() -> u64 {
     let ahead_ms = SET_AHEAD_MS.load(Ordering::Relaxed);
-    day_time::unix_ms().saturating_add_signed(ahead_ms)
+    system_clock::unix_ms().saturating_add_signed(ahead_ms)
 }
 
 /// Sends a job that was minted at a time, and returns its outcome with the answer's status.
@@ -36,12 +36,12 @@
 #[actix_rt::test]
 async fn test_clock_that_is_set_while_processes_run_refuses_no_caller() {
     let kernel = Kernel::default();
-    kernel.register(CLOCK, Ticker::reading(BootClock::start(), box_ms));
+    kernel.register(CLOCK, ProcessClock::with_source(BootClock::start(), box_ms));
     let dev = dev::start(free_address(), &kernel).expect("addresses are free");
-    dev.ready().await;
+    dev.wait_until_ready().await;
     for ahead_ms in [0, 10_000, 600_000, 0, -10_000, -600_000, 600_000, 0] {
         SET_AHEAD_MS.store(ahead_ms, Ordering::Relaxed);
-        for minted_ms in [box_ms(), day_time::unix_ms()] {
+        for minted_ms in [box_ms(), system_clock::unix_ms()] {
             let (status, outcome) = outcome_of(dev.entry.http, minted_ms).await;
             let case = format!("clock {ahead_ms} ms ahead, minted at {minted_ms}");
             assert_eq!((status, outcome.as_str()), (200, "complete"), "{case}");
--- a/lib/daemon/src/agent_actor.rs
+++ b/lib/daemon/src/agent_actor.rs
@@ -21,8 +21,8 @@
 use crate::link::LinkSender;
 use crate::logging::log_event;
 use crate::metrics;
-use crate::ticker::TICK;
-use crate::ticker::Ticker;
+use crate::process_clock::ProcessClock;
+use crate::process_clock::TICK;
 
 /// The name under which the actor's address is registered in the [`Kernel`](crate::kernel::Kernel).
 pub const AGENT: &str = "agent";
@@ -30,7 +30,7 @@
 /// Owns an agent's state machine, its links and its backend server.
 pub struct AgentActor {
     agent: Agent,
-    ticker: Ticker,
+    clock: ProcessClock,
     backend: Backend,
     links: HashMap<LinkId, LinkSender>,
     link_names: HashMap<LinkId, String>,
@@ -41,13 +41,13 @@
     /// Creates an actor with a new state machine. `entries` are the addresses of the entries to link first.
     pub fn new(
         setup: AgentSetup,
-        ticker: Ticker,
+        clock: ProcessClock,
         backend: Backend,
         entries: &[SocketAddr],
     ) -> AgentActor {
         AgentActor {
             agent: Agent::new(setup),
-            ticker,
+            clock,
             backend,
             links: HashMap::new(),
             link_names: HashMap::new(),
@@ -67,15 +67,15 @@
                 Action::Run(task) => {
                     let backend = self.backend.clone();
                     let key = task.key;
-                    let ticker = self.ticker;
-                    let call = async move { backend.run(task, ticker).await };
+                    let clock = self.clock;
+                    let call = async move { backend.run(task, clock).await };
                     let done = call.into_actor(self).map(move |result, actor, ctx| {
-                        actor.agent.done(actor.ticker.now(), key, result);
+                        actor.agent.done(actor.clock.now(), key, result);
                         actor.execute_actions(ctx);
                     });
                     ctx.spawn(done);
                 }
-                Action::ShiftClock(by_ms) => self.ticker.shift(by_ms),
+                Action::ShiftClock(by_ms) => self.clock.shift(by_ms),
                 Action::Log(event) => log_event(&event),
                 Action::Close(link) => {
                     // Dropping the sender ends the writing task, which closes the link.
@@ -96,7 +96,7 @@
 
     fn started(&mut self, ctx: &mut Context<AgentActor>) {
         ctx.run_interval(TICK, |actor, ctx| {
-            actor.agent.tick(actor.ticker.now());
+            actor.agent.tick(actor.clock.now());
             actor.execute_actions(ctx);
         });
     }
@@ -106,7 +106,7 @@
     type Result = ();
 
     fn handle(&mut self, msg: HandleLinkEvent, ctx: &mut Context<AgentActor>) {
-        let now = self.ticker.now();
+        let now = self.clock.now();
         match msg.0 {
             LinkEvent::Up(link, hello, sender) => {
                 self.links.insert(link, sender);
@@ -128,7 +128,7 @@
     type Result = ();
 
     fn handle(&mut self, _: Leave, ctx: &mut Context<AgentActor>) {
-        self.agent.leave(self.ticker.now());
+        self.agent.leave(self.clock.now());
         self.execute_actions(ctx);
     }
 }
@@ -185,14 +185,14 @@
 }
 
 /// Returns the hello message that an agent sends when it opens a link.
-pub fn agent_hello(setup: &AgentSetup, ticker: &Ticker) -> wire::Hello {
+pub fn agent_hello(setup: &AgentSetup, clock: &ProcessClock) -> wire::Hello {
     wire::Hello {
         name: setup.name.clone(),
         incarnation: setup.incarnation,
         agent: true,
         zone: setup.zone.clone(),
         hall: setup.hall.clone(),
-        up_ms: ticker.up_ms(),
+        up_ms: clock.up_ms(),
         room: Some(setup.room.wire()),
         address: String::new(),
     }
--- a/lib/daemon/src/agent_process.rs
+++ b/lib/daemon/src/agent_process.rs
@@ -29,8 +29,8 @@
 use crate::kernel::Kernel;
 use crate::link;
 use crate::logging::log_event;
+use crate::process_clock::ProcessClock;
 use crate::settings::AgentSettings;
-use crate::ticker::Ticker;
 
 /// The initial delay before an entry is dialed again; it doubles with each failed attempt.
 const MIN_DIAL_DELAY: Duration = Duration::from_millis(250);
@@ -57,12 +57,12 @@
 ///
 /// Returns an error if the HTTP address can't be bound.
 pub fn start(settings: AgentSettings, kernel: &Kernel) -> Result<AgentHandle, EntryError> {
-    let ticker = Ticker::from_kernel(kernel);
+    let clock = ProcessClock::from_kernel(kernel);
     let backend = Backend::new(&settings);
     let setup = settings.setup.clone();
-    let hello = move || agent_hello(&setup, &ticker);
+    let hello = move || agent_hello(&setup, &clock);
     let name = settings.setup.name.clone();
-    let actor = AgentActor::new(settings.setup, ticker, backend, &settings.entries);
+    let actor = AgentActor::new(settings.setup, clock, backend, &settings.entries);
     let agent = actor.start();
     kernel.register(AGENT, agent.clone());
     log_event(&Event::new(Kind::Started, format!("agent {name}")));
--- a/lib/daemon/src/backend.rs
+++ b/lib/daemon/src/backend.rs
@@ -13,8 +13,8 @@
 use stackcourse_lib::agent::RunFailure;
 use stackcourse_lib::agent::RunTask;
 
+use crate::process_clock::ProcessClock;
 use crate::settings::AgentSettings;
-use crate::ticker::Ticker;
 
 /// The request header that carries the job's id.
 pub const JOB_HEADER: &str = "Stackcourse-Job";
@@ -56,8 +56,8 @@
     ///
     /// Returns [`RunFailure::NeverSent`] if nothing of the request was sent, [`RunFailure::Failed`] if the task may
     /// have run. The request is never sent twice.
-    pub async fn run(&self, task: RunTask, ticker: Ticker) -> Result<Bytes, RunFailure> {
-        let left = ticker.now().mono.until(task.until);
+    pub async fn run(&self, task: RunTask, clock: ProcessClock) -> Result<Bytes, RunFailure> {
+        let left = clock.now().mono.until(task.until);
         if left.is_zero() {
             let reason = "the deadline passed before the backend server was called";
             return Err(RunFailure::NeverSent(reason.into()));
--- a/lib/daemon/src/boot_clock.rs
+++ b/lib/daemon/src/boot_clock.rs
@@ -23,11 +23,11 @@
 impl BootClock {
     /// Starts a clock on the system's boot-time clock.
     pub fn start() -> BootClock {
-        BootClock::reading(since_boot)
+        BootClock::with_source(since_boot)
     }
 
     /// Starts a clock on another source, for tests.
-    pub fn reading(read: ClockSource) -> BootClock {
+    pub fn with_source(read: ClockSource) -> BootClock {
         let start = read();
         BootClock { read, start }
     }
--- a/lib/daemon/src/dev.rs
+++ b/lib/daemon/src/dev.rs
@@ -23,12 +23,12 @@
 use crate::entry_process::bind;
 use crate::kernel::Kernel;
 use crate::memory_store::MemoryStore;
+use crate::process_clock::TICK;
 use crate::settings::AgentSettings;
 use crate::settings::EntrySettings;
 use crate::settings::LogSettings;
 use crate::status::EntryStatus;
 use crate::store::AnyStore;
-use crate::ticker::TICK;
 
 /// A loopback address with a port chosen by the system.
 const ANY_PORT: SocketAddr =
@@ -60,7 +60,7 @@
 
 impl DevHandle {
     /// Waits until the entry serves shards and has a usable agent, or until the entry stops.
-    pub async fn ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let is_serving = |s: &EntryStatus| s.served > 0 && s.agents.iter().any(|a| a.usable);
         while let Ok(status) = self.entry.entry.send(GetStatus).await {
             if is_serving(&status) {
--- a/lib/daemon/src/dispatch/day_watch.rs
+++ b/lib/daemon/src/dispatch/day_watch.rs
@@ -9,7 +9,7 @@
 use stackcourse_lib::clock_step::StepWatch;
 
 use crate::boot_clock::BootClock;
-use crate::ticker::Ticker;
+use crate::process_clock::ProcessClock;
 
 /// Time between looks.
 const PAUSE: Duration = Duration::from_secs(1);
@@ -17,7 +17,7 @@
 /// Watches the box's clock.
 #[derive(Debug)]
 pub struct DayWatch {
-    ticker: Ticker,
+    process_clock: ProcessClock,
     steps: Cell<StepWatch>,
     due: Cell<Mono>,
 }
@@ -26,7 +26,7 @@
     /// Watches from now on, against a clock that never steps.
     pub fn new(clock: BootClock) -> DayWatch {
         DayWatch {
-            ticker: Ticker::beside(clock),
+            process_clock: ProcessClock::from_clock(clock),
             steps: Cell::default(),
             due: Cell::default(),
         }
@@ -39,7 +39,7 @@
         }
         self.due.set(now + PAUSE);
         let mut steps = self.steps.get();
-        let step = steps.look(self.ticker.now().step_ms());
+        let step = steps.look(self.process_clock.now().step_ms());
         self.steps.set(steps);
         step
     }
--- a/lib/daemon/src/dispatch/log_sink.rs
+++ b/lib/daemon/src/dispatch/log_sink.rs
@@ -17,7 +17,7 @@
 use stackcourse_lib::event::Level;
 use stackcourse_lib::prelude::Mono;
 
-use crate::day_time;
+use crate::system_clock;
 
 /// Lines that may wait to be written.
 const QUEUE: usize = 4096;
@@ -97,7 +97,7 @@
     fn write(&mut self, now: Mono, event: &Event, left_out: u64) {
         self.sequence += 1;
         let mut line = json!({
-            "time_ms": day_time::unix_ms(),
+            "time_ms": system_clock::unix_ms(),
             "mono_us": now.0,
             "node": self.node,
             "line": self.sequence,
--- a/lib/daemon/src/entry_actor.rs
+++ b/lib/daemon/src/entry_actor.rs
@@ -21,11 +21,11 @@
 use crate::link::LinkSender;
 use crate::logging::log_event;
 use crate::metrics;
+use crate::process_clock::ProcessClock;
+use crate::process_clock::TICK;
 use crate::status::EntryStatus;
 use crate::store::AnyStore;
 use crate::store::execute_op;
-use crate::ticker::TICK;
-use crate::ticker::Ticker;
 
 /// The name under which the actor's address is registered in the [`Kernel`](crate::kernel::Kernel).
 pub const ENTRY: &str = "entry";
@@ -33,7 +33,7 @@
 /// Owns an entry's state machine, its links, its store client and the callers that wait for an answer.
 pub struct EntryActor {
     entry: Entry,
-    ticker: Ticker,
+    clock: ProcessClock,
     store: AnyStore,
     links: HashMap<LinkId, LinkSender>,
     link_names: HashMap<LinkId, String>,
@@ -43,10 +43,10 @@
 
 impl EntryActor {
     /// Creates an actor for a state machine that has not received any input.
-    pub fn new(entry: Entry, ticker: Ticker, store: AnyStore) -> EntryActor {
+    pub fn new(entry: Entry, clock: ProcessClock, store: AnyStore) -> EntryActor {
         EntryActor {
             entry,
-            ticker,
+            clock,
             store,
             links: HashMap::new(),
             link_names: HashMap::new(),
@@ -77,14 +77,14 @@
                     });
                     ctx.spawn(done);
                 }
-                Action::ShiftClock(by_ms) => self.ticker.shift(by_ms),
+                Action::ShiftClock(by_ms) => self.clock.shift(by_ms),
                 Action::Log(event) => log_event(&event),
             }
         }
     }
 
     fn handle_store_reply(&mut self, ctx: &mut Context<EntryActor>, tag: u64, reply: StoreReply) {
-        self.entry.handle_store_reply(self.ticker.now(), tag, reply);
+        self.entry.handle_store_reply(self.clock.now(), tag, reply);
         self.execute_actions(ctx);
     }
 }
@@ -95,7 +95,7 @@
     fn started(&mut self, ctx: &mut Context<EntryActor>) {
         ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
         ctx.run_interval(TICK, |actor, ctx| {
-            actor.entry.tick(actor.ticker.now());
+            actor.entry.tick(actor.clock.now());
             actor.execute_actions(ctx);
         });
     }
@@ -113,7 +113,7 @@
     type Result = ();
 
     fn handle(&mut self, msg: HandleLinkEvent, ctx: &mut Context<EntryActor>) {
-        let now = self.ticker.now();
+        let now = self.clock.now();
         match msg.0 {
             LinkEvent::Up(link, hello, sender) => {
                 self.links.insert(link, sender);
@@ -148,7 +148,7 @@
         self.next_request += 1;
         self.callers.insert(self.next_request, msg.answer);
         self.entry
-            .submit(self.ticker.now(), self.next_request, msg.submission);
+            .submit(self.clock.now(), self.next_request, msg.submission);
         self.execute_actions(ctx);
     }
 }
@@ -192,7 +192,7 @@
     fn handle(&mut self, msg: ApplyConfig, ctx: &mut Context<EntryActor>) -> u64 {
         if msg.version > 0 {
             self.entry
-                .apply_config(self.ticker.now(), msg.version, msg.value);
+                .apply_config(self.clock.now(), msg.version, msg.value);
             self.execute_actions(ctx);
         }
         self.entry.follower().next()
@@ -221,7 +221,7 @@
     type Result = ();
 
     fn handle(&mut self, _: Leave, ctx: &mut Context<EntryActor>) {
-        self.entry.leave(self.ticker.now());
+        self.entry.leave(self.clock.now());
         self.execute_actions(ctx);
     }
 }
@@ -235,7 +235,7 @@
     type Result = MessageResult<GetStatus>;
 
     fn handle(&mut self, _: GetStatus, _: &mut Context<EntryActor>) -> MessageResult<GetStatus> {
-        MessageResult(EntryStatus::from_entry(&self.entry, self.ticker.now()))
+        MessageResult(EntryStatus::from_entry(&self.entry, self.clock.now()))
     }
 }
 
@@ -291,7 +291,7 @@
             agent: false,
             zone: String::new(),
             hall: String::new(),
-            up_ms: self.ticker.up_ms(),
+            up_ms: self.clock.up_ms(),
             room: None,
             address: self.entry.address().to_owned(),
         })
--- a/lib/daemon/src/entry_process.rs
+++ b/lib/daemon/src/entry_process.rs
@@ -34,9 +34,9 @@
 use crate::kernel::Kernel;
 use crate::link;
 use crate::logging::log_event;
+use crate::process_clock::ProcessClock;
 use crate::settings::EntrySettings;
 use crate::store::AnyStore;
-use crate::ticker::Ticker;
 
 /// The number of threads that serve callers. All decisions are made on one separate thread.
 const HTTP_THREADS: usize = 2;
@@ -96,9 +96,9 @@
     let (listen_at, http_at) = (listener.local_addr()?, http.local_addr()?);
     setup.address = fill_port(&setup.address, listen_at);
     setup.http = fill_port(&setup.http, http_at);
-    let ticker = Ticker::from_kernel(kernel);
+    let clock = ProcessClock::from_kernel(kernel);
     let name = setup.name.clone();
-    let entry = EntryActor::new(Entry::new(setup), ticker, store.clone()).start();
+    let entry = EntryActor::new(Entry::new(setup), clock, store.clone()).start();
     kernel.register(ENTRY, entry.clone());
     log_event(&Event::new(Kind::Started, format!("entry {name}")));
     actix_rt::spawn(accept_links(
--- a/lib/daemon/src/operator.rs
+++ b/lib/daemon/src/operator.rs
@@ -16,9 +16,9 @@
 use stackcourse_lib::versions::version_key;
 use thiserror::Error;
 
-use crate::day_time;
 use crate::store::Store;
 use crate::store::StoreError;
+use crate::system_clock;
 
 /// The number of attempts to write a version while the answers are lost.
 const MAX_ATTEMPTS: u32 = 5;
@@ -53,7 +53,7 @@
     },
     /// The store did not answer. The version may have been applied.
     #[error("it is not known whether version {version} was applied (change {change})")]
-    Unsettled {
+    Unconfirmed {
         /// The number of the version.
         version: u64,
         /// The change id of the version.
@@ -87,7 +87,7 @@
 /// # Errors
 ///
 /// Returns an error if the store can't be read.
-pub async fn newest(store: &impl Store) -> Result<(u64, Bytes), StoreError> {
+pub async fn newest_version(store: &impl Store) -> Result<(u64, Bytes), StoreError> {
     let mut found = (0, Bytes::new());
     let hint = store.get(HEAD_KEY).await?;
     let hint = hint.and_then(|h| String::from_utf8_lossy(&h.value).trim().parse().ok());
@@ -121,7 +121,7 @@
     text: &[u8],
 ) -> Result<(u64, Vec<String>), ApplyError> {
     let next = Configuration::parse(file, text).map_err(ApplyError::Findings)?;
-    let (version, value) = newest(store).await?;
+    let (version, value) = newest_version(store).await?;
     let current = parse_configuration(version, &value)?;
     Ok((version, current.diff(&next)))
 }
@@ -133,7 +133,7 @@
 ///
 /// # Errors
 ///
-/// See [`ApplyError`]. Only after [`ApplyError::Unsettled`] is it unknown whether the document was applied. Running the
+/// See [`ApplyError`]. Only after [`ApplyError::Unconfirmed`] is it unknown whether the document was applied. Running the
 /// same command again is safe in every case.
 pub async fn apply(
     store: &impl Store,
@@ -143,7 +143,7 @@
     base: Option<u64>,
 ) -> Result<Applied, ApplyError> {
     let next = Configuration::parse(file, text).map_err(ApplyError::Findings)?;
-    let (current, value) = newest(store).await?;
+    let (current, value) = newest_version(store).await?;
     let old = parse_configuration(current, &value)?;
     let diff = old.diff(&next);
     if current > 0 && diff.is_empty() {
@@ -205,7 +205,7 @@
         version: current + 1,
         change: uuid::Uuid::new_v4().to_string(),
         author: author.to_owned(),
-        time_ms: day_time::unix_ms(),
+        time_ms: system_clock::unix_ms(),
         previous,
         config: serde_json::from_slice::<Value>(text).unwrap_or_default(),
     }
@@ -238,7 +238,7 @@
         }
         actix_rt::time::sleep(RETRY_DELAY).await;
     }
-    Err(ApplyError::Unsettled {
+    Err(ApplyError::Unconfirmed {
         version,
         change: change.to_owned(),
         source: last_error,
@@ -278,7 +278,7 @@
 ///
 /// Returns an error if the store or a version can't be read.
 pub async fn audit(store: &impl Store, since: u64) -> Result<Vec<AuditLine>, ApplyError> {
-    let (last, _) = newest(store).await?;
+    let (last, _) = newest_version(store).await?;
     let mut previous = read_version(store, since.saturating_sub(1)).await?;
     let mut lines = Vec::new();
     for number in since.max(1)..=last {
--- a/lib/daemon/src/operator/tests.rs
+++ b/lib/daemon/src/operator/tests.rs
@@ -13,7 +13,7 @@
     let store = MemoryStore::default();
     let bad = apply(&store, "f", b"{}", "ann", None).await;
     assert_matches!(bad, Err(ApplyError::Findings(_)));
-    assert_eq!(newest(&store).await.unwrap().0, 0);
+    assert_eq!(newest_version(&store).await.unwrap().0, 0);
     let first = apply(&store, "f", ONE, "ann", None).await.unwrap();
     assert_eq!((first.version, first.changed), (1, true));
     let again = apply(&store, "f", ONE, "ann", None).await.unwrap();
--- a/lib/daemon/src/ticker.rs
+++ b/lib/daemon/src/process_clock.rs
@@ -8,8 +8,8 @@
 use stackcourse_lib::clock::millis;
 
 use crate::boot_clock::BootClock;
-use crate::day_time;
 use crate::kernel::Kernel;
+use crate::system_clock;
 
 /// The time between ticks of a state machine.
 pub const TICK: Duration = Duration::from_millis(10);
@@ -23,27 +23,27 @@
 /// The clock of a process: reads the box's wall clock once and extrapolates it by a monotonic clock, so that it never
 /// steps back on its own. Each reading also has the current time of the box's wall clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Ticker {
+pub struct ProcessClock {
     clock: BootClock,
     box_clock: WallClockSource,
     /// The extrapolated wall-clock time at the start of `clock`.
     wall_ms: u64,
 }
 
-impl Ticker {
+impl ProcessClock {
     /// Starts a clock.
-    pub fn start() -> Ticker {
-        Ticker::beside(BootClock::start())
+    pub fn start() -> ProcessClock {
+        ProcessClock::from_clock(BootClock::start())
     }
 
     /// Creates a clock that extrapolates the box's wall clock by `clock`, which may be running already.
-    pub fn beside(clock: BootClock) -> Ticker {
-        Ticker::reading(clock, day_time::unix_ms)
+    pub fn from_clock(clock: BootClock) -> ProcessClock {
+        ProcessClock::with_source(clock, system_clock::unix_ms)
     }
 
     /// Creates a clock that extrapolates another source of the wall clock by `clock`, for tests.
-    pub fn reading(clock: BootClock, box_clock: WallClockSource) -> Ticker {
-        Ticker {
+    pub fn with_source(clock: BootClock, box_clock: WallClockSource) -> ProcessClock {
+        ProcessClock {
             clock,
             box_clock,
             wall_ms: box_clock().saturating_sub(millis(clock.elapsed())),
@@ -51,8 +51,8 @@
     }
 
     /// Returns the clock registered in the kernel, or starts a new one if there is none.
-    pub fn from_kernel(kernel: &Kernel) -> Ticker {
-        kernel.find(CLOCK).unwrap_or_else(|_| Ticker::start())
+    pub fn from_kernel(kernel: &Kernel) -> ProcessClock {
+        kernel.find(CLOCK).unwrap_or_else(|_| ProcessClock::start())
     }
 
     /// Returns the current time. Its monotonic part is never zero.
--- a/lib/daemon/src/day_time.rs
+++ b/lib/daemon/src/system_clock.rs
@@ -1,7 +1,7 @@
 //! The box's wall clock.
 //!
 //! It may be set ahead or back at any moment, so no duration that a guarantee depends on is measured with it. See
-//! [`crate::ticker`] for the time that state machines receive.
+//! [`crate::process_clock`] for the time that state machines receive.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
--- a/lib/daemon/tests/runner/test_boot_clock.rs
+++ b/lib/daemon/tests/runner/test_boot_clock.rs
@@ -17,7 +17,7 @@
 #[test]
 fn test_boot_clock_suspension() {
     set_reading(5_000);
-    let clock = BootClock::reading(|| READING.get());
+    let clock = BootClock::with_source(|| READING.get());
     assert_eq!(clock.now(), Mono(1));
     set_reading(5_010);
     assert_eq!(clock.now(), Mono(10_001));
--- a/lib/testutils/src/cluster.rs
+++ b/lib/testutils/src/cluster.rs
@@ -22,11 +22,11 @@
 use serde_json::Value;
 use serde_json::json;
 use stackcourse_daemon::consul::ConsulStore;
-use stackcourse_daemon::day_time;
 use stackcourse_daemon::operator;
 use stackcourse_daemon::operator::ApplyError;
 use stackcourse_daemon::status::EntryStatus;
 use stackcourse_daemon::status::fetch_status;
+use stackcourse_daemon::system_clock;
 use stackcourse_lib::job_id::JobId;
 
 use crate::fault_proxy::FaultProxy;
@@ -214,7 +214,7 @@
 
 /// A new job id.
 pub fn new_job() -> JobId {
-    JobId::mint(day_time::unix_ms(), &rand::random())
+    JobId::mint(system_clock::unix_ms(), &rand::random())
 }
 
 fn merge(base: &mut Value, extra: &Value) {
