--- a/lib/daemon/src/api.rs
+++ b/lib/daemon/src/api.rs
@@ -26,7 +26,7 @@
 use crate::entry_actor::Submit;
 use crate::problem;
 
-/// The request header that names the team to charge instead of the service's own team.
+/// The request header that names the job's team if it is not the service's own.
 pub const TEAM_HEADER: &str = "Stackcourse-Team";
 
 /// The state shared by all handlers.
--- a/lib/daemon/src/operator.rs
+++ b/lib/daemon/src/operator.rs
@@ -32,7 +32,7 @@
     #[error("the configuration has {} findings", .0.len())]
     Findings(Vec<Finding>),
     /// The document, with the fields that a version adds, exceeds the size limit of the store.
-    #[error("version {version} would take {size} bytes; the store holds {MAX_VALUE}")]
+    #[error("version {version} needs {size} bytes; the store holds at most {MAX_VALUE}")]
     TooLarge {
         /// The number of the version.
         version: u64,
