--- a/lib/daemon/src/dispatch/day_watch.rs
+++ b/lib/daemon/src/dispatch/day_watch.rs
@@ -10,7 +10,7 @@
 use stackcourse_lib::clock_step::StepWatch;
 
 use crate::boot_clock::BootClock;
-use crate::ticker::Ticker;
+use crate::process_clock::ProcessClock;
 
 /// The time between two checks of the clock.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -18,7 +18,7 @@
 /// Compares the box's clock with a clock that never steps.
 #[derive(Debug)]
 pub struct ClockWatch {
-    ticker: Ticker,
+    process_clock: ProcessClock,
     steps: Cell<StepWatch>,
     next_check: Cell<Mono>,
 }
@@ -27,7 +27,7 @@
     /// Starts watching, with `clock` as the clock that never steps.
     pub fn new(clock: BootClock) -> ClockWatch {
         ClockWatch {
-            ticker: Ticker::beside(clock),
+            process_clock: ProcessClock::from_clock(clock),
             steps: Cell::default(),
             next_check: Cell::default(),
         }
@@ -40,7 +40,7 @@
         }
         self.next_check.set(now + CHECK_INTERVAL);
         let mut steps = self.steps.get();
-        let step = steps.detect_step(self.ticker.now().step_ms());
+        let step = steps.detect_step(self.process_clock.now().step_ms());
         self.steps.set(steps);
         step
     }
--- a/lib/daemon/src/operator/tests.rs
+++ b/lib/daemon/src/operator/tests.rs
@@ -9,11 +9,11 @@
 const TWO: &[u8] = br#"{"services": {"b": {"halls": ["*"], "zones": ["*"]}}}"#;
 
 #[actix_rt::test]
-async fn test_apply_is_whole_and_safe_to_repeat() {
+async fn test_apply_repeated() {
     let store = MemoryStore::default();
     let bad = apply(&store, "f", b"{}", "ann", None).await;
     assert_matches!(bad, Err(ApplyError::Findings(_)));
-    assert_eq!(newest(&store).await.unwrap().0, 0);
+    assert_eq!(newest_version(&store).await.unwrap().0, 0);
     let first = apply(&store, "f", ONE, "ann", None).await.unwrap();
     assert_eq!((first.version, first.changed), (1, true));
     let again = apply(&store, "f", ONE, "ann", None).await.unwrap();
@@ -21,7 +21,7 @@
 }
 
 #[actix_rt::test]
-async fn test_apply_names_the_winner_of_a_race() {
+async fn test_apply_conflict() {
     let store = MemoryStore::default();
     apply(&store, "f", ONE, "ann", None).await.unwrap();
     apply(&store, "f", TWO, "bob", Some(1)).await.unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[actix_rt::test]
-async fn test_audit_shows_the_chain() {
+async fn test_audit_chained_versions() {
     let store = MemoryStore::default();
     apply(&store, "f", ONE, "ann", None).await.unwrap();
     apply(&store, "f", TWO, "bob", None).await.unwrap();
