--- a/cli/tests/runner/test_platform.rs
+++ b/cli/tests/runner/test_platform.rs
@@ -1,4 +1,4 @@
-//! The roles on the users' platform, as real processes over the platform's stand-ins.
+//! Tests of the platform roles as real processes on a simulated platform.
 
 use std::path::Path;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use stackcourse_testutils::platform::fleet::SERVICE;
 use stackcourse_testutils::platform::soak;
 use stackcourse_testutils::platform::soak::SoakPlan;
-use stackcourse_testutils::platform::store::Mood;
+use stackcourse_testutils::platform::store::StoreFaults;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -36,6 +36,7 @@
     }
 }
 
+/// Waits until a check passes. Panics with `what` after 20 s.
 async fn eventually(what: &str, mut check: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
     while !check().await {
@@ -44,38 +45,42 @@
     }
 }
 
+/// Checks the status of a completed job, of a refused job with its `Retry-After`, and of unknown paths and
+/// jobs.
 #[actix_rt::test]
-async fn test_platform_serves_jobs_and_refuses_what_it_can_not() {
+async fn test_platform_responses() {
     let fleet = Fleet::start(binary(), 2, 3).await;
     let entry = fleet.entries[0].callers();
-    let got = callers::hand_in(&fleet.workers, entry, job(1, 5, 40)).await;
-    assert_eq!((got.status, got.state.as_str()), (200, "completed"));
+    let reply = callers::submit_job(&fleet.workers, entry, job(1, 5, 40)).await;
+    assert_eq!((reply.status, reply.state.as_str()), (200, "completed"));
 
-    let mut kept = job(2, 1, 10).body();
-    kept["bestEffort"] = false.into();
+    let mut body = job(2, 1, 10).body();
+    body["bestEffort"] = false.into();
     let path = format!("{PREFIX}{}", JobNumber(2));
-    let got = callers::call(entry, "POST", &path, Some(kept)).await;
-    assert_eq!(got.status, 503);
-    assert!(got.come_back.is_some(), "a refusal says when to come back");
-
-    let elsewhere = callers::call(entry, "GET", "/nowhere/", None).await;
-    assert_eq!(elsewhere.status, 404);
-    let unknown = callers::call(entry, "GET", &format!("{PREFIX}{}", JobNumber(9)), None).await;
+    let reply = callers::send_request(entry, "POST", &path, Some(body)).await;
+    assert_eq!(reply.status, 503);
+    assert!(reply.retry_after.is_some(), "a refusal has a Retry-After");
+
+    let no_queue = callers::send_request(entry, "GET", "/nowhere/", None).await;
+    assert_eq!(no_queue.status, 404);
+    let unknown =
+        callers::send_request(entry, "GET", &format!("{PREFIX}{}", JobNumber(9)), None).await;
     assert_eq!(unknown.status, 410);
-    let pending = callers::call(entry, "GET", PREFIX, None).await;
+    let pending = callers::send_request(entry, "GET", PREFIX, None).await;
     assert_eq!(pending.status, 200);
     assert_eq!(fleet.violation(), None);
 }
 
+/// Guards against double starts: a job resubmitted at another entry while it runs must not run a second time.
 #[actix_rt::test]
-async fn test_platform_job_that_comes_again_elsewhere_stays_one() {
+async fn test_platform_resubmission_other_entry() {
     let fleet = Fleet::start(binary(), 2, 2).await;
     let (one, two) = (fleet.entries[0].callers(), fleet.entries[1].callers());
     let slow = job(1, 3, 700);
-    let first = callers::hand_in(&fleet.workers, one, slow);
+    let first = callers::submit_job(&fleet.workers, one, slow);
     let again = async {
         actix_rt::time::sleep(Duration::from_millis(250)).await;
-        callers::hand_in(&fleet.workers, two, slow).await
+        callers::submit_job(&fleet.workers, two, slow).await
     };
     let (first, again) = futures::future::join(first, again).await;
     assert_eq!(first.state, "completed");
@@ -85,42 +90,47 @@
     assert_eq!(fleet.violation(), None);
 }
 
+/// Guards against lost jobs: a job resubmitted after its entry was killed must complete at another entry.
 #[actix_rt::test]
-async fn test_platform_job_of_a_killed_entry_is_run_by_another() {
+async fn test_platform_entry_killed() {
     let mut fleet = Fleet::start(binary(), 2, 2).await;
     let (one, two) = (fleet.entries[0].callers(), fleet.entries[1].callers());
     let slow = job(1, 3, 900);
     let workers = fleet.workers.clone();
-    let lost = actix_rt::spawn(async move { callers::hand_in(&workers, one, slow).await });
+    let aborted = actix_rt::spawn(async move { callers::submit_job(&workers, one, slow).await });
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     fleet.entries[0].kill();
-    let again = callers::hand_in(&fleet.workers, two, slow).await;
+    let again = callers::submit_job(&fleet.workers, two, slow).await;
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     let log = fleet.entries[1].log_text();
     assert_eq!(again.state, "completed", "{again:?} {log}");
-    assert_eq!(lost.await.expect("a caller").status, 0);
+    assert_eq!(aborted.await.expect("a caller").status, 0);
     assert_eq!(fleet.violation(), None);
 }
 
+/// Guards against double starts: an entry paused for longer than its leases must not start tasks of a job that
+/// another entry has run meanwhile.
 #[actix_rt::test]
-async fn test_platform_entry_that_was_stopped_starts_nothing_late() {
+async fn test_platform_entry_paused() {
     let fleet = Fleet::start(binary(), 2, 2).await;
     let (one, two) = (fleet.entries[0].callers(), fleet.entries[1].callers());
     let slow = job(1, 4, 900);
     let workers = fleet.workers.clone();
-    actix_rt::spawn(async move { callers::hand_in(&workers, one, slow).await });
+    actix_rt::spawn(async move { callers::submit_job(&workers, one, slow).await });
     actix_rt::time::sleep(Duration::from_millis(200)).await;
     fleet.entries[0].signal(Signal::SIGSTOP);
     actix_rt::time::sleep(Duration::from_millis(1100)).await;
-    let again = callers::hand_in(&fleet.workers, two, slow).await;
+    let again = callers::submit_job(&fleet.workers, two, slow).await;
     fleet.entries[0].signal(Signal::SIGCONT);
     assert_eq!(again.state, "completed");
     actix_rt::time::sleep(Duration::from_millis(800)).await;
     assert_eq!(fleet.violation(), None);
 }
 
+/// Guards against double starts: a job submitted at both entries while one entry's links stall must not run
+/// twice.
 #[actix_rt::test]
-async fn test_platform_cut_between_entries_does_not_run_a_job_twice() {
+async fn test_platform_entry_links_stalled() {
     let fleet = Fleet::start(binary(), 2, 2).await;
     let (one, two) = (fleet.entries[0].callers(), fleet.entries[1].callers());
     let stall = Fault {
@@ -130,71 +140,72 @@
     fleet.proxies[0].set(stall);
     actix_rt::time::sleep(Duration::from_millis(1500)).await;
     let slow = job(1, 2, 500);
-    let first = callers::hand_in(&fleet.workers, one, slow);
-    let second = callers::hand_in(&fleet.workers, two, slow);
+    let first = callers::submit_job(&fleet.workers, one, slow);
+    let second = callers::submit_job(&fleet.workers, two, slow);
     let (first, second) = futures::future::join(first, second).await;
     assert!(first.state == "completed" || second.state == "completed");
     assert_eq!(fleet.violation(), None);
     fleet.proxies[0].set(Fault::default());
 }
 
+/// Guards against requests cut by a planned stop: a leaving entry reports that it is not ready, and still
+/// serves open and new requests.
 #[actix_rt::test]
-async fn test_platform_planned_stop_cuts_no_request() {
+async fn test_platform_entry_shutdown() {
     let mut fleet = Fleet::start(binary(), 2, 2).await;
     let entry = fleet.entries[0].callers();
     let workers = fleet.workers.clone();
     let slow =
-        actix_rt::spawn(async move { callers::hand_in(&workers, entry, job(1, 2, 600)).await });
+        actix_rt::spawn(async move { callers::submit_job(&workers, entry, job(1, 2, 600)).await });
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     fleet.entries[0].signal(Signal::SIGTERM);
     actix_rt::time::sleep(Duration::from_millis(100)).await;
-    let ready = callers::call(fleet.entries[0].ready(), "GET", "/-/ready", None).await;
-    assert_eq!(ready.status, 503, "an entry that leaves is not ready");
-    let late = callers::hand_in(&fleet.workers, entry, job(2, 1, 50)).await;
-    assert_eq!(late.state, "completed", "what still comes is served");
+    let ready = callers::send_request(fleet.entries[0].ready(), "GET", "/-/ready", None).await;
+    assert_eq!(ready.status, 503, "a leaving entry is not ready");
+    let late = callers::submit_job(&fleet.workers, entry, job(2, 1, 50)).await;
+    assert_eq!(late.state, "completed", "new requests are still served");
     assert_eq!(slow.await.expect("a caller").state, "completed");
     assert!(
         fleet.entries[0].stop(Duration::from_secs(8)),
-        "it ends well"
+        "the process ends with success"
     );
     assert_eq!(fleet.violation(), None);
 }
 
-/// Where too few entries of a zone are ready the balancer goes on sending callers to one that leaves. It refuses new
-/// connections once the balancer has had its time, and still answers what it holds.
+/// Where too few entries of a zone are ready, the balancer keeps sending callers to a leaving entry. After the
+/// balancer's grace time the entry must refuse new connections, so that callers connect elsewhere, and still
+/// complete the jobs that it holds.
 #[actix_rt::test]
-async fn test_platform_entry_that_leaves_refuses_new_connections_in_the_end() {
+async fn test_platform_entry_shutdown_new_connection() {
     let mut fleet = Fleet::start(binary(), 2, 2).await;
     let entry = fleet.entries[0].callers();
     let workers = fleet.workers.clone();
     fleet.entries[0].signal(Signal::SIGTERM);
     actix_rt::time::sleep(Duration::from_millis(1500)).await;
     let slow =
-        actix_rt::spawn(async move { callers::hand_in(&workers, entry, job(1, 2, 1800)).await });
+        actix_rt::spawn(async move { callers::submit_job(&workers, entry, job(1, 2, 1800)).await });
     actix_rt::time::sleep(Duration::from_millis(1200)).await;
-    let late = callers::hand_in(&fleet.workers, entry, job(2, 1, 50)).await;
-    assert_eq!(
-        late.status, 0,
-        "its caller is free to connect elsewhere at once"
-    );
+    let late = callers::submit_job(&fleet.workers, entry, job(2, 1, 50)).await;
+    assert_eq!(late.status, 0, "a new connection is refused at once");
     assert_eq!(slow.await.expect("a caller").state, "completed");
     assert!(
         fleet.entries[0].stop(Duration::from_secs(8)),
-        "it ends well"
+        "the process ends with success"
     );
     assert_eq!(fleet.violation(), None);
 }
 
-/// A caller that keeps its connection stays with the entry until that ends. The next answer of one that leaves ends it.
+/// A caller with a persistent connection would stay with a leaving entry until the entry ends. The entry's
+/// next response must close the connection.
 #[actix_rt::test]
-async fn test_platform_entry_that_leaves_lets_go_of_connections() {
+async fn test_platform_entry_shutdown_keep_alive() {
     let fleet = Fleet::start(binary(), 2, 1).await;
     let entry = fleet.entries[0].callers();
-    let mut stream = TcpStream::connect(entry).await.expect("it listens");
-    let kept = exchange(&mut stream).await;
+    let mut stream = TcpStream::connect(entry).await.expect("the entry listens");
+    let open = exchange(&mut stream).await;
     assert!(
-        kept.starts_with("http/1.1 200") && !kept.contains("connection: close"),
-        "{kept}"
+        open.starts_with("http/1.1 200") && !open.contains("connection: close"),
+        "{open}"
     );
     fleet.entries[0].signal(Signal::SIGTERM);
     actix_rt::time::sleep(Duration::from_millis(200)).await;
@@ -205,175 +216,193 @@
     );
     let mut rest = Vec::new();
     let end = stream.read_to_end(&mut rest).await;
-    assert_eq!(end.expect("it ends well"), 0);
+    assert_eq!(end.expect("a clean end of the connection"), 0);
 }
 
-/// Asks how many jobs wait; the answer, in small letters.
+/// Requests the queue's number of waiting jobs over an open connection and returns the response in lower case.
 async fn exchange(stream: &mut TcpStream) -> String {
     let request = format!("GET {PREFIX} HTTP/1.1\r\nHost: {HOST}\r\n\r\n");
     stream
         .write_all(request.as_bytes())
         .await
-        .expect("it is open");
+        .expect("the connection is open");
     let mut bytes = vec![0u8; 4096];
     let n = stream.read(&mut bytes).await.expect("an answer");
     String::from_utf8_lossy(&bytes[..n]).to_lowercase()
 }
 
-/// One of two zones is evacuated and taken back, then both are. Its workers run on; nobody gets anything there.
+/// Guards against starts in an evacuated availability zone, whose workers keep running. Evacuates one of two
+/// zones, then both, and ends the evacuation of one.
 #[actix_rt::test]
-async fn test_platform_evacuated_zone_gets_nothing_more() {
-    const HEARD: Duration = Duration::from_millis(500);
+async fn test_platform_zone_evacuation() {
+    // The time for the evacuation to reach every process.
+    const PROPAGATION: Duration = Duration::from_millis(500);
     let fleet = Fleet::start(binary(), 2, 2).await;
     let [first, second] = [fleet.entries[0].callers(), fleet.entries[1].callers()];
     let starts = |n: usize| fleet.workers.lock().unwrap().starts[n];
     fleet.set_evacuated("y", true);
-    actix_rt::time::sleep(HEARD).await;
+    actix_rt::time::sleep(PROPAGATION).await;
     let before = [starts(0), starts(1)];
     for number in 0..8 {
         let entry = if number % 2 == 0 { first } else { second };
-        let got = callers::hand_in(&fleet.workers, entry, job(number, 3, 30)).await;
-        assert_eq!(got.state, "completed");
+        let reply = callers::submit_job(&fleet.workers, entry, job(number, 3, 30)).await;
+        assert_eq!(reply.state, "completed");
     }
     assert_eq!([starts(0) - before[0], starts(1) - before[1]], [24, 0]);
     fleet.set_evacuated("z", true);
-    actix_rt::time::sleep(HEARD).await;
-    let refused = callers::hand_in(&fleet.workers, first, job(20, 1, 30)).await;
+    actix_rt::time::sleep(PROPAGATION).await;
+    let refused = callers::submit_job(&fleet.workers, first, job(20, 1, 30)).await;
     assert_eq!(refused.status, 503);
-    assert!(
-        refused.come_back.is_some(),
-        "at once, with a time to come back"
-    );
+    assert!(refused.retry_after.is_some(), "a refusal has a Retry-After");
     fleet.store.compact();
     fleet.set_evacuated("y", false);
-    actix_rt::time::sleep(HEARD).await;
-    let got = callers::hand_in(&fleet.workers, second, job(21, 3, 30)).await;
-    assert_eq!(got.state, "completed", "it is taken back");
+    actix_rt::time::sleep(PROPAGATION).await;
+    let reply = callers::submit_job(&fleet.workers, second, job(21, 3, 30)).await;
+    assert_eq!(reply.state, "completed", "the zone serves jobs again");
     assert_eq!(fleet.violation(), None);
 }
 
+/// Guards against runs cut by a planned stop of their agent.
 #[actix_rt::test]
-async fn test_platform_agent_that_leaves_finishes_what_runs() {
+async fn test_platform_agent_shutdown() {
     let mut fleet = Fleet::start(binary(), 1, 2).await;
     let entry = fleet.entries[0].callers();
     let workers = fleet.workers.clone();
     let slow =
-        actix_rt::spawn(async move { callers::hand_in(&workers, entry, job(1, 4, 500)).await });
+        actix_rt::spawn(async move { callers::submit_job(&workers, entry, job(1, 4, 500)).await });
     actix_rt::time::sleep(Duration::from_millis(150)).await;
-    assert!(fleet.agents[0].stop(Duration::from_secs(8)), "it ends well");
+    assert!(
+        fleet.agents[0].stop(Duration::from_secs(8)),
+        "the process ends with success"
+    );
     assert_eq!(slow.await.expect("a caller").state, "completed");
     assert_eq!(fleet.workers.lock().unwrap().witness.starts, 4);
     assert_eq!(fleet.violation(), None);
 }
 
+/// Guards against starts at a worker whose heartbeats report that it drains.
 #[actix_rt::test]
-async fn test_platform_draining_worker_gets_nothing_new() {
+async fn test_platform_worker_draining() {
     let fleet = Fleet::start(binary(), 1, 2).await;
     fleet.workers.lock().unwrap().models[0].draining = true;
-    eventually("the agent tells of it", async || {
+    eventually("the agent logs that the worker drains", async || {
         fleet.agents[0].log_text().contains("SC422")
     })
     .await;
     let before = fleet.workers.lock().unwrap().models[0].begun;
     for number in 1..6 {
         let entry = fleet.entries[0].callers();
-        let got = callers::hand_in(&fleet.workers, entry, job(number, 3, 30)).await;
-        assert_eq!(got.state, "completed");
+        let reply = callers::submit_job(&fleet.workers, entry, job(number, 3, 30)).await;
+        assert_eq!(reply.state, "completed");
     }
     let workers = fleet.workers.lock().unwrap();
     assert_eq!(
         workers.models[0].begun, before,
-        "nothing new has begun there"
+        "no run starts at a draining worker"
     );
     assert!(workers.models[1].begun >= 15);
 }
 
-/// Workers that are started again under the ids that they had count their ends and heartbeats from 1. While lives were told
-/// apart by the id alone, their ends were passed over and each task ran until the job's time was up.
+/// A worker that restarts under the same id numbers its ends and heartbeats from 1 again. If incarnations
+/// were told apart by the id alone, these ends would be skipped and each task would run until the job's
+/// deadline.
 #[actix_rt::test]
-async fn test_platform_workers_that_restart_under_their_ids_are_met_anew() {
+async fn test_platform_worker_restart_same_id() {
     let fleet = Fleet::start(binary(), 1, 2).await;
     let entry = fleet.entries[0].callers();
-    let got = callers::hand_in(&fleet.workers, entry, job(1, 40, 10)).await;
-    assert_eq!(got.state, "completed");
+    let reply = callers::submit_job(&fleet.workers, entry, job(1, 40, 10)).await;
+    assert_eq!(reply.state, "completed");
     for number in 0..2 {
         fleet.workers.lock().unwrap().restart(number);
     }
-    eventually("both agents have met the new lives", async || {
+    eventually("both agents log the new incarnations", async || {
         let logs = fleet.agents.iter().map(Machine::log_text);
         logs.filter(|l| l.matches("SC421").count() == 2).count() == 2
     })
     .await;
     let before = fleet.workers.lock().unwrap().witness.starts;
-    let got = callers::hand_in(&fleet.workers, entry, job(2, 10, 30)).await;
-    assert_eq!(got.state, "completed");
+    let reply = callers::submit_job(&fleet.workers, entry, job(2, 10, 30)).await;
+    assert_eq!(reply.state, "completed");
     let starts = fleet.workers.lock().unwrap().witness.starts;
     assert_eq!(starts - before, 10, "each task began once");
 
     fleet.workers.lock().unwrap().models[0].draining = true;
-    eventually("the agent tells of it", async || {
+    eventually("the agent logs that the worker drains", async || {
         fleet.agents[0].log_text().contains("SC422")
     })
     .await;
     let before = fleet.workers.lock().unwrap().starts[0];
-    let got = callers::hand_in(&fleet.workers, entry, job(3, 6, 30)).await;
-    assert_eq!(got.state, "completed");
+    let reply = callers::submit_job(&fleet.workers, entry, job(3, 6, 30)).await;
+    assert_eq!(reply.state, "completed");
     assert_eq!(fleet.workers.lock().unwrap().starts[0], before);
     assert_eq!(fleet.violation(), None);
 }
 
-/// A worker goes 10 ms after it has started a task of the job, and is back in another life.
+/// Guards against a job that crashes worker after worker. Each worker crashes 10 ms after it has started the
+/// task and comes back as a new incarnation; the job must fail after two or three crashes and not be started
+/// again.
 #[actix_rt::test]
-async fn test_platform_job_that_takes_workers_down_is_given_up() {
+async fn test_platform_crashing_job() {
     let fleet = Fleet::start(binary(), 2, 4).await;
     let entry = fleet.entries[0].callers();
     let crashing = CallerJob {
         crashing: true,
         ..job(1, 1, 600)
     };
-    let got = callers::hand_in(&fleet.workers, entry, crashing).await;
-    assert_eq!((got.status, got.state.as_str()), (200, "failed"));
+    let reply = callers::submit_job(&fleet.workers, entry, crashing).await;
+    assert_eq!((reply.status, reply.state.as_str()), (200, "failed"));
     let crashes = fleet.workers.lock().unwrap().crashes;
-    assert!((2..=3).contains(&crashes), "{crashes} workers were lost");
+    assert!((2..=3).contains(&crashes), "{crashes} workers crashed");
     assert_eq!(fleet.violation(), None);
 
-    let again = callers::hand_in(&fleet.workers, entry, crashing).await;
-    assert_eq!(again.state, "failed", "its end is remembered");
+    let again = callers::submit_job(&fleet.workers, entry, crashing).await;
+    assert_eq!(again.state, "failed", "the end is remembered");
     assert_eq!(fleet.workers.lock().unwrap().crashes, crashes);
     eventually("the crashes and the task are logged", async || {
         let logs = fleet.agents.iter().map(Machine::log_text);
-        let told = logs.filter(|l| l.contains("SC437")).count();
-        told == crashes as usize && fleet.entries[0].log_text().contains("SC412")
+        let reported = logs.filter(|l| l.contains("SC437")).count();
+        reported == crashes as usize && fleet.entries[0].log_text().contains("SC412")
     })
     .await;
 
     let other = fleet.entries[1].callers();
-    let got = callers::hand_in(&fleet.workers, other, job(2, 4, 40)).await;
-    assert_eq!(got.state, "completed");
-    let page = page_of(&fleet.entries[0]).await;
+    let reply = callers::submit_job(&fleet.workers, other, job(2, 4, 40)).await;
+    assert_eq!(reply.state, "completed");
+    let page = metrics_of(&fleet.entries[0]).await;
     assert!(page.contains(r#"stackcourse_causes_total{cause="crashes"} 1"#));
 }
 
+/// Entries must follow a new configuration after the store has compacted its history, and serve jobs by it
+/// while the store is unavailable.
 #[actix_rt::test]
-async fn test_platform_configuration_is_followed_and_survives_the_store() {
+async fn test_platform_configuration_change() {
     let fleet = Fleet::start(binary(), 2, 1).await;
     let entry = fleet.entries[1].callers();
-    assert_eq!(callers::call(entry, "GET", "/new/", None).await.status, 404);
+    assert_eq!(
+        callers::send_request(entry, "GET", "/new/", None)
+            .await
+            .status,
+        404
+    );
     fleet.store.compact();
     let next = fleet::configuration(7, &[SERVICE, "new"]);
-    fleet.store.operator_writes("op/config", &next);
-    eventually("the new queue is there", async || {
-        callers::call(entry, "GET", "/new/", None).await.status == 200
+    fleet.store.write_as_operator("op/config", &next);
+    eventually("the new queue is served", async || {
+        callers::send_request(entry, "GET", "/new/", None)
+            .await
+            .status
+            == 200
     })
     .await;
-    fleet.store.set_mood(Mood::Busy);
+    fleet.store.set_faults(StoreFaults::Unavailable);
     actix_rt::time::sleep(Duration::from_millis(300)).await;
-    let got = callers::hand_in(&fleet.workers, entry, job(1, 2, 30)).await;
-    assert_eq!(got.state, "completed", "the store is on no job's path");
+    let reply = callers::submit_job(&fleet.workers, entry, job(1, 2, 30)).await;
+    assert_eq!(reply.state, "completed", "jobs don't need the store");
 }
 
+/// An entry whose member key is removed while its lease is valid must write the key again.
 #[actix_rt::test]
-async fn test_platform_member_key_comes_back_when_it_is_taken_away() {
+async fn test_platform_member_key_removed() {
     let fleet = Fleet::start(binary(), 1, 1).await;
     assert_eq!(fleet.store.keys("members/").len(), 1);
     fleet.store.revoke_keys();
@@ -383,27 +412,29 @@
     .await;
 }
 
+/// A malformed settings file must be logged and leave the settings in force unchanged.
 #[actix_rt::test]
-async fn test_platform_broken_settings_leave_the_last_good_ones() {
+async fn test_platform_settings_malformed() {
     let fleet = Fleet::start(binary(), 1, 1).await;
     let entry = &fleet.entries[0];
     std::fs::write(entry.settings(), "{\"node\": {\"name\": 3}").expect("a file");
     entry.signal(Signal::SIGHUP);
-    eventually("the finding is logged", async || {
+    eventually("the error is logged", async || {
         entry.log_text().contains("SC104")
     })
     .await;
-    let got = callers::hand_in(&fleet.workers, entry.callers(), job(1, 1, 20)).await;
-    assert_eq!(got.state, "completed");
+    let reply = callers::submit_job(&fleet.workers, entry.callers(), job(1, 1, 20)).await;
+    assert_eq!(reply.state, "completed");
 }
 
+/// Guards against runs that occupy a worker after their caller has disconnected.
 #[actix_rt::test]
-async fn test_platform_caller_that_leaves_frees_its_room() {
+async fn test_platform_caller_disconnect() {
     let fleet = Fleet::start(binary(), 1, 1).await;
     let entry = fleet.entries[0].callers();
     let workers = fleet.workers.clone();
     let caller =
-        actix_rt::spawn(async move { callers::hand_in(&workers, entry, job(1, 8, 2000)).await });
+        actix_rt::spawn(async move { callers::submit_job(&workers, entry, job(1, 8, 2000)).await });
     eventually("all tasks run", async || {
         fleet.workers.lock().unwrap().models[0].running.len() == 8
     })
@@ -417,38 +448,41 @@
     .await;
 }
 
+/// Runs short soaks with random faults: no guarantee may be violated, and the fleet must recover.
 #[actix_rt::test]
-async fn test_platform_soak_keeps_every_promise() {
+async fn test_platform_soak() {
     for seed in 1..3 {
         let logs = std::env::temp_dir().join("stackcourse-soak");
         let plan = SoakPlan {
-            keep: Some(logs.clone()),
+            log_dir: Some(logs.clone()),
             ..SoakPlan::small(seed, Duration::from_secs(8))
         };
         let report = soak::run(binary(), &plan).await;
-        let kept = format!("seed {seed}, logs in {}: {report:?}", logs.display());
-        assert_eq!(report.violation, None, "{kept}");
-        assert!(report.is_good(), "did not recover: {kept}");
+        let context = format!("seed {seed}, logs in {}: {report:?}", logs.display());
+        assert_eq!(report.violation, None, "{context}");
+        assert!(report.is_good(), "did not recover: {context}");
     }
 }
 
+/// Runs a short soak of a fleet that is divided into partitions.
 #[actix_rt::test]
-async fn test_platform_soak_of_a_divided_fleet_keeps_every_promise() {
+async fn test_platform_soak_partitioned() {
     let logs = std::env::temp_dir().join("stackcourse-soak-divided");
     let plan = SoakPlan {
-        keep: Some(logs.clone()),
-        ..SoakPlan::divided(1, Duration::from_secs(8))
+        log_dir: Some(logs.clone()),
+        ..SoakPlan::partitioned(1, Duration::from_secs(8))
     };
     let report = soak::run(binary(), &plan).await;
-    let kept = format!("logs in {}: {report:?}", logs.display());
-    assert_eq!(report.violation, None, "{kept}");
-    assert!(report.is_good(), "did not recover: {kept}");
+    let context = format!("logs in {}: {report:?}", logs.display());
+    assert_eq!(report.violation, None, "{context}");
+    assert!(report.is_good(), "did not recover: {context}");
 }
 
-/// Every entry serves every job, though it is linked to the agents of its partition only.
+/// Every entry must serve every job, although it is linked to the agents of its own partition only: it
+/// forwards jobs of the other partition, each once.
 #[actix_rt::test]
-async fn test_platform_divided_fleet_serves_every_job_at_every_entry() {
-    let fleet = Fleet::start_divided(binary(), 6, 8).await;
+async fn test_platform_partitioned_every_entry() {
+    let fleet = Fleet::start_partitioned(binary(), 6, 8).await;
     assert_eq!(fleet.partitions.count(), 2);
     let mut number = 0;
     let mut foreign = 0;
@@ -459,8 +493,9 @@
         for _ in 0..6 {
             number += 1;
             foreign += usize::from(fleet.partitions.of_job(JobNumber(number)) != own);
-            let got = callers::hand_in(&fleet.workers, entry.callers(), job(number, 3, 30)).await;
-            assert_eq!((got.status, got.state.as_str()), (200, "completed"));
+            let reply =
+                callers::submit_job(&fleet.workers, entry.callers(), job(number, 3, 30)).await;
+            assert_eq!((reply.status, reply.state.as_str()), (200, "completed"));
         }
     }
     let forwarded = |m: &Machine| m.log_text().matches("SC409").count();
@@ -472,30 +507,30 @@
     assert_eq!(fleet.violation(), None);
 }
 
-/// A job that comes again at an entry of another partition than the one that runs it stays one.
+/// Guards against double starts: a job resubmitted at entries of both partitions must not run a second time.
 #[actix_rt::test]
-async fn test_platform_divided_fleet_keeps_a_job_one_that_comes_again_anywhere() {
-    let fleet = Fleet::start_divided(binary(), 6, 8).await;
+async fn test_platform_partitioned_resubmission() {
+    let fleet = Fleet::start_partitioned(binary(), 6, 8).await;
     for number in 1..4 {
         let slow = job(number, 3, 700);
         let calls = fleet.entries.iter().enumerate().map(|(wait, entry)| {
             let (workers, at) = (fleet.workers.clone(), entry.callers());
             async move {
                 actix_rt::time::sleep(Duration::from_millis(120 * wait as u64)).await;
-                callers::hand_in(&workers, at, slow).await
+                callers::submit_job(&workers, at, slow).await
             }
         });
-        for got in futures::future::join_all(calls).await {
-            assert_eq!(got.state, "completed");
+        for reply in futures::future::join_all(calls).await {
+            assert_eq!(reply.state, "completed");
         }
     }
     assert_eq!(fleet.violation(), None);
 }
 
-/// A planned stop of an entry cuts no job that it has forwarded.
+/// Guards against requests cut by a planned stop of an entry that has forwarded them.
 #[actix_rt::test]
-async fn test_platform_divided_fleet_an_entry_that_stops_answers_what_it_forwarded() {
-    let mut fleet = Fleet::start_divided(binary(), 6, 8).await;
+async fn test_platform_partitioned_entry_shutdown() {
+    let mut fleet = Fleet::start_partitioned(binary(), 6, 8).await;
     let at = fleet.entries[0].callers();
     let own = fleet.partitions.of_name("entry-0");
     let foreign = (1..).filter(|n| fleet.partitions.of_job(JobNumber(*n)) != own);
@@ -503,7 +538,7 @@
     let calls = jobs.iter().map(|number| {
         let workers = fleet.workers.clone();
         let slow = job(*number, 2, 3_000);
-        async move { callers::hand_in(&workers, at, slow).await }
+        async move { callers::submit_job(&workers, at, slow).await }
     });
     let calls = actix_rt::spawn(futures::future::join_all(calls.collect::<Vec<_>>()));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
@@ -512,23 +547,26 @@
         let mut stopping = stopping;
         stopping.stop(Duration::from_secs(8))
     });
-    for got in calls.await.expect("the callers are answered") {
-        assert_eq!(got.state, "completed");
+    for reply in calls.await.expect("the callers get responses") {
+        assert_eq!(reply.state, "completed");
     }
-    assert!(stopped.await.expect("it stops"), "the entry ends well");
+    assert!(
+        stopped.await.expect("the stop runs to its end"),
+        "the entry ends with success"
+    );
 }
 
-/// A job whose caller cancels it at another entry ends, wherever it runs.
+/// A job cancelled at any entry must end, in whichever partition it runs.
 #[actix_rt::test]
-async fn test_platform_divided_fleet_cancels_a_job_from_any_entry() {
-    let fleet = Fleet::start_divided(binary(), 6, 8).await;
+async fn test_platform_partitioned_cancel() {
+    let fleet = Fleet::start_partitioned(binary(), 6, 8).await;
     for number in 1..4 {
         let at = fleet.entries[0].callers();
-        let running = callers::hand_in(&fleet.workers, at, job(number, 2, 5_000));
+        let running = callers::submit_job(&fleet.workers, at, job(number, 2, 5_000));
         let cancel = async {
             actix_rt::time::sleep(Duration::from_millis(300)).await;
             let path = format!("{PREFIX}{}", JobNumber(number));
-            callers::call(fleet.entries[5].callers(), "DELETE", &path, None).await
+            callers::send_request(fleet.entries[5].callers(), "DELETE", &path, None).await
         };
         let (ran, cancelled) = futures::future::join(running, cancel).await;
         assert_eq!(cancelled.status, 200);
@@ -536,18 +574,19 @@
     }
 }
 
-async fn page_of(machine: &Machine) -> String {
+async fn metrics_of(machine: &Machine) -> String {
     let page = fleet::metrics_page(machine.metrics()).await;
     page.expect("a metrics page")
 }
 
+/// Checks the metrics of job times, data ages, store calls and run times.
 #[actix_rt::test]
-async fn test_platform_metrics_tell_times_ages_and_calls() {
+async fn test_platform_metrics() {
     let fleet = Fleet::start(binary(), 1, 2).await;
     let entry = fleet.entries[0].callers();
-    let got = callers::hand_in(&fleet.workers, entry, job(1, 3, 40)).await;
-    assert_eq!(got.state, "completed");
-    let page = page_of(&fleet.entries[0]).await;
+    let reply = callers::submit_job(&fleet.workers, entry, job(1, 3, 40)).await;
+    assert_eq!(reply.state, "completed");
+    let page = metrics_of(&fleet.entries[0]).await;
     for stage in ["placed", "completed"] {
         let line =
             format!(r#"stackcourse_job_seconds_count{{queue="r-{SERVICE}",stage="{stage}"}} 1"#);
@@ -560,7 +599,7 @@
     assert!(page.contains(r#"stackcourse_store_calls_total{kind="list",result="200"}"#));
     let mut runs = 0;
     for agent in &fleet.agents {
-        let page = page_of(agent).await;
+        let page = metrics_of(agent).await;
         let counts = page.lines().filter_map(|l| {
             let rest = l.strip_prefix(r#"stackcourse_run_seconds_count{end="done"} "#)?;
             rest.parse::<u64>().ok()
--- a/lib/testutils/src/bin/platform-soak.rs
+++ b/lib/testutils/src/bin/platform-soak.rs
@@ -1,4 +1,5 @@
-//! A soak of the real processes under faults, by seeds.
+//! `platform-soak`: runs soak tests of the real processes under random faults, one for each seed. Fails if a seed
+//! violates a guarantee or does not recover.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +14,7 @@
 
 fn main() -> ExitCode {
     let matches = Command::new("platform-soak")
-        .about("Runs the real processes on the platform's stand-ins under drawn faults")
+        .about("Runs the real processes on a simulated platform under random faults")
         .arg(
             Arg::new("binary")
                 .long("binary")
@@ -22,44 +23,44 @@
                 .help("The stackcourse binary"),
         )
         .arg(number("from", "1", "The first seed"))
-        .arg(number("seeds", "50", "How many seeds"))
-        .arg(number("span", "8", "Seconds with faults in each run"))
+        .arg(number("seeds", "50", "The number of seeds"))
+        .arg(number("span", "8", "Seconds with faults for each seed"))
         .arg(
             Arg::new("divided")
                 .long("divided")
                 .action(ArgAction::SetTrue)
                 .help("Divide the fleet into partitions: at least 4 entries and 4 agents"),
         )
-        .arg(number("entries", "3", "Entries of the fleet, 20 at most"))
-        .arg(number("agents", "4", "Agents of the fleet, 200 at most"))
+        .arg(number("entries", "3", "The number of entries, 20 at most"))
+        .arg(number("agents", "4", "The number of agents, 200 at most"))
         .arg(
             Arg::new("keep")
                 .long("keep")
                 .default_value("target/soak")
                 .value_parser(value_parser!(PathBuf))
-                .help("Where the logs and the timeline of a seed that failed are kept"),
+                .help("The directory for the logs and the timeline of a seed that fails"),
         )
         .get_matches();
     let value = |name: &str| *matches.get_one::<u64>(name).expect("it has a default");
     let binary = matches.get_one::<PathBuf>("binary").expect("a default");
     let span = Duration::from_secs(value("span"));
-    let mut broken = 0;
+    let mut failed = 0;
     for seed in value("from")..value("from") + value("seeds") {
         let plan = SoakPlan {
             entries: value("entries") as usize,
             agents: value("agents") as usize,
-            divided: matches.get_flag("divided"),
-            keep: matches.get_one::<PathBuf>("keep").cloned(),
+            partitioned: matches.get_flag("divided"),
+            log_dir: matches.get_one::<PathBuf>("keep").cloned(),
             ..SoakPlan::small(seed, span)
         };
         let report = actix_rt::System::new().block_on(soak::run(binary, &plan));
         if !report.is_good() {
-            broken += 1;
+            failed += 1;
         }
         println!("seed {seed}: {report:?}");
     }
-    println!("{broken} seeds with a broken promise or without recovery");
-    if broken == 0 {
+    println!("{failed} seeds violated a guarantee or did not recover");
+    if failed == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/lib/testutils/src/platform.rs
+++ b/lib/testutils/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the users' platform: its store, its workers and its operator, speaking the
-//! protocol as published, and the real processes of the system between them.
+//! Simulates the users' platform for tests: its key-value store, its workers, its operator and its callers,
+//! which speak the published protocol. The entry and agent processes between them are real.
 
 pub mod callers;
 pub mod fleet;
--- a/lib/testutils/src/platform/callers.rs
+++ b/lib/testutils/src/platform/callers.rs
@@ -1,4 +1,5 @@
-//! Callers of the real processes: each hands in a job and keeps the answers.
+//! Callers of the entry processes. Each submits a job over HTTP and checks the response against what the
+//! workers ran.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,34 +10,34 @@
 use stackcourse_lib::dispatch::model::JobOutcome;
 
 use crate::dispatch::witness::SeenJob;
-use crate::platform::workers::CRASH;
+use crate::platform::workers::CRASH_SPEC;
 use crate::platform::workers::SharedWorkers;
 
-/// The host that callers name, and the start of the path of its queue.
+/// The host that callers send requests to.
 pub const HOST: &str = "quotes.example";
-/// See [`HOST`].
+/// The path prefix of the queue at [`HOST`].
 pub const PREFIX: &str = "/quotes/";
 
-/// A job to hand in.
+/// A job to submit.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerJob {
-    /// Its id.
+    /// The job's number, sent as the last segment of the path.
     pub number: JobNumber,
-    /// How many tasks it has.
+    /// The number of tasks.
     pub tasks: u32,
-    /// How long each works, in milliseconds.
+    /// How long each task works, in milliseconds.
     pub work_ms: u32,
-    /// What each takes, in thousandths of a core.
+    /// The CPU that each task takes, in thousandths of a core.
     pub cpu: u32,
-    /// Whether each takes down the worker that starts it.
+    /// Whether each task crashes the worker that starts it.
     pub crashing: bool,
 }
 
 impl CallerJob {
-    /// The body of the request.
+    /// Returns the body of the request that submits the job.
     pub fn body(&self) -> Value {
         let spec = if self.crashing {
-            CRASH.to_owned()
+            CRASH_SPEC.to_owned()
         } else {
             self.work_ms.to_string()
         };
@@ -53,19 +54,24 @@
     }
 }
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Got {
-    /// The status; 0 if there was no whole answer.
+pub struct CallerResponse {
+    /// The HTTP status; 0 without a complete response.
     pub status: u16,
-    /// The state in the answer.
+    /// The job's state in the response's body; empty if it has none.
     pub state: String,
-    /// When to come back, if the answer says so, in seconds.
-    pub come_back: Option<String>,
+    /// The `Retry-After` header, in seconds.
+    pub retry_after: Option<String>,
 }
 
-/// Sends any request to an entry.
-pub async fn call(entry: SocketAddr, method: &str, path: &str, body: Option<Value>) -> Got {
+/// Sends a request to an entry.
+pub async fn send_request(
+    entry: SocketAddr,
+    method: &str,
+    path: &str,
+    body: Option<Value>,
+) -> CallerResponse {
     let client = awc::Client::default();
     let method = method.parse().expect("a method");
     let request = client
@@ -78,34 +84,38 @@
         Some(body) => request.send_json(&body).await,
         None => request.send().await,
     };
-    let nothing = Got {
+    let no_response = CallerResponse {
         status: 0,
         state: String::new(),
-        come_back: None,
+        retry_after: None,
     };
-    let Ok(mut answer) = sent else {
-        return nothing;
+    let Ok(mut response) = sent else {
+        return no_response;
     };
-    let status = answer.status().as_u16();
-    let come_back = answer.headers().get("Retry-After");
-    let come_back = come_back.and_then(|v| v.to_str().ok()).map(str::to_owned);
-    let Ok(body) = answer.body().await else {
-        return nothing;
+    let status = response.status().as_u16();
+    let retry_after = response.headers().get("Retry-After");
+    let retry_after = retry_after.and_then(|v| v.to_str().ok()).map(str::to_owned);
+    let Ok(body) = response.body().await else {
+        return no_response;
     };
     let document: Value = serde_json::from_slice(&body).unwrap_or_default();
-    Got {
+    CallerResponse {
         status,
         state: document["state"].as_str().unwrap_or_default().to_owned(),
-        come_back,
+        retry_after,
     }
 }
 
-/// Hands a job in at an entry and holds the answer against what the workers saw.
+/// Submits a job at an entry and checks the response against what the workers ran.
 ///
 /// # Panics
 ///
-/// When another thread panicked while it held the workers.
-pub async fn hand_in(workers: &SharedWorkers, entry: SocketAddr, job: CallerJob) -> Got {
+/// Panics if another thread panicked while it held the lock on the workers.
+pub async fn submit_job(
+    workers: &SharedWorkers,
+    entry: SocketAddr,
+    job: CallerJob,
+) -> CallerResponse {
     {
         let mut workers = workers.lock().unwrap();
         let seen = workers.witness.jobs.entry(job.number).or_insert(SeenJob {
@@ -116,14 +126,14 @@
         seen.handed_in += 1;
     }
     let path = format!("{PREFIX}{}", job.number);
-    let got = call(entry, "POST", &path, Some(job.body())).await;
+    let response = send_request(entry, "POST", &path, Some(job.body())).await;
     let mut workers = workers.lock().unwrap();
     workers.advance();
-    match (got.status, got.state.as_str()) {
+    match (response.status, response.state.as_str()) {
         (200, "completed") => workers.witness.answered(job.number, JobOutcome::Completed),
         (200, "failed") => workers.witness.answered(job.number, JobOutcome::Failed),
         (503, _) => workers.witness.answered(job.number, JobOutcome::Refused(0)),
         _ => {}
     }
-    got
+    response
 }
--- a/lib/testutils/src/platform/fleet.rs
+++ b/lib/testutils/src/platform/fleet.rs
@@ -1,5 +1,6 @@
-//! The real processes of the system on the platform's stand-ins, each machine at a loopback
-//! address of its own, with a fault proxy before the links of each entry.
+//! A fleet of real entry and agent processes on the simulated platform. Each machine has a loopback address
+//! of its own, and a fault proxy lies in front of each entry's peer port, so that tests can disturb the
+//! entry's links.
 
 use std::fs::File;
 use std::net::Ipv4Addr;
@@ -39,22 +40,22 @@
 const PROXY_PORT: u16 = 7730;
 const CALLERS_PORT: u16 = 8161;
 const READY_PORT: u16 = 8167;
-const BEATS_PORT: u16 = 8166;
+const HEARTBEAT_PORT: u16 = 8166;
 const WORKER_PORT: u16 = 8165;
 const METRICS_PORT: u16 = 9464;
 const STORE_PORT: u16 = 8169;
-/// The numbers of the first entry and the first agent among a fleet's machines.
+/// The number of the first entry among a fleet's machines; the store's is 0.
 const FIRST_ENTRY: usize = 10;
-/// See [`FIRST_ENTRY`].
+/// The number of the first agent among a fleet's machines.
 const FIRST_AGENT: usize = 30;
-/// The configuration that a fleet starts with.
+/// The version of the configuration that a fleet starts with.
 pub const FIRST_VERSION: u64 = 3;
-/// The service of the fleet.
+/// The service that the fleet's workers belong to.
 pub const SERVICE: &str = "quote-desk";
 
-/// A machine with the process of one role on it.
+/// A machine that runs the process of one role.
 pub struct Machine {
-    /// Its address.
+    /// The machine's address.
     pub ip: Ipv4Addr,
     role: &'static str,
     settings: PathBuf,
@@ -63,51 +64,51 @@
 }
 
 impl Machine {
-    /// Starts its process, if none runs.
+    /// Starts the process, unless one runs.
     ///
     /// # Panics
     ///
-    /// When the binary does not run.
+    /// Panics if the binary can't be started.
     pub fn start(&mut self) {
         if self.child.is_some() {
             return;
         }
         let log = File::options().create(true).append(true).open(self.log());
         let log = log.expect("a log file");
-        let copy = log.try_clone().expect("a log file");
+        let stderr = log.try_clone().expect("a log file");
         let child = Command::new(&self.binary)
             .args(["platform", self.role])
             .env("STACKCOURSE_NODE_FILE", &self.settings)
             .stdin(Stdio::null())
             .stdout(Stdio::from(log))
-            .stderr(Stdio::from(copy))
+            .stderr(Stdio::from(stderr))
             .spawn();
         self.child = Some(child.expect("the binary runs"));
     }
 
-    /// Where its log is.
+    /// Returns the path of the process's log.
     pub fn log(&self) -> PathBuf {
         self.settings.with_extension("log")
     }
 
-    /// Its log so far.
+    /// Returns the log so far.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(self.log()).unwrap_or_default()
     }
 
-    /// Its settings file.
+    /// Returns the path of the settings file.
     pub fn settings(&self) -> &Path {
         &self.settings
     }
 
-    /// Sends its process a signal.
+    /// Sends a signal to the process, if one runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Kills its process.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Asks its process to stop and waits for its end; whether it ended well in time.
+    /// Asks the process to stop and waits for its end. Returns whether it ended successfully within the limit.
     pub fn stop(&mut self, limit: Duration) -> bool {
         self.signal(Signal::SIGTERM);
         let end = Instant::now() + limit;
@@ -132,17 +133,17 @@
         false
     }
 
-    /// Where callers reach it, if it is an entry.
+    /// Returns the address that callers send requests to, for an entry.
     pub fn callers(&self) -> SocketAddr {
         SocketAddr::from((self.ip, CALLERS_PORT))
     }
 
-    /// Where it says whether it is ready, if it is an entry.
+    /// Returns the address of the readiness check, for an entry.
     pub fn ready(&self) -> SocketAddr {
         SocketAddr::from((self.ip, READY_PORT))
     }
 
-    /// Where its metrics are.
+    /// Returns the address of the metrics page.
     pub fn metrics(&self) -> SocketAddr {
         SocketAddr::from((self.ip, METRICS_PORT))
     }
@@ -155,25 +156,25 @@
     }
 }
 
-/// The fleet.
+/// A running fleet. Its processes end and its files are removed when it is dropped.
 pub struct Fleet {
-    /// The store.
+    /// The simulated store.
     pub store: PlatformStoreState,
-    /// The workers.
+    /// The simulated workers, one beside each agent.
     pub workers: SharedWorkers,
-    /// The entries.
+    /// The machines of the entries.
     pub entries: Vec<Machine>,
-    /// The proxies before the entries' links.
+    /// The fault proxies in front of the entries' peer ports.
     pub proxies: Vec<FaultProxy>,
-    /// The agents.
+    /// The machines of the agents.
     pub agents: Vec<Machine>,
-    /// How it is divided.
+    /// The assignment of entries, agents and jobs to partitions.
     pub partitions: Partitions,
     dir: PathBuf,
     _stand_ins: Vec<StandIn>,
 }
 
-/// A configuration with one queue for each service named.
+/// Returns a configuration with one queue for each of the services.
 pub fn configuration(version: u64, services: &[&str]) -> Value {
     let route = |service: &&str| {
         json!({
@@ -193,66 +194,71 @@
     json!({"version": version, "routes": routes, "services": [], "limits": {}})
 }
 
-/// Places for fleets: the middle two numbers of loopback addresses.
-const PLACES: u32 = 200 * 256;
+/// The number of networks that fleets choose from; each is the middle two bytes of loopback addresses.
+const NETWORK_COUNT: u32 = 200 * 256;
 static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 
-/// The middle of a fleet's loopback addresses: a place that no fleet of this or another process uses.
-fn network() -> [u8; 2] {
-    let first = std::process::id().wrapping_mul(256) % PLACES;
+/// Returns the middle two bytes of a fleet's loopback addresses, which no running fleet of any process uses.
+fn choose_network() -> [u8; 2] {
+    let first = std::process::id().wrapping_mul(256) % NETWORK_COUNT;
     loop {
         let fleet = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
-        let place = (first + fleet) % PLACES;
-        let base = [(place / 256) as u8 + 20, (place % 256) as u8];
-        if is_free(base) {
+        let index = (first + fleet) % NETWORK_COUNT;
+        let base = [(index / 256) as u8 + 20, (index % 256) as u8];
+        if is_network_free(base) {
             return base;
         }
     }
 }
 
-/// Whether nothing listens where a fleet's store and its first proxy would.
-fn is_free(base: [u8; 2]) -> bool {
+/// Returns whether the ports of a fleet's store and of its first proxy are free in a network.
+fn is_network_free(base: [u8; 2]) -> bool {
     let free = |number, port| TcpListener::bind((address(base, number), port)).is_ok();
     free(0, STORE_PORT) && free(FIRST_ENTRY, PROXY_PORT)
 }
 
-/// The address of a machine of the fleet at this place.
+/// Returns the address of a machine in a network.
 fn address(base: [u8; 2], number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, base[0], base[1], number as u8 + 1)
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until its entries are ready and its agents linked.
+    /// Starts a fleet and waits until its entries are ready and its agents are linked.
     ///
     /// # Panics
     ///
-    /// When it does not come up within half a minute.
+    /// Panics if the fleet is not ready within 30 s.
     pub async fn start(binary: &Path, entries: usize, agents: usize) -> Fleet {
-        Fleet::start_under(binary, entries, agents, &deployed()).await
+        Fleet::start_with_policy(binary, entries, agents, &default_policy()).await
     }
 
-    /// Starts a fleet that is divided though it is small, likewise.
+    /// Starts a fleet that is divided into partitions in spite of its size, and waits likewise.
     ///
     /// # Panics
     ///
-    /// When it does not come up within half a minute.
-    pub async fn start_divided(binary: &Path, entries: usize, agents: usize) -> Fleet {
-        Fleet::start_under(binary, entries, agents, &dividing()).await
+    /// Panics if the fleet is not ready within 30 s.
+    pub async fn start_partitioned(binary: &Path, entries: usize, agents: usize) -> Fleet {
+        Fleet::start_with_policy(binary, entries, agents, &partitioned_policy()).await
     }
 
-    /// Starts a fleet under a policy.
-    async fn start_under(binary: &Path, entries: usize, agents: usize, policy: &Value) -> Fleet {
+    /// Starts a fleet with a policy and waits until it is ready.
+    async fn start_with_policy(
+        binary: &Path,
+        entries: usize,
+        agents: usize,
+        policy: &Value,
+    ) -> Fleet {
         let partitions = Policy::deserialize(policy).expect("a policy").partitions;
         let names = |count, name: fn(usize) -> String| (0..count).map(name).collect::<Vec<_>>();
         let (agent_names, entry_names) = (names(agents, agent_name), names(entries, entry_name));
         let partitions = Partitions::for_fleet(&agent_names, &entry_names, &partitions);
-        let base = network();
+        let base = choose_network();
         let dir = std::env::temp_dir().join(format!("stackcourse-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&dir).expect("a directory for settings");
         let ip = |n: usize| address(base, n);
         let store_state = PlatformStoreState::default();
         let first = configuration(FIRST_VERSION, &[SERVICE]);
-        store_state.operator_writes("op/config", &first);
+        store_state.write_as_operator("op/config", &first);
         let store_address = SocketAddr::from((ip(0), STORE_PORT));
         let mut stand_ins = vec![store::start(store_address, store_state.clone())];
         let shared = Workers::new(agents, SERVICE);
@@ -283,12 +289,12 @@
         }
         for number in 0..agents {
             let at = ip(FIRST_AGENT + number);
-            let beats = SocketAddr::from((at, BEATS_PORT));
+            let heartbeats = SocketAddr::from((at, HEARTBEAT_PORT));
             let worker = SocketAddr::from((at, WORKER_PORT));
-            stand_ins.push(workers::start(worker, beats, shared.clone(), number));
+            stand_ins.push(workers::start(worker, heartbeats, shared.clone(), number));
             let settings = json!({
                 "node": node(&agent_name(number), zone_of(number), at, store_address, None, policy),
-                "beats": beats,
+                "beats": heartbeats,
                 "worker": worker,
                 "hold_ms": 1000,
             });
@@ -296,7 +302,7 @@
             fleet.agents.push(machine);
         }
         fleet._stand_ins = stand_ins;
-        fleet.wait_until_up().await;
+        fleet.wait_until_ready().await;
         fleet
     }
 
@@ -321,29 +327,29 @@
         machine
     }
 
-    /// The operator evacuates a zone, or takes it back.
+    /// Evacuates an availability zone as the operator, or ends its evacuation.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the workers.
+    /// Panics if another thread panicked while it held the lock on the workers.
     pub fn set_evacuated(&self, zone: &str, evacuated: bool) {
         let key = format!("op/evacuate/{zone}");
         if evacuated {
-            self.store.operator_writes(&key, &json!({}));
+            self.store.write_as_operator(&key, &json!({}));
         } else {
-            self.store.operator_removes(&key);
+            self.store.remove_as_operator(&key);
         }
         let mut workers = self.workers.lock().unwrap();
         let since = evacuated.then(|| workers.now());
         for number in 0..workers.models.len() {
             if zone_of(number) == zone {
-                workers.evacuated[number] = since;
+                workers.evacuated_since[number] = since;
             }
         }
     }
 
-    /// How many agents are of the partition of an entry.
-    fn agents_beside(&self, entry: usize) -> usize {
+    /// Counts the agents in an entry's partition.
+    fn agents_in_partition_of(&self, entry: usize) -> usize {
         let own = self.partitions.of_name(&entry_name(entry));
         let agents = 0..self.agents.len();
         agents
@@ -355,30 +361,31 @@
     ///
     /// # Panics
     ///
-    /// When that takes over half a minute.
-    pub async fn wait_until_up(&self) {
+    /// Panics if that takes more than 30 s.
+    pub async fn wait_until_ready(&self) {
         let end = Instant::now() + Duration::from_secs(30);
         loop {
-            let mut up = true;
+            let mut all_ready = true;
             for (number, entry) in self.entries.iter().enumerate() {
-                let ready = callers::call(entry.ready(), "GET", "/-/ready", None).await;
+                let ready = callers::send_request(entry.ready(), "GET", "/-/ready", None).await;
                 let linked = metric(entry.metrics(), "state", "executors_linked").await;
-                up &= ready.status == 200 && linked == Some(self.agents_beside(number) as u64);
+                all_ready &= ready.status == 200
+                    && linked == Some(self.agents_in_partition_of(number) as u64);
             }
-            if up {
+            if all_ready {
                 return;
             }
-            assert!(Instant::now() < end, "the fleet does not come up");
+            assert!(Instant::now() < end, "the fleet is not ready after 30 s");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Copies the logs of all processes so far.
+    /// Copies the logs of all processes into a directory.
     ///
     /// # Errors
     ///
-    /// When the directory can't be made or written to.
-    pub fn keep_logs(&self, dir: &Path) -> std::io::Result<()> {
+    /// Returns an error if the directory can't be created or written to.
+    pub fn copy_logs(&self, dir: &Path) -> std::io::Result<()> {
         std::fs::create_dir_all(dir)?;
         for machine in self.entries.iter().chain(&self.agents) {
             let log = machine.log();
@@ -388,11 +395,11 @@
         Ok(())
     }
 
-    /// The promise that was broken, if any.
+    /// Returns the first violation of a guarantee, if any.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the workers.
+    /// Panics if another thread panicked while it held the lock on the workers.
     pub fn violation(&self) -> Option<String> {
         self.workers.lock().unwrap().witness.violation.clone()
     }
@@ -404,7 +411,8 @@
     }
 }
 
-/// The availability zone of an agent: two of them in turn, so that one can be evacuated. Entries are in the first.
+/// Returns the availability zone of an agent. Agents alternate between two zones, so that one can be
+/// evacuated; entries are in the first.
 pub fn zone_of(agent: usize) -> &'static str {
     ["z", "y"][agent % 2]
 }
@@ -417,14 +425,14 @@
     format!("agent-{number}")
 }
 
-/// What the deploy templates switch on.
-fn deployed() -> Value {
+/// Returns the policy fields that the templates under `deploy/` switch on.
+fn default_policy() -> Value {
     json!({"recovery": {"on": true}})
 }
 
-/// The same, and a fleet of a few machines is divided.
-fn dividing() -> Value {
-    let mut policy = deployed();
+/// Returns the same policy fields with partitions small enough to divide a fleet of a few machines.
+fn partitioned_policy() -> Value {
+    let mut policy = default_policy();
     policy["partitions"] = json!({"executors": 3, "schedulers": 2});
     policy
 }
@@ -451,20 +459,20 @@
     })
 }
 
-/// Reads the metrics page of a process.
+/// Reads the metrics page of a process. Returns `None` if it does not respond.
 pub async fn metrics_page(address: SocketAddr) -> Option<String> {
     let client = awc::Client::default();
     let call = client.get(format!("http://{address}/metrics"));
-    let mut answer = call.timeout(Duration::from_secs(2)).send().await.ok()?;
-    let body = answer.body().await.ok()?;
+    let mut response = call.timeout(Duration::from_secs(2)).send().await.ok()?;
+    let body = response.body().await.ok()?;
     Some(String::from_utf8_lossy(&body).into_owned())
 }
 
-/// Reads a metric of a process.
-pub async fn metric(address: SocketAddr, name: &str, label: &str) -> Option<u64> {
+/// Reads the value of a process's metric that has a label with the given value.
+pub async fn metric(address: SocketAddr, name: &str, value: &str) -> Option<u64> {
     let text = metrics_page(address).await?;
     let line = text.lines().find(|l| {
-        l.starts_with(&format!("stackcourse_{name}{{")) && l.contains(&format!("\"{label}\""))
+        l.starts_with(&format!("stackcourse_{name}{{")) && l.contains(&format!("\"{value}\""))
     })?;
     line.rsplit(' ').next()?.parse().ok()
 }
--- a/lib/testutils/src/platform/soak.rs
+++ b/lib/testutils/src/platform/soak.rs
@@ -1,4 +1,7 @@
-//! A soak under faults: real processes, signals, and a fault proxy, drawn from a seed.
+//! A soak test of the real processes under random faults, drawn from a seed: killed and stopped processes,
+//! link faults, store faults, crashed workers, evacuations and configuration changes. Callers submit jobs all
+//! the while. The report says whether a guarantee was violated and whether the fleet recovered after the
+//! faults.
 
 use std::cell::Cell;
 use std::fmt;
@@ -21,126 +24,127 @@
 use crate::platform::fleet::FIRST_VERSION;
 use crate::platform::fleet::Fleet;
 use crate::platform::fleet::Machine;
-use crate::platform::store::Mood;
+use crate::platform::store::StoreFaults;
 
-/// A fault that was played, or the end of one, and when, from the start of the faults.
+/// An event of a soak's timeline: a fault, the end of one, or a change.
 #[derive(Clone, Debug)]
-pub struct Played {
-    /// When.
+pub struct TimelineEvent {
+    /// The time since the start of the soak's faults.
     pub at: Duration,
-    /// What, in words.
-    pub what: String,
+    /// A description of the event.
+    pub description: String,
 }
 
-impl fmt::Display for Played {
+impl fmt::Display for TimelineEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:>8.3} s {}", self.at.as_secs_f64(), self.what)
+        write!(f, "{:>8.3} s {}", self.at.as_secs_f64(), self.description)
     }
 }
 
-/// How to run a soak.
+/// The parameters of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The seed.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// For how long faults come.
+    /// How long faults are injected.
     pub span: Duration,
-    /// How many entries and agents run.
+    /// The number of entries.
     pub entries: usize,
-    /// See `entries`.
+    /// The number of agents.
     pub agents: usize,
     /// Whether the fleet is divided into partitions.
-    pub divided: bool,
-    /// Where the logs of the processes and the timeline of a run that failed are kept.
-    pub keep: Option<PathBuf>,
+    pub partitioned: bool,
+    /// The directory for the processes' logs and the timeline of a soak that fails; `None` discards them.
+    pub log_dir: Option<PathBuf>,
 }
 
 impl SoakPlan {
-    /// A small fleet, whose logs are not kept.
+    /// Returns a plan for a small fleet. Logs are discarded.
     pub fn small(seed: u64, span: Duration) -> SoakPlan {
         SoakPlan {
             seed,
             span,
             entries: 3,
             agents: 4,
-            divided: false,
-            keep: None,
+            partitioned: false,
+            log_dir: None,
         }
     }
 
-    /// A fleet that is divided, as small as that can be, whose logs are not kept.
-    pub fn divided(seed: u64, span: Duration) -> SoakPlan {
+    /// Returns a plan for a small fleet of two partitions. Logs are discarded.
+    pub fn partitioned(seed: u64, span: Duration) -> SoakPlan {
         SoakPlan {
             entries: 6,
             agents: 8,
-            divided: true,
+            partitioned: true,
             ..SoakPlan::small(seed, span)
         }
     }
 }
 
-/// What came of a soak.
+/// The result of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Jobs handed in.
+    /// The number of submitted jobs.
     pub jobs: u64,
-    /// Jobs that callers were told are complete.
+    /// The number of jobs reported to callers as completed.
     pub completed: u64,
-    /// Faults that were played.
+    /// The number of injected faults.
     pub faults: u64,
-    /// The promise that was broken, if any.
+    /// The first violation of a guarantee, if any.
     pub violation: Option<String>,
-    /// Jobs complete of twenty handed in after all faults.
+    /// How many of the [`RECOVERY_JOBS`] jobs submitted after all faults have completed.
     pub recovered: u64,
 }
 
 impl SoakReport {
-    /// Whether no promise was broken and the fleet came back.
+    /// Returns whether no guarantee was violated and at least 80 % of the jobs after all faults have
+    /// completed.
     pub fn is_good(&self) -> bool {
-        self.violation.is_none() && self.recovered * 10 >= CALM_JOBS * 8
+        self.violation.is_none() && self.recovered * 10 >= RECOVERY_JOBS * 8
     }
 }
 
-/// A caller hands its job in again after this long without an answer.
-const AGAIN: Duration = Duration::from_millis(1300);
-/// Jobs handed in after all faults.
-pub const CALM_JOBS: u64 = 20;
+/// The time without a response after which a caller submits its job again.
+const RETRY_DELAY: Duration = Duration::from_millis(1300);
+/// The number of jobs submitted after all faults.
+pub const RECOVERY_JOBS: u64 = 20;
 
-/// How often a new configuration is written, as a share of the callers that come.
-const CHANGES: f64 = 0.02;
-/// The share of jobs that take workers down.
-const CRASHING: f64 = 0.02;
-/// How often workers lose power, too, when all other machines do.
-const POWER_EVERYWHERE: f64 = 0.5;
-/// The zone that is evacuated now and then: that of every other agent.
-const EVACUATED: &str = "y";
-/// A configuration of this many queues takes about 250 KB.
-const MANY_QUEUES: usize = 1500;
-/// An accepted configuration is in force everywhere within this time once nothing is harmed any more.
-const CONFIGURED: Duration = Duration::from_secs(2);
+/// The probability of a change by the operator after each job.
+const CHANGE_PROBABILITY: f64 = 0.02;
+/// The share of jobs that crash workers.
+const CRASHING_SHARE: f64 = 0.02;
+/// The probability that all workers crash as well when all entries and agents are killed.
+const WORKER_CRASH_PROBABILITY: f64 = 0.5;
+/// The availability zone that is evacuated at times: that of every other agent.
+const EVACUATED_ZONE: &str = "y";
+/// The number of additional queues in a large configuration, which takes about 250 KB.
+const LARGE_CONFIG_QUEUES: usize = 1500;
+/// The time within which every entry must follow the newest configuration once all faults have ended.
+const CONFIG_DEADLINE: Duration = Duration::from_secs(2);
 
-/// A soak at work.
+/// A running soak.
 struct Soak {
     rng: ChaCha8Rng,
-    /// Draws the changes of the configuration, so that the faults of a seed stay as they are.
+    /// Draws the operator's changes, separately so that they don't affect which faults a seed draws.
     changes: ChaCha8Rng,
-    /// Draws the jobs that take workers down, and whether workers lose power with all other machines, likewise.
+    /// Draws which jobs crash workers, and whether workers crash with all other machines; separate likewise.
     crashes: ChaCha8Rng,
     fleet: Fleet,
     completed: Rc<Cell<u64>>,
-    begun: Instant,
+    started_at: Instant,
     jobs: u64,
     faults: u64,
     version: u64,
     evacuated: bool,
-    healings: Vec<(Instant, Healing)>,
-    timeline: Vec<Played>,
+    pending_repairs: Vec<(Instant, Repair)>,
+    timeline: Vec<TimelineEvent>,
 }
 
-/// Runs a plan: a span with faults, then some time without. Needs an actix system.
+/// Runs a soak: a span with faults, then recovery and some jobs without faults. Needs an actix system.
 pub async fn run(binary: &Path, plan: &SoakPlan) -> SoakReport {
-    let fleet = match plan.divided {
-        true => Fleet::start_divided(binary, plan.entries, plan.agents).await,
+    let fleet = match plan.partitioned {
+        true => Fleet::start_partitioned(binary, plan.entries, plan.agents).await,
         false => Fleet::start(binary, plan.entries, plan.agents).await,
     };
     let mut soak = Soak {
@@ -149,94 +153,98 @@
         crashes: ChaCha8Rng::seed_from_u64(plan.seed.rotate_left(32)),
         fleet,
         completed: Rc::new(Cell::new(0)),
-        begun: Instant::now(),
+        started_at: Instant::now(),
         jobs: 0,
         faults: 0,
         version: FIRST_VERSION,
         evacuated: false,
-        healings: Vec::new(),
+        pending_repairs: Vec::new(),
         timeline: Vec::new(),
     };
-    soak.write_strange_keys();
-    soak.trouble(plan.span).await;
-    let configured = soak.come_back().await;
+    soak.write_invalid_keys();
+    soak.run_with_faults(plan.span).await;
+    let recovery = soak.recover().await;
     let before = soak.completed.get();
-    soak.calm().await;
+    soak.run_without_faults().await;
     let report = SoakReport {
         jobs: soak.jobs,
         completed: soak.completed.get(),
         faults: soak.faults,
-        violation: soak.fleet.violation().or(configured.err()),
+        violation: soak.fleet.violation().or(recovery.err()),
         recovered: soak.completed.get() - before,
     };
-    if let Some(keep) = plan.keep.as_ref().filter(|_| !report.is_good()) {
-        soak.keep(&keep.join(plan.seed.to_string()), &report);
+    if let Some(log_dir) = plan.log_dir.as_ref().filter(|_| !report.is_good()) {
+        soak.save_logs(&log_dir.join(plan.seed.to_string()), &report);
     }
     report
 }
 
 impl Soak {
-    /// Callers come, and faults, until the span is over or a promise is broken.
-    async fn trouble(&mut self, span: Duration) {
-        let end = self.begun + span;
+    /// Submits jobs and injects faults until the span is over or a guarantee is violated.
+    async fn run_with_faults(&mut self, span: Duration) {
+        let end = self.started_at + span;
         while Instant::now() < end && self.fleet.violation().is_none() {
-            let crashing = self.crashes.random_bool(CRASHING);
-            self.call(crashing);
-            self.heal_due(Instant::now());
+            let crashing = self.crashes.random_bool(CRASHING_SHARE);
+            self.submit_job(crashing);
+            self.repair_due(Instant::now());
             if self.rng.random_bool(0.06) {
                 self.faults += 1;
-                let healing = self.fault();
+                let repair = self.inject_random_fault();
                 let after = Duration::from_millis(self.rng.random_range(100..2500));
-                self.healings.push((Instant::now() + after, healing));
+                self.pending_repairs.push((Instant::now() + after, repair));
             }
-            if self.changes.random_bool(CHANGES) {
-                self.change();
+            if self.changes.random_bool(CHANGE_PROBABILITY) {
+                self.make_change();
             }
             let wait = self.rng.random_range(5..60);
             actix_rt::time::sleep(Duration::from_millis(wait)).await;
         }
     }
 
-    /// All faults end; the fleet comes back, with the newest configuration in force.
-    async fn come_back(&mut self) -> Result<(), String> {
-        self.heal_due(Instant::now() + Duration::from_secs(60));
+    /// Ends all faults, waits until the fleet is ready, and checks that every entry follows the newest
+    /// configuration and knows of no evacuated zone.
+    async fn recover(&mut self) -> Result<(), String> {
+        self.repair_due(Instant::now() + Duration::from_secs(60));
         if self.evacuated {
-            self.evacuate();
+            self.toggle_evacuation();
         }
-        self.fleet.wait_until_up().await;
-        actix_rt::time::sleep(CONFIGURED).await;
-        let mut found = Ok(());
+        self.fleet.wait_until_ready().await;
+        actix_rt::time::sleep(CONFIG_DEADLINE).await;
+        let mut result = Ok(());
         for entry in &self.fleet.entries {
             let version = fleet::metric(entry.metrics(), "state", "config_version").await;
             if version != Some(self.version) {
                 let newest = self.version;
-                let text = format!("{} serves by {version:?}, not by {newest}", entry.ip);
-                found = Err(text);
+                let text = format!(
+                    "{} follows configuration {version:?}, the newest is {newest}",
+                    entry.ip
+                );
+                result = Err(text);
             }
             let zones = fleet::metric(entry.metrics(), "state", "zones_evacuated").await;
             if zones != Some(0) {
-                let text = format!("{} holds {zones:?} zones for evacuated", entry.ip);
-                found = Err(text);
+                let text = format!("{} takes {zones:?} zones for evacuated", entry.ip);
+                result = Err(text);
             }
         }
         actix_rt::time::sleep(Duration::from_secs(1)).await;
-        found
+        result
     }
 
-    /// Callers come while nothing is harmed.
-    async fn calm(&mut self) {
-        for _ in 0..CALM_JOBS {
-            self.call(false);
+    /// Submits jobs without faults and waits for their ends.
+    async fn run_without_faults(&mut self) {
+        for _ in 0..RECOVERY_JOBS {
+            self.submit_job(false);
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
         actix_rt::time::sleep(Duration::from_secs(3)).await;
     }
 
-    /// A caller comes; with a job that takes workers down, if that is asked.
-    fn call(&mut self, crashing: bool) {
+    /// Submits a job, which crashes workers if `crashing` is set.
+    fn submit_job(&mut self, crashing: bool) {
         self.jobs += 1;
         if crashing {
-            self.note(format!("job {:016x} takes workers down", self.jobs));
+            self.record(format!("job {:016x} crashes workers", self.jobs));
         }
         let number = JobNumber(self.jobs);
         spawn_caller(
@@ -248,57 +256,62 @@
         );
     }
 
-    /// The operator evacuates a zone or takes it back.
-    fn evacuate(&mut self) {
+    /// Evacuates the zone as the operator, or ends its evacuation.
+    fn toggle_evacuation(&mut self) {
         self.evacuated = !self.evacuated;
-        self.fleet.set_evacuated(EVACUATED, self.evacuated);
-        self.note(format!("zone {EVACUATED} evacuated: {}", self.evacuated));
+        self.fleet.set_evacuated(EVACUATED_ZONE, self.evacuated);
+        self.record(format!(
+            "zone {EVACUATED_ZONE} evacuated: {}",
+            self.evacuated
+        ));
     }
 
-    /// Somebody else writes to the store.
-    fn write_strange_keys(&self) {
+    /// Writes keys of members and executors whose values are invalid, which the processes must skip.
+    fn write_invalid_keys(&self) {
         let store = &self.fleet.store;
-        store.stranger_writes("members/stranger-1", "bm8gYWRkcmVzcw==");
-        store.stranger_writes("members/stranger-2", "not base64!");
-        store.stranger_writes("executors/stranger-3", "eyJ3b3JrZXIiOiA3fQ==");
-        store.stranger_writes("executors/stranger-4", "?");
+        store.write_raw("members/stranger-1", "bm8gYWRkcmVzcw==");
+        store.write_raw("members/stranger-2", "not base64!");
+        store.write_raw("executors/stranger-3", "eyJ3b3JrZXIiOiA3fQ==");
+        store.write_raw("executors/stranger-4", "?");
     }
 
-    /// The operator writes a configuration, a large one in half of the cases; one time in three it evacuates a zone
-    /// instead, or takes it back.
-    fn change(&mut self) {
+    /// Makes a random change as the operator: one time in three it starts or ends an evacuation, otherwise it
+    /// writes a configuration, half of the time a large one.
+    fn make_change(&mut self) {
         if self.changes.random_bool(0.33) {
-            return self.evacuate();
+            return self.toggle_evacuation();
         }
         self.version += self.changes.random_range(1..4);
         let names: Vec<String> = match self.changes.random_bool(0.5) {
-            true => (0..MANY_QUEUES).map(|n| format!("other-{n}")).collect(),
+            true => (0..LARGE_CONFIG_QUEUES)
+                .map(|n| format!("other-{n}"))
+                .collect(),
             false => Vec::new(),
         };
         let others = names.iter().map(String::as_str);
         let services: Vec<&str> = std::iter::once(fleet::SERVICE).chain(others).collect();
         let document = fleet::configuration(self.version, &services);
-        self.fleet.store.operator_writes("op/config", &document);
-        self.note(format!(
+        self.fleet.store.write_as_operator("op/config", &document);
+        self.record(format!(
             "configuration {} of {} queues",
             self.version,
             services.len()
         ));
     }
 
-    fn note(&mut self, what: String) {
-        let at = self.begun.elapsed();
-        self.timeline.push(Played { at, what });
+    fn record(&mut self, description: String) {
+        let at = self.started_at.elapsed();
+        self.timeline.push(TimelineEvent { at, description });
     }
 
-    /// Keeps the logs of all processes, the timeline and the report.
-    fn keep(&self, dir: &Path, report: &SoakReport) {
-        let lines: Vec<String> = self.timeline.iter().map(Played::to_string).collect();
+    /// Saves the logs of all processes, the timeline and the report in a directory.
+    fn save_logs(&self, dir: &Path, report: &SoakReport) {
+        let lines: Vec<String> = self.timeline.iter().map(TimelineEvent::to_string).collect();
         let text = format!("{}\n{report:?}\n", lines.join("\n"));
-        let kept = self.fleet.keep_logs(dir);
-        let kept = kept.and_then(|()| std::fs::write(dir.join("timeline.txt"), text));
-        if let Err(e) = kept {
-            eprintln!("the logs can't be kept in {}: {e}", dir.display());
+        let saved = self.fleet.copy_logs(dir);
+        let saved = saved.and_then(|()| std::fs::write(dir.join("timeline.txt"), text));
+        if let Err(e) = saved {
+            eprintln!("the logs can't be saved in {}: {e}", dir.display());
         }
     }
 }
@@ -318,103 +331,101 @@
         cpu: rng.random_range(500..1500),
     };
     let entries = fleet.entries.len();
-    let first = fleet.entries[rng.random_range(0..entries)].callers();
-    let second = fleet.entries[rng.random_range(0..entries)].callers();
+    let first_entry = fleet.entries[rng.random_range(0..entries)].callers();
+    let second_entry = fleet.entries[rng.random_range(0..entries)].callers();
     let workers = fleet.workers.clone();
     let completed = completed.clone();
     actix_rt::spawn(async move {
-        let one = callers::hand_in(&workers, first, job);
-        let two = async {
-            actix_rt::time::sleep(AGAIN).await;
-            callers::hand_in(&workers, second, job).await
+        let first = callers::submit_job(&workers, first_entry, job);
+        let second = async {
+            actix_rt::time::sleep(RETRY_DELAY).await;
+            callers::submit_job(&workers, second_entry, job).await
         };
-        let (one, two) = (std::pin::pin!(one), std::pin::pin!(two));
-        // The first whole answer counts; what the other one brings is held against the promises
-        // as well, if it comes before.
-        let got = match futures::future::select(one, two).await {
-            futures::future::Either::Left((got, two)) if got.status == 0 => two.await,
-            futures::future::Either::Right((got, one)) if got.status == 0 => one.await,
-            futures::future::Either::Left((got, _)) | futures::future::Either::Right((got, _)) => {
-                got
-            }
+        let (first, second) = (std::pin::pin!(first), std::pin::pin!(second));
+        // The first complete response decides and cancels the other call.
+        let reply = match futures::future::select(first, second).await {
+            futures::future::Either::Left((reply, second)) if reply.status == 0 => second.await,
+            futures::future::Either::Right((reply, first)) if reply.status == 0 => first.await,
+            futures::future::Either::Left((reply, _))
+            | futures::future::Either::Right((reply, _)) => reply,
         };
-        if got.state == "completed" {
+        if reply.state == "completed" {
             completed.set(completed.get() + 1);
         }
     });
 }
 
-/// How a fault ends.
+/// What ends a fault.
 #[derive(Clone, Copy, Debug)]
-enum Healing {
+enum Repair {
     StartEntry(usize),
     StartAgent(usize),
     StartAll,
     ContinueEntry(usize),
     ContinueAgent(usize),
-    Proxy(usize),
-    Store,
-    Nothing,
+    ClearProxyFault(usize),
+    ClearStoreFault,
+    NotNeeded,
 }
 
 impl Soak {
-    fn heal_due(&mut self, now: Instant) {
-        let due = self.healings.iter().filter(|(at, _)| *at <= now);
-        let due: Vec<Healing> = due.map(|(_, h)| *h).collect();
-        self.healings.retain(|(at, _)| *at > now);
-        for healing in due {
-            self.note(format!("end: {healing:?}"));
-            self.heal(healing);
+    fn repair_due(&mut self, now: Instant) {
+        let due = self.pending_repairs.iter().filter(|(at, _)| *at <= now);
+        let due: Vec<Repair> = due.map(|(_, h)| *h).collect();
+        self.pending_repairs.retain(|(at, _)| *at > now);
+        for repair in due {
+            self.record(format!("end: {repair:?}"));
+            self.repair(repair);
         }
     }
 
-    fn heal(&mut self, healing: Healing) {
+    fn repair(&mut self, repair: Repair) {
         let fleet = &mut self.fleet;
-        match healing {
-            Healing::StartEntry(n) => fleet.entries[n].start(),
-            Healing::StartAgent(n) => fleet.agents[n].start(),
-            Healing::StartAll => {
+        match repair {
+            Repair::StartEntry(n) => fleet.entries[n].start(),
+            Repair::StartAgent(n) => fleet.agents[n].start(),
+            Repair::StartAll => {
                 fleet.agents.iter_mut().for_each(Machine::start);
                 fleet.entries.iter_mut().for_each(Machine::start);
             }
-            Healing::ContinueEntry(n) => fleet.entries[n].signal(Signal::SIGCONT),
-            Healing::ContinueAgent(n) => fleet.agents[n].signal(Signal::SIGCONT),
-            Healing::Proxy(n) => fleet.proxies[n].set(Fault::default()),
-            Healing::Store => fleet.store.set_mood(Mood::Well),
-            Healing::Nothing => {}
+            Repair::ContinueEntry(n) => fleet.entries[n].signal(Signal::SIGCONT),
+            Repair::ContinueAgent(n) => fleet.agents[n].signal(Signal::SIGCONT),
+            Repair::ClearProxyFault(n) => fleet.proxies[n].set(Fault::default()),
+            Repair::ClearStoreFault => fleet.store.set_faults(StoreFaults::Off),
+            Repair::NotNeeded => {}
         }
     }
 
-    fn fault(&mut self) -> Healing {
+    fn inject_random_fault(&mut self) -> Repair {
         let entry = self.rng.random_range(0..self.fleet.entries.len());
         let agent = self.rng.random_range(0..self.fleet.agents.len());
         let kind = self.rng.random_range(0..12);
-        let (what, healing) = self.play(kind, entry, agent);
-        self.note(what);
-        healing
+        let (description, repair) = self.inject(kind, entry, agent);
+        self.record(description);
+        repair
     }
 
-    /// Plays a fault; what it is, and how it ends.
-    fn play(&mut self, kind: u32, entry: usize, agent: usize) -> (String, Healing) {
+    /// Injects a fault. Returns its description and what ends it.
+    fn inject(&mut self, kind: u32, entry: usize, agent: usize) -> (String, Repair) {
         let fleet = &mut self.fleet;
         match kind {
             0 => {
                 fleet.entries[entry].kill();
-                (format!("entry {entry} killed"), Healing::StartEntry(entry))
+                (format!("entry {entry} killed"), Repair::StartEntry(entry))
             }
             1 => {
                 fleet.agents[agent].kill();
-                (format!("agent {agent} killed"), Healing::StartAgent(agent))
+                (format!("agent {agent} killed"), Repair::StartAgent(agent))
             }
             2 => {
                 fleet.entries[entry].signal(Signal::SIGSTOP);
-                let healing = Healing::ContinueEntry(entry);
-                (format!("entry {entry} stopped"), healing)
+                let repair = Repair::ContinueEntry(entry);
+                (format!("entry {entry} stopped"), repair)
             }
             3 => {
                 fleet.agents[agent].signal(Signal::SIGSTOP);
-                let healing = Healing::ContinueAgent(agent);
-                (format!("agent {agent} stopped"), healing)
+                let repair = Repair::ContinueAgent(agent);
+                (format!("agent {agent} stopped"), repair)
             }
             4 => {
                 let stalled = Fault {
@@ -422,7 +433,10 @@
                     ..Fault::default()
                 };
                 fleet.proxies[entry].set(stalled);
-                (format!("proxy {entry} stalls"), Healing::Proxy(entry))
+                (
+                    format!("links of entry {entry} stalled"),
+                    Repair::ClearProxyFault(entry),
+                )
             }
             5 => {
                 let reset = Fault {
@@ -430,38 +444,47 @@
                     ..Fault::default()
                 };
                 fleet.proxies[entry].set(reset);
-                (format!("proxy {entry} resets"), Healing::Proxy(entry))
+                (
+                    format!("links of entry {entry} reset"),
+                    Repair::ClearProxyFault(entry),
+                )
             }
             6 => {
                 let delay = Duration::from_millis(self.rng.random_range(1..60));
                 fleet.proxies[entry].pass(delay);
-                (format!("proxy {entry} {delay:?}"), Healing::Proxy(entry))
+                (
+                    format!("links of entry {entry} delayed by {delay:?}"),
+                    Repair::ClearProxyFault(entry),
+                )
             }
             7 => {
-                fleet.store.set_mood(Mood::Busy);
-                ("store busy".to_owned(), Healing::Store)
+                fleet.store.set_faults(StoreFaults::Unavailable);
+                ("store unavailable".to_owned(), Repair::ClearStoreFault)
             }
             8 => {
-                fleet.store.set_mood(Mood::AnswersLost);
-                ("store loses answers".to_owned(), Healing::Store)
+                fleet.store.set_faults(StoreFaults::ResponsesLost);
+                ("store loses responses".to_owned(), Repair::ClearStoreFault)
             }
             9 => {
                 fleet.workers.lock().unwrap().crash(agent);
-                (format!("worker {agent} crashes"), Healing::Nothing)
+                (format!("worker {agent} crashes"), Repair::NotNeeded)
             }
             10 => {
                 fleet.entries.iter_mut().for_each(Machine::kill);
                 fleet.agents.iter_mut().for_each(Machine::kill);
-                if self.crashes.random_bool(POWER_EVERYWHERE) {
+                if self.crashes.random_bool(WORKER_CRASH_PROBABILITY) {
                     fleet.workers.lock().unwrap().crash_all();
-                    return ("power lost everywhere".to_owned(), Healing::StartAll);
+                    return ("all machines lost power".to_owned(), Repair::StartAll);
                 }
-                ("all killed".to_owned(), Healing::StartAll)
+                ("all entries and agents killed".to_owned(), Repair::StartAll)
             }
             _ => {
                 fleet.store.revoke_keys();
                 fleet.store.compact();
-                ("keys taken away, history gone".to_owned(), Healing::Nothing)
+                (
+                    "leased keys removed, history compacted".to_owned(),
+                    Repair::NotNeeded,
+                )
             }
         }
     }
--- a/lib/testutils/src/platform/store.rs
+++ b/lib/testutils/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform's key-value store.
+//! A simulated key-value store of the platform: keys with revisions, transactions, leases and watches over the
+//! published HTTP API. Leases never expire; tests remove leased keys with [`PlatformStoreState::revoke_keys`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,26 +20,27 @@
 use crate::standin;
 use crate::standin::StandIn;
 
-/// How often a watch that waits looks for changes.
-const POLL: Duration = Duration::from_millis(5);
+/// How often a pending watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the store behaves.
+/// The faults that the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
-    /// It serves.
+pub enum StoreFaults {
+    /// The store responds to every request.
     #[default]
-    Well,
-    /// It turns every call away with 503.
-    Busy,
-    /// It does what it is told and does not answer.
-    AnswersLost,
+    Off,
+    /// The store rejects every request but the end of a lease with 503.
+    Unavailable,
+    /// The store handles a request, but holds the response back for 5 s, longer than clients wait. Watches are
+    /// exempt.
+    ResponsesLost,
 }
 
 #[derive(Clone, Debug)]
 struct Stored {
     value: String,
     revision: u64,
-    made: u64,
+    created_revision: u64,
     lease: u64,
 }
 
@@ -50,11 +52,11 @@
     revision: u64,
     next_lease: u64,
     leases: Vec<u64>,
-    mood: Mood,
+    faults: StoreFaults,
     calls: u64,
 }
 
-/// The store; clones are the same one.
+/// The contents of a store; clones share them.
 #[derive(Clone, Default)]
 pub struct PlatformStoreState {
     contents: Arc<Mutex<Contents>>,
@@ -63,11 +65,14 @@
 impl Contents {
     fn write(&mut self, key: &str, value: Option<(String, u64)>) {
         self.revision += 1;
-        let made = self.items.get(key).map_or(self.revision, |s| s.made);
+        let created_revision = self
+            .items
+            .get(key)
+            .map_or(self.revision, |s| s.created_revision);
         let stored = value.map(|(value, lease)| Stored {
             value,
             revision: self.revision,
-            made,
+            created_revision,
             lease,
         });
         match &stored {
@@ -79,60 +84,60 @@
 }
 
 impl PlatformStoreState {
-    /// Writes a key as the operator does.
+    /// Writes a key as the operator does, with its value in base64.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
-    pub fn operator_writes(&self, key: &str, value: &Value) {
+    /// Panics if another thread panicked while it held the lock on the contents.
+    pub fn write_as_operator(&self, key: &str, value: &Value) {
         let text = BASE64_STANDARD.encode(value.to_string());
         self.contents.lock().unwrap().write(key, Some((text, 0)));
     }
 
-    /// Takes a key away as the operator does.
+    /// Removes a key as the operator does.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
-    pub fn operator_removes(&self, key: &str) {
+    /// Panics if another thread panicked while it held the lock on the contents.
+    pub fn remove_as_operator(&self, key: &str) {
         self.contents.lock().unwrap().write(key, None);
     }
 
-    /// Writes a key as somebody else does: its value may be no base64.
+    /// Writes a value as it is, which need not be base64.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
-    pub fn stranger_writes(&self, key: &str, value: &str) {
+    /// Panics if another thread panicked while it held the lock on the contents.
+    pub fn write_raw(&self, key: &str, value: &str) {
         let value = value.to_owned();
         self.contents.lock().unwrap().write(key, Some((value, 0)));
     }
 
-    /// Sets how the store behaves.
+    /// Sets the faults that the store simulates.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
-    pub fn set_mood(&self, mood: Mood) {
-        self.contents.lock().unwrap().mood = mood;
+    /// Panics if another thread panicked while it held the lock on the contents.
+    pub fn set_faults(&self, faults: StoreFaults) {
+        self.contents.lock().unwrap().faults = faults;
     }
 
-    /// Forgets the history, so that watches from before fail.
+    /// Discards the history, so that watches from an earlier revision fail.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
+    /// Panics if another thread panicked while it held the lock on the contents.
     pub fn compact(&self) {
         let mut contents = self.contents.lock().unwrap();
         contents.compacted = contents.revision;
         contents.history.clear();
     }
 
-    /// Takes away all keys that are under a lease, while the leases live.
+    /// Removes all keys that have a lease. The leases stay valid.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
+    /// Panics if another thread panicked while it held the lock on the contents.
     pub fn revoke_keys(&self) {
         let mut contents = self.contents.lock().unwrap();
         let leased = contents.items.iter().filter(|(_, s)| s.lease != 0);
@@ -142,72 +147,72 @@
         }
     }
 
-    /// Keys that begin with a prefix.
+    /// Returns the keys that begin with a prefix.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
+    /// Panics if another thread panicked while it held the lock on the contents.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let contents = self.contents.lock().unwrap();
         let keys = contents.items.keys().filter(|k| k.starts_with(prefix));
         keys.cloned().collect()
     }
 
-    /// How many calls were made.
+    /// Returns the number of requests, those that end a lease excepted.
     ///
     /// # Panics
     ///
-    /// When another thread panicked while it held the store.
+    /// Panics if another thread panicked while it held the lock on the contents.
     pub fn calls(&self) -> u64 {
         self.contents.lock().unwrap().calls
     }
 }
 
-/// Starts the stand-in on a thread of its own.
+/// Starts the store's server on a thread of its own.
 pub fn start(listen: SocketAddr, state: PlatformStoreState) -> StandIn {
     standin::run(listen, move |listener| {
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(web::Data::new(state.clone()))
-                .route("/-/kv-key", web::get().to(key))
-                .route("/-/kv-range", web::get().to(range))
+                .route("/-/kv-key", web::get().to(get_key))
+                .route("/-/kv-range", web::get().to(list_keys))
                 .route("/-/kv-watch", web::get().to(watch))
-                .route("/-/kv-txn", web::post().to(change))
-                .route("/-/kv-lease", web::post().to(lease))
-                .route("/-/kv-keep/{id}", web::post().to(keep))
-                .route("/-/kv-lease-end/{id}", web::delete().to(end))
+                .route("/-/kv-txn", web::post().to(transact))
+                .route("/-/kv-lease", web::post().to(grant_lease))
+                .route("/-/kv-keep/{id}", web::post().to(renew_lease))
+                .route("/-/kv-lease-end/{id}", web::delete().to(end_lease))
         });
         Ok(server.workers(1).disable_signals().listen(listener)?.run())
     })
 }
 
-type State = web::Data<PlatformStoreState>;
+type StoreData = web::Data<PlatformStoreState>;
 
-/// Counts a call; gives the answer if the store is not well.
-async fn enter(state: &State) -> Option<HttpResponse> {
-    let mood = {
+/// Counts a request. Returns the response if the store rejects it.
+async fn begin_request(state: &StoreData) -> Option<HttpResponse> {
+    let faults = {
         let mut contents = state.contents.lock().unwrap();
         contents.calls += 1;
-        contents.mood
+        contents.faults
     };
-    (mood == Mood::Busy).then(|| HttpResponse::ServiceUnavailable().finish())
+    (faults == StoreFaults::Unavailable).then(|| HttpResponse::ServiceUnavailable().finish())
 }
 
-/// Gives an answer, unless answers are lost.
-async fn answer(state: &State, response: HttpResponse) -> HttpResponse {
-    let lost = state.contents.lock().unwrap().mood == Mood::AnswersLost;
-    if lost {
+/// Returns a response. If responses are lost it delays it until the client has given up.
+async fn respond(state: &StoreData, response: HttpResponse) -> HttpResponse {
+    let is_lost = state.contents.lock().unwrap().faults == StoreFaults::ResponsesLost;
+    if is_lost {
         tokio::time::sleep(Duration::from_secs(5)).await;
     }
     response
 }
 
-fn row(key: &str, stored: &Stored, at: u64) -> Value {
+fn item_json(key: &str, stored: &Stored, at: u64) -> Value {
     json!({
         "privateKey": key,
         "value": stored.value,
         "revision": stored.revision,
-        "made": stored.made,
+        "made": stored.created_revision,
         "lease": stored.lease,
         "at": at,
     })
@@ -219,18 +224,18 @@
     private_key: String,
 }
 
-async fn key(state: State, query: web::Query<KeyQuery>) -> HttpResponse {
-    if let Some(response) = enter(&state).await {
+async fn get_key(state: StoreData, query: web::Query<KeyQuery>) -> HttpResponse {
+    if let Some(response) = begin_request(&state).await {
         return response;
     }
     let response = {
         let contents = state.contents.lock().unwrap();
         match contents.items.get(&query.private_key) {
-            Some(s) => HttpResponse::Ok().json(row(&query.private_key, s, contents.revision)),
+            Some(s) => HttpResponse::Ok().json(item_json(&query.private_key, s, contents.revision)),
             None => HttpResponse::NotFound().finish(),
         }
     };
-    answer(&state, response).await
+    respond(&state, response).await
 }
 
 #[derive(Deserialize)]
@@ -239,19 +244,19 @@
     path_prefix: String,
 }
 
-async fn range(state: State, query: web::Query<RangeQuery>) -> HttpResponse {
-    if let Some(response) = enter(&state).await {
+async fn list_keys(state: StoreData, query: web::Query<RangeQuery>) -> HttpResponse {
+    if let Some(response) = begin_request(&state).await {
         return response;
     }
     let response = {
         let contents = state.contents.lock().unwrap();
         let at = contents.revision;
-        let found = contents.items.iter();
-        let found = found.filter(|(k, _)| k.starts_with(&query.path_prefix));
-        let items: Vec<Value> = found.map(|(k, s)| row(k, s, at)).collect();
+        let matching = contents.items.iter();
+        let matching = matching.filter(|(k, _)| k.starts_with(&query.path_prefix));
+        let items: Vec<Value> = matching.map(|(k, s)| item_json(k, s, at)).collect();
         HttpResponse::Ok().json(json!({"items": items, "more": false, "at": at}))
     };
-    answer(&state, response).await
+    respond(&state, response).await
 }
 
 #[derive(Deserialize)]
@@ -262,15 +267,15 @@
     wait_ms: u64,
 }
 
-async fn watch(state: State, query: web::Query<WatchQuery>) -> HttpResponse {
-    if let Some(response) = enter(&state).await {
+async fn watch(state: StoreData, query: web::Query<WatchQuery>) -> HttpResponse {
+    if let Some(response) = begin_request(&state).await {
         return response;
     }
     let end = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         {
             let contents = state.contents.lock().unwrap();
-            if contents.mood == Mood::Busy {
+            if contents.faults == StoreFaults::Unavailable {
                 return HttpResponse::ServiceUnavailable().finish();
             }
             if query.after < contents.compacted {
@@ -279,27 +284,27 @@
             let changes = contents.history.iter();
             let changes =
                 changes.filter(|(r, k, _)| *r > query.after && k.starts_with(&query.path_prefix));
-            let events: Vec<Value> = changes.map(event).collect();
+            let events: Vec<Value> = changes.map(event_json).collect();
             if !events.is_empty() || tokio::time::Instant::now() >= end {
                 let at = contents.revision;
                 return HttpResponse::Ok().json(json!({"events": events, "at": at}));
             }
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn event(change: &(u64, String, Option<Stored>)) -> Value {
+fn event_json(change: &(u64, String, Option<Stored>)) -> Value {
     let (revision, key, stored) = change;
     match stored {
-        Some(stored) => row(key, stored, *revision),
+        Some(stored) => item_json(key, stored, *revision),
         None => json!({"privateKey": key, "revision": revision, "gone": true}),
     }
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Change {
+struct Transaction {
     #[serde(default)]
     expected_rev: Vec<Value>,
     #[serde(default)]
@@ -308,24 +313,24 @@
     remove: Vec<String>,
 }
 
-async fn change(state: State, change: web::Json<Change>) -> HttpResponse {
-    if let Some(response) = enter(&state).await {
+async fn transact(state: StoreData, transaction: web::Json<Transaction>) -> HttpResponse {
+    if let Some(response) = begin_request(&state).await {
         return response;
     }
-    let response = carry_out(&state, &change);
-    answer(&state, response).await
+    let response = apply_transaction(&state, &transaction);
+    respond(&state, response).await
 }
 
-fn carry_out(state: &State, change: &Change) -> HttpResponse {
+fn apply_transaction(state: &StoreData, transaction: &Transaction) -> HttpResponse {
     let mut contents = state.contents.lock().unwrap();
-    for expected in &change.expected_rev {
+    for expected in &transaction.expected_rev {
         let key = expected["privateKey"].as_str().unwrap_or_default();
-        let found = contents.items.get(key).map_or(0, |s| s.revision);
-        if expected["revision"].as_u64() != Some(found) {
+        let current = contents.items.get(key).map_or(0, |s| s.revision);
+        if expected["revision"].as_u64() != Some(current) {
             return HttpResponse::PreconditionFailed().json(json!({"items": []}));
         }
     }
-    for put in &change.put {
+    for put in &transaction.put {
         let lease = put["lease"].as_u64().unwrap_or(0);
         if lease != 0 && !contents.leases.contains(&lease) {
             return HttpResponse::NotFound().finish();
@@ -334,14 +339,14 @@
         let value = put["value"].as_str().unwrap_or_default().to_owned();
         contents.write(key, Some((value, lease)));
     }
-    for key in &change.remove {
+    for key in &transaction.remove {
         contents.write(key, None);
     }
     HttpResponse::Ok().json(json!({"revision": contents.revision}))
 }
 
-async fn lease(state: State, body: web::Json<Value>) -> HttpResponse {
-    if let Some(response) = enter(&state).await {
+async fn grant_lease(state: StoreData, body: web::Json<Value>) -> HttpResponse {
+    if let Some(response) = begin_request(&state).await {
         return response;
     }
     let response = {
@@ -351,28 +356,28 @@
         contents.leases.push(lease);
         HttpResponse::Ok().json(json!({"lease": lease, "ttl_ms": body["ttl_ms"]}))
     };
-    answer(&state, response).await
+    respond(&state, response).await
 }
 
-async fn keep(state: State, id: web::Path<u64>) -> HttpResponse {
-    if let Some(response) = enter(&state).await {
+async fn renew_lease(state: StoreData, id: web::Path<u64>) -> HttpResponse {
+    if let Some(response) = begin_request(&state).await {
         return response;
     }
-    let known = state.contents.lock().unwrap().leases.contains(&id);
-    let response = if known {
+    let is_known = state.contents.lock().unwrap().leases.contains(&id);
+    let response = if is_known {
         HttpResponse::Ok().json(json!({"ttl_ms": 10_000}))
     } else {
         HttpResponse::NotFound().finish()
     };
-    answer(&state, response).await
+    respond(&state, response).await
 }
 
-async fn end(state: State, id: web::Path<u64>) -> HttpResponse {
+async fn end_lease(state: StoreData, id: web::Path<u64>) -> HttpResponse {
     let mut contents = state.contents.lock().unwrap();
     contents.leases.retain(|l| l != &*id);
-    let owned = contents.items.iter().filter(|(_, s)| s.lease == *id);
-    let owned: Vec<String> = owned.map(|(k, _)| k.clone()).collect();
-    for key in owned {
+    let leased = contents.items.iter().filter(|(_, s)| s.lease == *id);
+    let leased: Vec<String> = leased.map(|(k, _)| k.clone()).collect();
+    for key in leased {
         contents.write(&key, None);
     }
     HttpResponse::Ok().finish()
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the platform's workers: a model of each behind its protocol, with beats.
+//! Simulated workers of the platform. Each serves the worker protocol over HTTP for a worker model and sends
+//! heartbeats to its agent, some of them invalid. All share one [`Workers`], which also checks each start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,49 +29,49 @@
 use crate::standin;
 use crate::standin::StandIn;
 
-/// What each worker has, in thousandths of a core.
+/// The CPU capacity of each worker, in thousandths of a core.
 pub const CAPACITY: u32 = 8_000;
-/// The text of a job whose tasks take down each worker that starts one.
-pub const CRASH: &str = "crash";
-/// They do so after this long, in microseconds.
-const CRASH_US: u64 = 10_000;
-/// From so long after an evacuation on nothing is started there, in microseconds: the users' 5 s, and the longest fault
-/// of the soak, which may keep a process from hearing of it.
-const IN_FORCE_US: u64 = 8_000_000;
-/// Each so many heartbeats somebody else writes in the worker's place.
-const STRANGE_EVERY: u64 = 7;
-/// Workers start after this time, in milliseconds since 1970.
-const BORN_MS: u64 = 1_780_000_000_000;
-/// How often a worker beats.
-const BEAT: Duration = Duration::from_millis(200);
-/// How often a hold that waits looks for an end.
-const POLL: Duration = Duration::from_millis(2);
+/// The spec of a job whose tasks crash each worker that starts one.
+pub const CRASH_SPEC: &str = "crash";
+/// The time from the start of a [`CRASH_SPEC`] task to the worker's crash, in microseconds.
+const CRASH_DELAY_US: u64 = 10_000;
+/// The time after an evacuation from which a start in the zone is a violation, in microseconds: the users' 5
+/// s, plus the longest fault of the soak, which may keep a process from reading the evacuation.
+const EVACUATION_GRACE_US: u64 = 8_000_000;
+/// An invalid heartbeat precedes every heartbeat whose number is a multiple of this.
+const INVALID_INTERVAL: u64 = 7;
+/// The time that incarnations' start times are counted from, in milliseconds since the Unix epoch.
+const BORN_BASE_MS: u64 = 1_780_000_000_000;
+/// The interval between two heartbeats of a worker.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// How often a pending hold call checks for new ends.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// All workers and what is seen of them.
+/// All workers and the record of what they ran.
 pub struct Workers {
-    /// The workers, by number.
+    /// The worker models, by number.
     pub models: Vec<WorkerModel>,
-    /// What they and the callers see.
+    /// Checks the starts and the responses to callers.
     pub witness: Witness,
-    /// The service they work for.
+    /// The service that the workers belong to.
     pub service: String,
-    /// How many lives were taken down by a task.
+    /// The number of crashes that tasks caused.
     pub crashes: u64,
-    /// How many tasks each worker has begun.
+    /// The number of tasks that each worker has begun.
     pub starts: Vec<u64>,
-    /// Since when each worker is in an evacuated zone, in microseconds.
-    pub evacuated: Vec<Option<u64>>,
-    /// Runs that will take their worker down: when, at which worker, and which.
-    crashing: Vec<(u64, usize, RunName)>,
-    start: Instant,
-    lives: u64,
+    /// Since when each worker's zone is evacuated, in microseconds; `None` if it is not.
+    pub evacuated_since: Vec<Option<u64>>,
+    /// Runs that will crash their worker: the time, the worker's number and the run.
+    pending_crashes: Vec<(u64, usize, RunName)>,
+    started_at: Instant,
+    incarnations: u64,
 }
 
-/// The workers, shared.
+/// The workers, shared by their servers, the callers and the tests.
 pub type SharedWorkers = Arc<Mutex<Workers>>;
 
 impl Workers {
-    /// Workers that have just come up.
+    /// Creates workers in their first incarnations.
     pub fn new(count: usize, service: &str) -> SharedWorkers {
         let mut workers = Workers {
             models: Vec::new(),
@@ -78,84 +79,84 @@
             service: service.to_owned(),
             crashes: 0,
             starts: vec![0; count],
-            evacuated: vec![None; count],
-            crashing: Vec::new(),
-            start: Instant::now(),
-            lives: 0,
+            evacuated_since: vec![None; count],
+            pending_crashes: Vec::new(),
+            started_at: Instant::now(),
+            incarnations: 0,
         };
         for _ in 0..count {
-            let model = workers.new_life();
+            let model = workers.create_incarnation();
             workers.models.push(model);
         }
         Arc::new(Mutex::new(workers))
     }
 
-    fn new_life(&mut self) -> WorkerModel {
-        let id = format!("i-{}", self.lives + 1);
-        self.life_under(id)
+    fn create_incarnation(&mut self) -> WorkerModel {
+        let id = format!("i-{}", self.incarnations + 1);
+        self.create_incarnation_with_id(id)
     }
 
-    /// A worker that starts under an id, which may be one that it had.
-    fn life_under(&mut self, id: String) -> WorkerModel {
-        self.lives += 1;
-        let born = Some(BORN_MS + self.now() / 1000);
+    /// Creates an incarnation with an id, which may be that of an earlier one.
+    fn create_incarnation_with_id(&mut self, id: String) -> WorkerModel {
+        self.incarnations += 1;
+        let born = Some(BORN_BASE_MS + self.now() / 1000);
         WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock(self.now() - 1000)
     }
 
-    /// The time on the workers' clock, in microseconds.
+    /// Returns the time on the workers' clock, in microseconds.
     pub fn now(&self) -> u64 {
-        self.start.elapsed().as_micros() as u64 + 10_000_000
+        self.started_at.elapsed().as_micros() as u64 + 10_000_000
     }
 
-    /// A worker crashes and comes up in a new life, each second time under the id that it had.
+    /// Crashes a worker and starts its next incarnation, every second time under the same id.
     pub fn crash(&mut self, number: usize) {
         self.advance();
-        self.begin_anew(number);
+        self.start_next_incarnation(number);
     }
 
-    /// All workers lose power at the same moment, and come up in new lives.
+    /// Crashes all workers at the same moment and starts their next incarnations.
     pub fn crash_all(&mut self) {
         self.advance();
         for number in 0..self.models.len() {
-            self.begin_anew(number);
+            self.start_next_incarnation(number);
         }
     }
 
-    /// A worker crashes and comes up under the id that it had.
+    /// Crashes a worker and starts its next incarnation under the same id.
     pub fn restart(&mut self, number: usize) {
         self.advance();
         self.witness.crashed(self.models[number].known_there());
         let id = self.models[number].life.id.clone();
-        self.models[number] = self.life_under(id);
+        self.models[number] = self.create_incarnation_with_id(id);
     }
 
-    fn begin_anew(&mut self, number: usize) {
+    fn start_next_incarnation(&mut self, number: usize) {
         self.witness.crashed(self.models[number].known_there());
-        self.models[number] = match self.lives.is_multiple_of(2) {
-            true => self.life_under(self.models[number].life.id.clone()),
-            false => self.new_life(),
+        self.models[number] = match self.incarnations.is_multiple_of(2) {
+            true => self.create_incarnation_with_id(self.models[number].life.id.clone()),
+            false => self.create_incarnation(),
         };
     }
 
-    /// Takes down the workers whose time has come.
-    fn crash_due(&mut self, now: u64) {
-        let (due, later) = self.crashing.drain(..).partition(|c| c.0 <= now);
-        self.crashing = later;
+    /// Crashes the workers whose crashing runs are due. A run that was replaced or has ended crashes nothing.
+    fn crash_due_workers(&mut self, now: u64) {
+        let (due, later) = self.pending_crashes.drain(..).partition(|c| c.0 <= now);
+        self.pending_crashes = later;
         let due: Vec<(u64, usize, RunName)> = due;
         for (_, number, name) in due {
-            let there = self.models[number].running.get(&name.task);
-            if there.is_some_and(|r| r.run == name.run) {
+            let running = self.models[number].running.get(&name.task);
+            if running.is_some_and(|r| r.run == name.run) {
                 self.crashes += 1;
                 self.witness.crashed_by(name.task);
-                self.begin_anew(number);
+                self.start_next_incarnation(number);
             }
         }
     }
 
-    /// Ends what is over by now.
+    /// Advances all workers to the present, records the ends of their runs, and returns the time.
     pub fn advance(&mut self) -> u64 {
         let now = self.now();
-        self.crash_due(now);
+        self.crash_due_workers(now);
         for model in &mut self.models {
             for (run, end) in model.advance(now) {
                 if let Some(job) = self.witness.jobs.get_mut(&run.task.job) {
@@ -172,58 +173,60 @@
         now
     }
 
-    /// Carries out a start. The work stands in the job's text, in milliseconds.
-    fn start(&mut self, number: usize, call: &StartCall) -> OrderReply {
+    /// Starts a run. The spec gives its work in milliseconds, or is [`CRASH_SPEC`].
+    fn start_run(&mut self, number: usize, call: &StartCall) -> OrderReply {
         let now = self.advance();
         let work_us = call.spec.parse::<u64>().unwrap_or(50) * 1000;
         let (reply, begun) = self.models[number].start(now, call, work_us, false);
         if begun {
-            self.note_start(number, call.run.task);
+            self.record_start(number, call.run.task);
         }
-        if begun && &*call.spec == CRASH {
-            self.crashing.push((now + CRASH_US, number, call.run));
+        if begun && &*call.spec == CRASH_SPEC {
+            self.pending_crashes
+                .push((now + CRASH_DELAY_US, number, call.run));
         }
         reply
     }
 
-    fn note_start(&mut self, number: usize, task: TaskName) {
+    fn record_start(&mut self, number: usize, task: TaskName) {
         let others = (0..self.models.len()).filter(|n| *n != number);
         let runs_at = |n: usize| self.models[n].running.contains_key(&task);
-        let elsewhere = others.into_iter().any(runs_at);
+        let runs_elsewhere = others.into_iter().any(runs_at);
         let jobs = &self.witness.jobs;
         let cpu = |t: &TaskName| jobs.get(&t.job).map_or(0, |j| j.cpu);
-        let taken = self.models[number].running.keys().map(cpu).sum();
-        self.witness.started(task, elsewhere, taken, CAPACITY);
+        let used_cpu = self.models[number].running.keys().map(cpu).sum();
+        self.witness
+            .started(task, runs_elsewhere, used_cpu, CAPACITY);
         self.starts[number] += 1;
         let now = self.now();
-        let since = self.evacuated[number].map(|at| now.saturating_sub(at));
-        if since.is_some_and(|since| since >= IN_FORCE_US) {
-            let what = format!("{task} was started at worker {number}, which is evacuated");
+        let since = self.evacuated_since[number].map(|at| now.saturating_sub(at));
+        if since.is_some_and(|since| since >= EVACUATION_GRACE_US) {
+            let what = format!("{task} was started at worker {number}, whose zone is evacuated");
             self.witness.break_promise(what);
         }
     }
 }
 
 #[derive(Clone)]
-struct Desk {
+struct WorkerHandle {
     workers: SharedWorkers,
     number: usize,
 }
 
-/// Starts the stand-in of one worker; it beats at `beats`.
+/// Starts the server of one worker, which sends its heartbeats to `heartbeat_address`.
 pub fn start(
     listen: SocketAddr,
-    beats: SocketAddr,
+    heartbeat_address: SocketAddr,
     workers: SharedWorkers,
     number: usize,
 ) -> StandIn {
-    let desk = Desk { workers, number };
+    let handle = WorkerHandle { workers, number };
     standin::run(listen, move |listener| {
-        let beating = desk.clone();
-        actix_rt::spawn(heartbeat(beating, beats, listen));
+        let sender = handle.clone();
+        actix_rt::spawn(send_heartbeats(sender, heartbeat_address, listen));
         let server = HttpServer::new(move || {
             App::new()
-                .app_data(web::Data::new(desk.clone()))
+                .app_data(web::Data::new(handle.clone()))
                 .route("/-/run-start", web::post().to(run_start))
                 .route("/-/run-stop", web::post().to(run_stop))
                 .route("/-/hold", web::post().to(hold))
@@ -232,17 +235,17 @@
     })
 }
 
-/// Says of the worker what it has to say, for as long as the stand-in lives.
-async fn heartbeat(desk: Desk, beats: SocketAddr, listen: SocketAddr) {
+/// Sends the worker's heartbeats for as long as its server runs.
+async fn send_heartbeats(handle: WorkerHandle, heartbeat_address: SocketAddr, listen: SocketAddr) {
     let client = awc::Client::default();
     let mut sequence = 0u64;
     loop {
         sequence += 1;
-        let (life, document) = {
-            let mut workers = desk.workers.lock().unwrap();
+        let (id, document) = {
+            let mut workers = handle.workers.lock().unwrap();
             let now = workers.now();
             let service = workers.service.clone();
-            let model = &mut workers.models[desk.number];
+            let model = &mut workers.models[handle.number];
             model.beats += 1;
             let state = if model.draining { "draining" } else { "ready" };
             let document = json!({
@@ -261,31 +264,38 @@
             });
             (model.life.id.clone(), document)
         };
-        if sequence.is_multiple_of(STRANGE_EVERY) {
-            let (life, body) = strange_beat(&life, &document, sequence / STRANGE_EVERY);
-            send_beat(&client, beats, &life, body).await;
+        if sequence.is_multiple_of(INVALID_INTERVAL) {
+            let (other_id, body) = invalid_heartbeat(&id, &document, sequence / INVALID_INTERVAL);
+            send_heartbeat(&client, heartbeat_address, &other_id, body).await;
         }
-        send_beat(&client, beats, &life, document.to_string()).await;
-        tokio::time::sleep(BEAT).await;
+        send_heartbeat(&client, heartbeat_address, &id, document.to_string()).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn send_beat(client: &awc::Client, beats: SocketAddr, life: &str, body: String) {
-    let call = client.put(format!("http://{beats}/-/instances/{life}"));
+async fn send_heartbeat(
+    client: &awc::Client,
+    heartbeat_address: SocketAddr,
+    id: &str,
+    body: String,
+) {
+    let call = client.put(format!("http://{heartbeat_address}/-/instances/{id}"));
     let _ = call.timeout(Duration::from_secs(1)).send_body(body).await;
 }
 
-/// A heartbeat that is not the worker's: of a life that is over, damaged, or with something missing or unheard of.
-fn strange_beat(life: &str, document: &Value, turn: u64) -> (String, String) {
+/// Returns the id and the body of a heartbeat that the agent must not take for the worker's: an id that no
+/// worker has, the start time of an earlier incarnation, truncated JSON, an unknown state, a field of the
+/// wrong type, or a missing field.
+fn invalid_heartbeat(id: &str, document: &Value, case: u64) -> (String, String) {
     let mut document = document.clone();
-    match turn % 6 {
+    match case % 6 {
         0 => return ("i-0".to_owned(), document.to_string()),
         5 => {
-            document["born"] = json!(BORN_MS);
+            document["born"] = json!(BORN_BASE_MS);
             document["sequence"] = json!(1_000_000);
             document["state"] = json!("draining");
         }
-        1 => return (life.to_owned(), "{\"service\": \"s".to_owned()),
+        1 => return (id.to_owned(), "{\"service\": \"s".to_owned()),
         2 => document["state"] = json!("resting"),
         3 => document["service"] = json!(7),
         _ => {
@@ -294,22 +304,23 @@
             }
         }
     }
-    (life.to_owned(), document.to_string())
+    (id.to_owned(), document.to_string())
 }
 
-fn life_of(request: &HttpRequest, desk: &Desk) -> String {
+/// Returns the incarnation's id that the request names, or else the worker's current one.
+fn expected_id(request: &HttpRequest, handle: &WorkerHandle) -> String {
     let header = request.headers().get("Stackcourse-Expected-Instance");
     let named = header.and_then(|v| v.to_str().ok()).map(str::to_owned);
     named.unwrap_or_else(|| {
-        desk.workers.lock().unwrap().models[desk.number]
+        handle.workers.lock().unwrap().models[handle.number]
             .life
             .id
             .clone()
     })
 }
 
-/// Reads the name of a run.
-pub fn run_name(body: &Value) -> RunName {
+/// Parses the name of a run from a request's body.
+pub fn parse_run_name(body: &Value) -> RunName {
     let text = body["task"].as_str().unwrap_or_default();
     let mut parts = text.split('.');
     let job = parts.next().unwrap_or_default();
@@ -329,8 +340,8 @@
     match reply {
         OrderReply::Done(clock) => HttpResponse::Ok().json(json!({"clockMs": clock})),
         OrderReply::Refused(reason) => {
-            let word = format!("{reason:?}").to_lowercase();
-            HttpResponse::Conflict().json(json!({"clockMs": 0, "reason": word}))
+            let text = format!("{reason:?}").to_lowercase();
+            HttpResponse::Conflict().json(json!({"clockMs": 0, "reason": text}))
         }
         OrderReply::WrongLife => HttpResponse::MisdirectedRequest().finish(),
         OrderReply::NoAnswer | OrderReply::Unreachable => {
@@ -341,39 +352,47 @@
 
 async fn run_start(
     request: HttpRequest,
-    desk: web::Data<Desk>,
+    handle: web::Data<WorkerHandle>,
     body: web::Json<Value>,
 ) -> HttpResponse {
     let call = StartCall {
-        life: life_of(&request, &desk),
-        run: run_name(&body),
+        life: expected_id(&request, &handle),
+        run: parse_run_name(&body),
         spec: body["spec"].as_str().unwrap_or_default().into(),
         deadline_ms: body["deadlineMs"].as_u64().unwrap_or(0),
         fence: body["fencingToken"].as_u64().unwrap_or(0),
         checkpoint: String::new(),
     };
-    let reply = desk.workers.lock().unwrap().start(desk.number, &call);
+    let reply = handle
+        .workers
+        .lock()
+        .unwrap()
+        .start_run(handle.number, &call);
     order_response(&reply)
 }
 
 async fn run_stop(
     request: HttpRequest,
-    desk: web::Data<Desk>,
+    handle: web::Data<WorkerHandle>,
     body: web::Json<Value>,
 ) -> HttpResponse {
-    let life = life_of(&request, &desk);
+    let id = expected_id(&request, &handle);
     let fence = body["fencingToken"].as_u64().unwrap_or(0);
     let reply = {
-        let mut workers = desk.workers.lock().unwrap();
+        let mut workers = handle.workers.lock().unwrap();
         let now = workers.advance();
-        workers.models[desk.number].stop(now, &life, run_name(&body), fence)
+        workers.models[handle.number].stop(now, &id, parse_run_name(&body), fence)
     };
     order_response(&reply)
 }
 
-async fn hold(request: HttpRequest, desk: web::Data<Desk>, body: web::Json<Value>) -> HttpResponse {
+async fn hold(
+    request: HttpRequest,
+    handle: web::Data<WorkerHandle>,
+    body: web::Json<Value>,
+) -> HttpResponse {
     let call = HoldCall {
-        life: life_of(&request, &desk),
+        life: expected_id(&request, &handle),
         deadline_ms: body["deadlineMs"].as_u64().unwrap_or(0),
         fence: body["fencingToken"].as_u64().unwrap_or(0),
         seen: body["lastSeen"].as_u64().unwrap_or(0),
@@ -381,17 +400,17 @@
     };
     let end = Instant::now() + call.wait;
     loop {
-        let (reply, news) = {
-            let mut workers = desk.workers.lock().unwrap();
+        let (reply, has_new_ends) = {
+            let mut workers = handle.workers.lock().unwrap();
             let now = workers.advance();
-            let model = &mut workers.models[desk.number];
+            let model = &mut workers.models[handle.number];
             (model.hold(now, &call), model.has_news(call.seen))
         };
-        let lists = matches!(reply, HoldReply::Lists { .. });
-        if news || !lists || Instant::now() >= end {
+        let has_lists = matches!(reply, HoldReply::Lists { .. });
+        if has_new_ends || !has_lists || Instant::now() >= end {
             return hold_response(reply);
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -419,8 +438,8 @@
     let finished: Vec<Value> = finished
         .iter()
         .map(|f| {
-            let how = format!("{:?}", f.end).to_lowercase();
-            json!([f.number, task_text(&f.run), f.run.run, how, ""])
+            let end = format!("{:?}", f.end).to_lowercase();
+            json!([f.number, task_text(&f.run), f.run.run, end, ""])
         })
         .collect();
     HttpResponse::Ok().json(json!({
