--- a/lib/examples/fencing.rs
+++ b/lib/examples/fencing.rs
@@ -1,4 +1,4 @@
-//! Fencing: a start record and a grant keep a paused owner from starting anything late.
+//! Fencing: a start record and a grant keep a paused owner from starting tasks late.
 //!
 //! `cargo run -p stackcourse-lib --example fencing`
 
@@ -32,7 +32,7 @@
         tasks: 1,
     };
 
-    // The owner of epoch 1 has a right until two seconds after the agent asked for it.
+    // The owner of epoch 1 may start tasks until two seconds after the agent requested the grant.
     let mut grant = Grant::default();
     let seq = grant.ask(now.mono);
     grant.granted(seq, 1, Duration::from_secs(2));
@@ -40,7 +40,7 @@
     assert!(!grant.permits(now.mono + Duration::from_secs(2), 1));
     println!("after two seconds the owner of epoch 1 starts nothing here");
 
-    // A new owner seals the shard; what the old one sends now is refused.
+    // A new owner raises the shard's epoch. Starts by the old owner are refused from now on.
     record.raise(ShardId(3), Epoch(2));
     assert_eq!(
         record.start(now, &ask(1, 1), "s", "t"),
@@ -51,5 +51,5 @@
         record.start(now, &ask(3, 3), "s", "t"),
         Err(StartError::Started)
     );
-    println!("epoch 1 is fenced off, epoch 2 starts the task, and nobody starts it again");
+    println!("epoch 1 is fenced, epoch 2 starts the task, and no later epoch starts it again");
 }
--- a/lib/examples/follow_configuration.rs
+++ b/lib/examples/follow_configuration.rs
@@ -1,4 +1,4 @@
-//! Following configuration: versions that only move upward, and the part an agent gets.
+//! Following the configuration: versions only increase, and an agent gets only its own part.
 //!
 //! `cargo run -p stackcourse-lib --example follow_configuration`
 
@@ -27,7 +27,7 @@
     assert!(follower.offer(2, version(2, "h2")).expect("readable"));
     assert!(!follower.offer(1, version(1, "h1")).expect("older"));
     println!(
-        "version {} is in force, and an older one changes nothing",
+        "version {} is in force, and an older one is ignored",
         follower.version()
     );
     let site = |hall| Site {
@@ -39,8 +39,8 @@
         let part = follower.config().part(2, site(hall));
         println!("an agent in {hall} may run {:?}", part.services.keys());
     }
-    let bad = Configuration::parse("file.json", b"{\"services\": {\"q\": {\"halls\": 3}}}");
-    for finding in bad.expect_err("findings") {
+    let invalid = Configuration::parse("file.json", b"{\"services\": {\"q\": {\"halls\": 3}}}");
+    for finding in invalid.expect_err("findings") {
         println!("finding: {finding}");
     }
 }
--- a/lib/examples/load_estimate.rs
+++ b/lib/examples/load_estimate.rs
@@ -1,4 +1,5 @@
-//! Load estimate and admission: what is taken in, and when the others should come back.
+//! Load estimate and admission: which jobs are admitted, and after which delay callers should retry refused
+//! ones.
 //!
 //! `cargo run -p stackcourse-lib --example load_estimate`
 
@@ -26,13 +27,10 @@
             longest: Duration::from_secs(1),
         };
         match admission.admit(&crowd, 4, Duration::from_secs(10)) {
-            Ok(()) => println!("{waiting} in front: taken in"),
+            Ok(()) => println!("{waiting} waiting: admitted"),
             Err((cause, wait)) => {
-                let back = retry_ms(wait, &mut rng);
-                println!(
-                    "{waiting} in front: {}, come back in {back} ms",
-                    cause.name()
-                );
+                let retry = retry_ms(wait, &mut rng);
+                println!("{waiting} waiting: {}, retry in {retry} ms", cause.name());
             }
         }
     }
--- a/lib/examples/ownership_record.rs
+++ b/lib/examples/ownership_record.rs
@@ -1,4 +1,5 @@
-//! The ownership record: epochs that rise with each change of owner, and even shares.
+//! The ownership record: epochs increase with each change of owner, and shards are spread evenly over the
+//! members.
 //!
 //! `cargo run -p stackcourse-lib --example ownership_record`
 
@@ -20,8 +21,8 @@
     for incarnation in 1..=3 {
         println!("entry {incarnation} owns {:?}", record.owned(incarnation));
     }
-    // Entry 1 dies: its shards get new owners and higher epochs, and remember whom they were cut
-    // from, because the new owners have to wait out its right.
+    // Entry 1 crashes. Its shards get new owners and higher epochs, and they record the former owner, because
+    // the new owners must wait until its right to act has expired.
     record.cut(1, 1_800_000_000_000);
     record.settle(&[2, 3], 0);
     for incarnation in 2..=3 {
--- a/lib/examples/quota_shares.rs
+++ b/lib/examples/quota_shares.rs
@@ -1,4 +1,4 @@
-//! Quota shares: two holders, one allocator, and a sum that never exceeds the quota.
+//! Quota shares: an allocator divides a quota between two holders, whose shares never exceed it together.
 //!
 //! `cargo run -p stackcourse-lib --example quota_shares`
 
@@ -8,7 +8,8 @@
 use stackcourse_lib::quota::Share;
 use stackcourse_lib::quota::ShareAsk;
 
-fn ask(allocator: &mut Allocator, share: &mut Share, holder: u64, now: Mono, want: u32) {
+/// Requests a share for a holder and applies the allocator's grant.
+fn renew_share(allocator: &mut Allocator, share: &mut Share, holder: u64, now: Mono, want: u32) {
     let have = share.have(now);
     let used = share.used();
     let seq = share.ask(now);
@@ -25,15 +26,15 @@
 
 fn main() {
     let mut allocator = Allocator::first();
-    let (mut one, mut two) = (Share::default(), Share::default());
+    let (mut first, mut second) = (Share::default(), Share::default());
     let at = |ms: u64| Mono(ms * 1_000);
-    ask(&mut allocator, &mut one, 1, at(1), 20);
-    println!("alone, the first holder gets {} of 10", one.have(at(1)));
+    renew_share(&mut allocator, &mut first, 1, at(1), 20);
+    println!("alone, the first holder gets {} of 10", first.have(at(1)));
     for ms in (2..2_000).step_by(400) {
-        ask(&mut allocator, &mut two, 2, at(ms), 20);
-        ask(&mut allocator, &mut one, 1, at(ms + 1), 20);
+        renew_share(&mut allocator, &mut second, 2, at(ms), 20);
+        renew_share(&mut allocator, &mut first, 1, at(ms + 1), 20);
         let now = at(ms + 1);
-        assert!(one.have(now) + two.have(now) <= 10);
-        println!("{ms:>5} ms: {} and {}", one.have(now), two.have(now));
+        assert!(first.have(now) + second.have(now) <= 10);
+        println!("{ms:>5} ms: {} and {}", first.have(now), second.have(now));
     }
 }
--- a/lib/examples/tenure.rs
+++ b/lib/examples/tenure.rs
@@ -1,4 +1,5 @@
-//! Tenure: how long an entry may act on a read of the record, and how promises carry it on.
+//! Tenure: how long an entry may act on its last read of the ownership record, and how other members' promises
+//! extend that while the store is unreachable.
 //!
 //! `cargo run -p stackcourse-lib --example tenure`
 
@@ -20,12 +21,12 @@
     tenure.confirm(at(1_000), vec![7, 8]);
     assert_eq!(tenure.stand(at(2_900)), Standing::Confirmed);
 
-    // The store goes away. Both members promise to take nothing over.
+    // The store becomes unreachable. Both members promise not to take any shards over.
     for member in [7, 8] {
         let seq = tenure.ask(member, at(2_900));
         tenure.promise(member, seq, true);
     }
     assert_eq!(tenure.stand(at(4_300)), Standing::Promised);
     assert_eq!(tenure.stand(at(4_400)), Standing::Lapsed);
-    println!("two members' promises carried the right 1.4 s beyond the lease");
+    println!("the promises of two members extended the right to act by 1.4 s beyond the lease");
 }
