--- a/lib/testutils/src/bin/bench.rs
+++ b/lib/testutils/src/bin/bench.rs
@@ -1,8 +1,6 @@
-//! `bench`: runs the two deployments of the brief with real processes on this machine and prints
-//! the tables of `docs/MEASUREMENTS.md`.
+//! `bench`: measures clusters of real processes on this machine and prints the tables of `docs/MEASUREMENTS.md`.
 //!
-//! Needs the release build of the whole workspace: the `stackcourse` binary is taken from the
-//! folder of this one.
+//! Needs the release build of the whole workspace: it runs the `stackcourse` binary from its own directory.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -22,14 +20,16 @@
 use stackcourse_testutils::workload;
 use stackcourse_testutils::workload::WorkloadPlan;
 
-/// Workers of each deployment, and slots of each worker.
+/// The number of workers of each cluster.
 const WORKERS: usize = 10;
+/// The slots of each worker.
 const SLOTS: u32 = 8;
-/// Delay between the processes, one way, and from callers.
-const WAY: Duration = Duration::from_micros(500);
-const CLIENT_WAY: Duration = Duration::from_millis(3);
-/// The ways of a job on an idle system: caller, entry, agent and back.
-const WAYS: Duration = Duration::from_millis(7);
+/// The one-way network delay between processes.
+const LINK_DELAY: Duration = Duration::from_micros(500);
+/// The one-way network delay between callers and entries.
+const CLIENT_DELAY: Duration = Duration::from_millis(3);
+/// The network delay of a job on an idle system: from the caller over the entry to the agent and back.
+const JOB_DELAY: Duration = Duration::from_millis(7);
 
 fn main() {
     let names = [
@@ -43,7 +43,7 @@
                 .long("seconds")
                 .default_value("30")
                 .value_parser(value_parser!(u64))
-                .help("How long jobs arrive in each run"),
+                .help("The time over which jobs arrive in each run"),
         )
         .arg(
             Arg::new("seed")
@@ -52,8 +52,8 @@
                 .value_parser(value_parser!(u64)),
         )
         .get_matches();
-    let seconds = *matches.get_one::<u64>("seconds").expect("defaulted");
-    let seed = *matches.get_one::<u64>("seed").expect("defaulted");
+    let seconds = *matches.get_one::<u64>("seconds").expect("it has a default");
+    let seed = *matches.get_one::<u64>("seed").expect("it has a default");
     let what = matches.get_one::<String>("what").expect("required");
     match what.as_str() {
         "policies" => policies(seed, seconds as f64),
@@ -71,11 +71,11 @@
     me.with_file_name("stackcourse")
 }
 
-fn deployment(policy: &str, owners: u32, favour: &str) -> ClusterPlan {
+fn cluster_plan(policy: &str, owners: u32, favour: &str) -> ClusterPlan {
     let mut plan = ClusterPlan::new(binary());
     plan.agents = WORKERS;
     plan.slots = SLOTS;
-    plan.delay = WAY;
+    plan.delay = LINK_DELAY;
     plan.entry_settings = json!({"policy": policy, "log_level": "error"});
     plan.agent_settings = json!({"log_level": "error"});
     plan.config = json!({
@@ -85,17 +85,19 @@
     plan
 }
 
+/// Returns the capacity of all workers, in tasks per second.
 fn capacity() -> f64 {
     f64::from(SLOTS) * WORKERS as f64 / workload::mean_task()
 }
 
-fn load_of(cluster: &Cluster, seed: u64, share: f64, seconds: f64) -> LoadPlan {
+/// Returns a load of a share of the capacity, over all entries.
+fn load_at(cluster: &Cluster, seed: u64, share: f64, seconds: f64) -> LoadPlan {
     let plan = WorkloadPlan::brief(seed, capacity() * share, seconds);
     LoadPlan {
         entries: cluster.entries.iter().map(|e| e.http).collect(),
         arrivals: workload::draw(&plan),
         deadline_ms: plan.deadline_ms,
-        client_delay: CLIENT_WAY,
+        client_delay: CLIENT_DELAY,
         retry: false,
     }
 }
@@ -108,11 +110,11 @@
     kinds: String,
 }
 
-/// Runs a load on a cluster and counts what was wasted meanwhile.
+/// Runs a load on a cluster. Counts the messages wasted meanwhile and checks the backend servers' logs.
 async fn measure(cluster: &Cluster, plan: LoadPlan) -> Measured {
     let before = cluster.metric("stackcourse_wasted_total").await;
     let slots = WORKERS * SLOTS as usize;
-    let (mut report, log) = load::run(&plan, slots, WAYS).await;
+    let (mut report, log) = load::run(&plan, slots, JOB_DELAY).await;
     let after = cluster.metric("stackcourse_wasted_total").await;
     let starts = cluster.starts();
     report.violations.extend(log.check(&starts));
@@ -135,7 +137,7 @@
     }
 }
 
-/// Runs something on a thread with an actix system of its own.
+/// Runs a function on a thread of its own, so that it can have an actix system of its own.
 fn on_thread<T: Send + 'static>(
     run: impl FnOnce() -> T + Send + 'static,
 ) -> std::thread::JoinHandle<T> {
@@ -146,7 +148,7 @@
     actix_rt::System::new().block_on(future)
 }
 
-/// All policies side by side, on the same arrivals at the same time.
+/// Compares all placement policies on the same arrivals, with all clusters running at the same time.
 fn policies(seed: u64, seconds: f64) {
     let cases = [
         ("random", 0, "time"),
@@ -167,8 +169,8 @@
             .map(|(policy, owners, favour)| {
                 on_thread(move || {
                     block_on(async move {
-                        let cluster = Cluster::start(deployment(policy, owners, favour)).await;
-                        let plan = load_of(&cluster, seed, share, seconds);
+                        let cluster = Cluster::start(cluster_plan(policy, owners, favour)).await;
+                        let plan = load_at(&cluster, seed, share, seconds);
                         measure(&cluster, plan).await
                     })
                 })
@@ -201,12 +203,12 @@
     }
 }
 
-/// Three times the capacity for a while, then half of it.
+/// Measures an overload of three times the capacity and the recovery at half of the capacity.
 fn burst(seed: u64, seconds: f64) {
     block_on(async move {
-        let cluster = Cluster::start(deployment("least-fill", 1, "time")).await;
-        let mut plan = load_of(&cluster, seed, 3.0, seconds);
-        let tail = load_of(&cluster, seed + 1, 0.5, 15.0);
+        let cluster = Cluster::start(cluster_plan("least-fill", 1, "time")).await;
+        let mut plan = load_at(&cluster, seed, 3.0, seconds);
+        let tail = load_at(&cluster, seed + 1, 0.5, 15.0);
         let end = Duration::from_secs_f64(seconds);
         let later = tail.arrivals.into_iter().map(|mut a| {
             a.at += end;
@@ -215,8 +217,8 @@
         plan.arrivals.extend(later);
         plan.deadline_ms = 10_000;
         let m = measure(&cluster, plan).await;
-        let warm = Duration::from_secs(3);
-        let during = m.log.work_between(&m.plan, warm, end);
+        let warm_up = Duration::from_secs(3);
+        let during = m.log.work_between(&m.plan, warm_up, end);
         let slots = f64::from(SLOTS) * WORKERS as f64;
         println!("3x load for {seconds} s, then half load for 15 s");
         println!(
@@ -224,7 +226,7 @@
             during / slots
         );
         println!(
-            "refusals, ms without the callers' way: {:?}",
+            "refusals, ms without the callers' delay: {:?}",
             m.report.refusal_ms
         );
         println!("outcomes: {:?}", m.report.outcomes);
@@ -232,7 +234,7 @@
         for (from, to) in [(0, 1), (1, 2), (2, 3), (3, 6), (6, 15)] {
             let from = end + Duration::from_secs(from);
             let to = end + Duration::from_secs(to);
-            let p = m.log.slowdown_between(&m.plan, WAYS, from, to);
+            let p = m.log.slowdown_between(&m.plan, JOB_DELAY, from, to);
             let o = m.log.outcomes_between(&m.plan, from, to);
             println!(
                 "{:?}..{:?} after: p50 {:.3} p99 {:.3} {o:?}",
@@ -247,7 +249,7 @@
     });
 }
 
-/// A burst of 1.5 times the capacity whose refused callers come back, by the setting `favour`.
+/// Compares the values of the setting `favour` at 1.5 times the capacity, where refused callers retry.
 fn favour(seed: u64, seconds: f64) {
     println!(
         "| favour | complete | p50 response, ms | p99 response, ms | requests a job | refused requests a task |"
@@ -258,8 +260,8 @@
         .map(|favour| {
             on_thread(move || {
                 block_on(async move {
-                    let cluster = Cluster::start(deployment("least-fill", 1, favour)).await;
-                    let mut plan = load_of(&cluster, seed, 1.5, seconds);
+                    let cluster = Cluster::start(cluster_plan("least-fill", 1, favour)).await;
+                    let mut plan = load_at(&cluster, seed, 1.5, seconds);
                     plan.retry = true;
                     (favour, measure(&cluster, plan).await)
                 })
@@ -282,9 +284,10 @@
     }
 }
 
-/// One worker five times slower, stalled, or failing, from a moment on.
+/// Measures the effect of one worker that is five times slower, stalled, or failing, and the time until it
+/// gets its tasks back after that ends.
 fn slow(seed: u64, seconds: f64) {
-    let moods: [(&str, Option<Mood>); 4] = [
+    let cases: [(&str, Option<Mood>); 4] = [
         ("none", None),
         (
             "5x slower",
@@ -312,59 +315,60 @@
         "| one worker | p50 after 3 s | p99 after 3 s | over the run without | tasks it got a second, before and after 3 s | outcomes after 3 s | back within |"
     );
     println!("|---|---|---|---|---|---|---|");
-    let threads: Vec<_> = moods
+    let threads: Vec<_> = cases
         .into_iter()
         .map(|(name, mood)| {
             on_thread(move || {
                 block_on(async move {
-                    let cluster = Cluster::start(deployment("least-fill", 1, "time")).await;
-                    let plan = load_of(&cluster, seed, 0.6, seconds + 15.0);
+                    let cluster = Cluster::start(cluster_plan("least-fill", 1, "time")).await;
+                    let plan = load_at(&cluster, seed, 0.6, seconds + 15.0);
                     let backend = cluster.agents[0].backend.clone();
-                    let (onset, end) = (5.0, seconds);
-                    let trouble = async {
-                        actix_rt::time::sleep(Duration::from_secs_f64(onset)).await;
-                        let before = backend.log().len() as f64 / onset;
+                    let (fault_at, end) = (5.0, seconds);
+                    let fault = async {
+                        actix_rt::time::sleep(Duration::from_secs_f64(fault_at)).await;
+                        let before = backend.log().len() as f64 / fault_at;
                         if let Some(mood) = mood {
                             backend.set_mood(mood);
                         }
                         actix_rt::time::sleep(Duration::from_secs(3)).await;
-                        let at3 = backend.log().len();
-                        actix_rt::time::sleep(Duration::from_secs_f64(end - onset - 3.0)).await;
-                        let after = (backend.log().len() - at3) as f64 / (end - onset - 3.0);
+                        let count_at_3s = backend.log().len();
+                        actix_rt::time::sleep(Duration::from_secs_f64(end - fault_at - 3.0)).await;
+                        let after =
+                            (backend.log().len() - count_at_3s) as f64 / (end - fault_at - 3.0);
                         backend.set_mood(Mood::default());
-                        let mended = std::time::Instant::now();
-                        let mut mark = backend.log().len();
-                        let mut back = None;
+                        let repaired = std::time::Instant::now();
+                        let mut last_count = backend.log().len();
+                        let mut recovery = None;
                         for _ in 0..14 {
                             actix_rt::time::sleep(Duration::from_secs(1)).await;
                             let now = backend.log().len();
-                            if back.is_none() && (now - mark) as f64 > before * 0.7 {
-                                back = Some(mended.elapsed().as_secs());
+                            if recovery.is_none() && (now - last_count) as f64 > before * 0.7 {
+                                recovery = Some(repaired.elapsed().as_secs());
                             }
-                            mark = now;
+                            last_count = now;
                         }
-                        (before, after, back)
+                        (before, after, recovery)
                     };
-                    let (m, got) = futures::future::join(measure(&cluster, plan), trouble).await;
-                    let from = Duration::from_secs_f64(onset + 3.0);
+                    let (m, counts) = futures::future::join(measure(&cluster, plan), fault).await;
+                    let from = Duration::from_secs_f64(fault_at + 3.0);
                     let to = Duration::from_secs_f64(end);
-                    let p = m.log.slowdown_between(&m.plan, WAYS, from, to);
+                    let p = m.log.slowdown_between(&m.plan, JOB_DELAY, from, to);
                     let o = m.log.outcomes_between(&m.plan, from, to);
-                    (name, p, got, o, m.report.violations.len())
+                    (name, p, counts, o, m.report.violations.len())
                 })
             })
         })
         .collect();
     let mut base = 0.0;
     for thread in threads {
-        let (name, p, (before, after, back), outcomes, violations) =
+        let (name, p, (before, after, recovery), outcomes, violations) =
             thread.join().expect("no panic");
         if name == "none" {
             base = p.p99;
         }
-        let back = back.map_or("not within 14 s".to_owned(), |s| format!("{s} s"));
+        let recovery = recovery.map_or("not within 14 s".to_owned(), |s| format!("{s} s"));
         println!(
-            "| {name} | {:.3} | {:.3} | {:.3} | {before:.1}, {after:.1} | {outcomes:?} | {back} |",
+            "| {name} | {:.3} | {:.3} | {:.3} | {before:.1}, {after:.1} | {outcomes:?} | {recovery} |",
             p.p50,
             p.p99,
             p.p99 / base,
@@ -373,12 +377,12 @@
     }
 }
 
-/// One entry and one worker killed under load at 80 %.
+/// Measures a load of 60 % under which the owner and then an agent are killed.
 fn loss(seed: u64, seconds: f64) {
     block_on(async move {
-        let mut cluster = Cluster::start(deployment("least-fill", 1, "time")).await;
+        let mut cluster = Cluster::start(cluster_plan("least-fill", 1, "time")).await;
         let owner = cluster.owner().await;
-        let plan = load_of(&cluster, seed, 0.6, seconds);
+        let plan = load_at(&cluster, seed, 0.6, seconds);
         let mut plan = plan;
         let survivors: Vec<_> = (0..3).filter(|i| *i != owner).collect();
         plan.entries = survivors.iter().map(|i| cluster.entries[*i].http).collect();
@@ -408,7 +412,7 @@
     });
 }
 
-/// The time from a kill, or a planned leave, of the owner to jobs being served again.
+/// Measures the time from a kill, or a planned leave, of the owner until jobs are served again.
 fn takeover(seed: u64) {
     println!(
         "| way | p50 until served again, ms | longest, ms | outcomes of jobs in flight | messages wasted |"
@@ -425,10 +429,10 @@
         let mut outcomes = std::collections::BTreeMap::<String, usize>::new();
         let mut wasted = 0.0;
         for thread in threads {
-            let (gap, ends, waste) = thread.join().expect("no panic");
+            let (gap, counts, waste) = thread.join().expect("no panic");
             gaps.push(gap);
             wasted += waste;
-            for (outcome, count) in ends {
+            for (outcome, count) in counts {
                 *outcomes.entry(outcome).or_default() += count;
             }
         }
@@ -441,15 +445,15 @@
     }
 }
 
-/// Small jobs every 5 ms through the surviving entries; the longest response beyond the job's own
-/// time is how long nothing was served.
+/// Sends small jobs to the surviving entries. The 99.9th percentile of the response times, less the job's own
+/// time, stands for the time in which no job was served.
 async fn one_takeover(
     seed: u64,
     signal: Signal,
 ) -> (Duration, std::collections::BTreeMap<String, usize>, f64) {
-    let mut cluster = Cluster::start(deployment("least-fill", 1, "time")).await;
+    let mut cluster = Cluster::start(cluster_plan("least-fill", 1, "time")).await;
     let owner = cluster.owner().await;
-    let mut plan = load_of(&cluster, seed, 0.4, 12.0);
+    let mut plan = load_at(&cluster, seed, 0.4, 12.0);
     for arrival in &mut plan.arrivals {
         arrival.times = vec![100, 200];
         arrival.again = false;
@@ -462,23 +466,24 @@
         .process
         .as_ref()
         .map_or(0, |p| p.pid());
-    let strike = async {
+    let stop = async {
         actix_rt::time::sleep(Duration::from_secs(4)).await;
         let pid = nix::unistd::Pid::from_raw(pid as i32);
         let _ = nix::sys::signal::kill(pid, signal);
     };
-    let (m, ()) = futures::future::join(measure(&cluster, plan), strike).await;
+    let (m, ()) = futures::future::join(measure(&cluster, plan), stop).await;
     assert_eq!(m.report.violations, Vec::<String>::new());
     let longest = Duration::from_secs_f64(m.report.response_ms.p999 / 1e3);
     cluster.entries[owner].process = None;
-    let added = longest.saturating_sub(Duration::from_millis(200) + WAYS);
+    let added = longest.saturating_sub(Duration::from_millis(200) + JOB_DELAY);
     (added, m.report.outcomes, m.wasted * m.report.tasks as f64)
 }
 
-/// One task at a time on an idle system without delays: what is added to the back end's own time.
+/// Measures what an idle cluster without network delays adds to the backend server's own time, one task at a
+/// time.
 fn single() {
     block_on(async {
-        let mut plan = deployment("least-fill", 1, "time");
+        let mut plan = cluster_plan("least-fill", 1, "time");
         plan.delay = Duration::ZERO;
         let cluster = Cluster::start(plan).await;
         let owner = cluster.owner().await;
--- a/lib/testutils/src/bin/capacity.rs
+++ b/lib/testutils/src/bin/capacity.rs
@@ -1,4 +1,5 @@
-//! `capacity`: measures the slopes behind `docs/CAPACITY.md` with real processes on this machine.
+//! `capacity`: measures with real processes on this machine how cost grows with nodes, starts and remembered tasks,
+//! and prints the tables behind `docs/CAPACITY.md`.
 //!
 //! Needs the release build of the whole workspace.
 
@@ -33,22 +34,22 @@
 use stackcourse_testutils::stub_store::StoreCalls;
 use stackcourse_testutils::workload::Arrival;
 
-/// Clock ticks a second in `/proc`.
+/// Clock ticks per second in `/proc`.
 const TICKS: f64 = 100.0;
-/// How long a state of rest is measured.
-const REST: Duration = Duration::from_secs(10);
+/// The time over which an idle cluster is measured.
+const IDLE_SPAN: Duration = Duration::from_secs(10);
 
 fn main() {
     let names = ["rest", "entries", "starts", "memory", "rate"];
     let matches = Command::new("capacity")
-        .about("Measures slopes against the number of nodes, starts and remembered tasks")
+        .about("Measures how cost grows with nodes, starts and remembered tasks")
         .arg(Arg::new("what").required(true).value_parser(names))
         .get_matches();
     match matches.get_one::<String>("what").map(String::as_str) {
-        Some("rest") => rest(),
-        Some("entries") => entries(),
-        Some("starts") => starts(),
-        Some("rate") => rate(),
+        Some("rest") => idle_by_agents(),
+        Some("entries") => idle_by_entries(),
+        Some("starts") => cost_per_start(),
+        Some("rate") => highest_rate(),
         _ => memory(),
     }
 }
@@ -66,7 +67,7 @@
     plan
 }
 
-/// Processor time of a process so far, in seconds.
+/// Returns the CPU time that a process has used, in seconds.
 fn cpu(process: &Process) -> f64 {
     let path = format!("/proc/{}/stat", process.pid());
     let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -79,8 +80,8 @@
     (fields.get(11).unwrap_or(&0.0) + fields.get(12).unwrap_or(&0.0)) / TICKS
 }
 
-/// Memory of a process now, in MiB.
-fn resident(process: &Process) -> f64 {
+/// Returns the resident memory of a process, in MiB.
+fn resident_mib(process: &Process) -> f64 {
     let path = format!("/proc/{}/status", process.pid());
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
@@ -91,14 +92,17 @@
     kib.unwrap_or(0.0) / 1024.0
 }
 
-async fn control(http: SocketAddr) -> (f64, f64) {
+/// Returns the bytes and frames of control traffic that a process has counted.
+async fn read_control_traffic(http: SocketAddr) -> (f64, f64) {
     let bytes = read_metric(http, "stackcourse_link_bytes_total").await;
     let frames = read_metric(http, "stackcourse_link_frames_total").await;
-    let of = |m: &std::collections::BTreeMap<String, f64>| m.get("control").copied().unwrap_or(0.0);
-    (of(&bytes), of(&frames))
+    let control_of =
+        |m: &std::collections::BTreeMap<String, f64>| m.get("control").copied().unwrap_or(0.0);
+    (control_of(&bytes), control_of(&frames))
 }
 
-async fn store_calls(cluster: &Cluster) -> StoreCalls {
+/// Returns the number of calls that the store has counted.
+async fn count_store_calls(cluster: &Cluster) -> StoreCalls {
     let url = format!("{}/stub/calls", cluster.store.url());
     let mut response = awc::Client::default()
         .get(url)
@@ -108,38 +112,39 @@
     response.json().await.expect("JSON")
 }
 
-/// What one node takes for control at rest, a second.
-struct Rest {
+/// What an idle node uses: CPU cores, bytes and frames of control traffic per second, and memory in MiB.
+struct IdleUsage {
     cpu: f64,
     bytes: f64,
     frames: f64,
     memory: f64,
 }
 
-async fn measure_rest(cluster: &Cluster) -> (Rest, Rest, StoreCalls) {
+/// Measures the owner, one agent and the store's calls over [`IDLE_SPAN`].
+async fn measure_idle(cluster: &Cluster) -> (IdleUsage, IdleUsage, StoreCalls) {
     let entry = cluster.owner().await;
     let entry_at = cluster.entries[entry].http;
     let agent_at = cluster.agents[0].http;
     let entry_process = cluster.entries[entry].process.as_ref().expect("runs");
     let agent_process = cluster.agents[0].process.as_ref().expect("runs");
-    let (eb, ef) = control(entry_at).await;
-    let (ab, af) = control(agent_at).await;
+    let (eb, ef) = read_control_traffic(entry_at).await;
+    let (ab, af) = read_control_traffic(agent_at).await;
     let (ec, ac) = (cpu(entry_process), cpu(agent_process));
-    let calls = store_calls(cluster).await;
-    actix_rt::time::sleep(REST).await;
-    let (eb2, ef2) = control(entry_at).await;
-    let (ab2, af2) = control(agent_at).await;
+    let calls = count_store_calls(cluster).await;
+    actix_rt::time::sleep(IDLE_SPAN).await;
+    let (eb2, ef2) = read_control_traffic(entry_at).await;
+    let (ab2, af2) = read_control_traffic(agent_at).await;
     let (ec2, ac2) = (cpu(entry_process), cpu(agent_process));
-    let later = store_calls(cluster).await;
-    let seconds = REST.as_secs_f64();
-    let rest = |cpu: f64, bytes: f64, frames: f64, memory| Rest {
+    let later = count_store_calls(cluster).await;
+    let seconds = IDLE_SPAN.as_secs_f64();
+    let usage = |cpu: f64, bytes: f64, frames: f64, memory| IdleUsage {
         cpu: cpu / seconds,
         bytes: bytes / seconds,
         frames: frames / seconds,
         memory,
     };
-    let entry = rest(ec2 - ec, eb2 - eb, ef2 - ef, resident(entry_process));
-    let agent = rest(ac2 - ac, ab2 - ab, af2 - af, resident(agent_process));
+    let entry = usage(ec2 - ec, eb2 - eb, ef2 - ef, resident_mib(entry_process));
+    let agent = usage(ac2 - ac, ab2 - ab, af2 - af, resident_mib(agent_process));
     let calls = StoreCalls {
         reads: later.reads - calls.reads,
         writes: later.writes - calls.writes,
@@ -147,8 +152,8 @@
     (entry, agent, calls)
 }
 
-/// Everything that depends on the number of agents.
-fn rest() {
+/// Measures what depends on the number of agents.
+fn idle_by_agents() {
     println!("3 entries; control traffic, both ways, without the transport's headers");
     println!(
         "| agents | entry: % of a core | bytes/s | frames/s | MiB | agent: % of a core | bytes/s | frames/s | MiB | store reads/s | writes/s | configuration in force, ms | kill to served, ms |"
@@ -158,10 +163,10 @@
         actix_rt::System::new().block_on(async move {
             let mut cluster = Cluster::start(plan(3, agents)).await;
             actix_rt::time::sleep(Duration::from_secs(3)).await;
-            let (e, a, calls) = measure_rest(&cluster).await;
-            let in_force = fan_out(&cluster).await;
-            let served = kill_owner(&mut cluster).await;
-            let seconds = REST.as_secs_f64();
+            let (e, a, calls) = measure_idle(&cluster).await;
+            let in_force = time_to_apply(&cluster).await;
+            let served = time_to_take_over(&mut cluster).await;
+            let seconds = IDLE_SPAN.as_secs_f64();
             println!(
                 "| {agents} | {:.2} | {:.0} | {:.1} | {:.1} | {:.2} | {:.0} | {:.1} | {:.1} | {:.1} | {:.2} | {} | {} |",
                 e.cpu * 100.0, e.bytes, e.frames, e.memory,
@@ -173,8 +178,8 @@
     }
 }
 
-/// Everything that depends on the number of entries.
-fn entries() {
+/// Measures what depends on the number of entries.
+fn idle_by_entries() {
     println!("12 agents; control traffic, both ways, without the transport's headers");
     println!(
         "| entries | entry: % of a core | bytes/s | frames/s | agent: % of a core | bytes/s | frames/s | store reads/s |"
@@ -184,7 +189,7 @@
         actix_rt::System::new().block_on(async move {
             let cluster = Cluster::start(plan(count, 12)).await;
             actix_rt::time::sleep(Duration::from_secs(3)).await;
-            let (e, a, calls) = measure_rest(&cluster).await;
+            let (e, a, calls) = measure_idle(&cluster).await;
             println!(
                 "| {count} | {:.2} | {:.0} | {:.1} | {:.2} | {:.0} | {:.1} | {:.1} |",
                 e.cpu * 100.0,
@@ -193,14 +198,14 @@
                 a.cpu * 100.0,
                 a.bytes,
                 a.frames,
-                calls.reads as f64 / REST.as_secs_f64(),
+                calls.reads as f64 / IDLE_SPAN.as_secs_f64(),
             );
         });
     }
 }
 
-/// The time from an apply to the version being in force on every node.
-async fn fan_out(cluster: &Cluster) -> Duration {
+/// Measures the time from an apply until the version is in force on every node.
+async fn time_to_apply(cluster: &Cluster) -> Duration {
     let mut config: Value = cluster.plan.config.clone();
     for i in 0..200 {
         config["services"][format!("more-{i}")] = json!({"halls": ["*"], "zones": ["*"]});
@@ -209,8 +214,8 @@
     cluster.wait_version(version).await
 }
 
-/// The time from a kill of the owner to all shards being served again.
-async fn kill_owner(cluster: &mut Cluster) -> Duration {
+/// Measures the time from a kill of the owner until all shards are served again, 30 s at most.
+async fn time_to_take_over(cluster: &mut Cluster) -> Duration {
     let owner = cluster.owner().await;
     cluster.kill_entry(owner);
     let begun = Instant::now();
@@ -226,8 +231,8 @@
     }
 }
 
-/// Processor time of an entry and an agent for each start, at several rates.
-fn starts() {
+/// Measures the CPU time of entries and agents for each start, at several rates.
+fn cost_per_start() {
     println!("3 entries, 20 agents, jobs of 20 tasks that take no time");
     println!(
         "| starts/s | owner: µs a start | passing entry: µs a job | agent: µs a start | agent + owner frames a start | complete |"
@@ -282,8 +287,8 @@
     }
 }
 
-/// The highest rate that one owner carries.
-fn rate() {
+/// Measures the completed starts of one owner at rising rates, to find the highest that it sustains.
+fn highest_rate() {
     println!("| asked starts/s | done starts/s | p50 response, ms | p99, ms | complete |");
     println!("|---|---|---|---|---|");
     for rate in [4_000, 8_000, 12_000, 16_000, 24_000] {
@@ -324,13 +329,13 @@
     }
 }
 
-/// Memory of the start record for each remembered task, and of the job table for each job.
+/// Measures the memory of the start record for each remembered task, and of the job table for each job.
 fn memory() {
     remembered_tasks();
     remembered_jobs();
 }
 
-/// Complete jobs of 20 tasks whose answers have 100 bytes each.
+/// Measures complete jobs of 20 tasks whose answers have 100 bytes each.
 fn remembered_jobs() {
     println!();
     println!(
@@ -342,7 +347,7 @@
         service: "quote".into(),
     };
     for count in [10_000_u64, 50_000, 200_000] {
-        let before = own_memory();
+        let before = own_memory_mib();
         let mut table = JobTable::default();
         for i in 0..count {
             let random = u128::from(i).to_be_bytes()[6..]
@@ -365,17 +370,18 @@
                 claiming: false,
             });
         }
-        let used = own_memory() - before;
+        let used = own_memory_mib() - before;
         println!("| {count} | {:.0} |", used * 1024.0 * 1024.0 / count as f64);
         assert_eq!(table.size().0 as u64, count);
     }
 }
 
+/// Measures answered tasks, three to a job.
 fn remembered_tasks() {
     println!("| tasks remembered | start record: bytes a task, without answers |");
     println!("|---|---|");
     for count in [20_000_u64, 100_000, 500_000] {
-        let before = own_memory();
+        let before = own_memory_mib();
         let horizon = Duration::from_secs(900);
         let mut record = StartRecord::new(horizon, Duration::from_secs(1), 0);
         let now = Now::steady(Mono(1), 1_800_000_000_000);
@@ -399,13 +405,14 @@
             record.start(now, &ask, "quote", "installers").expect("new");
             record.end(ask.key, Progress::Answered(bytes::Bytes::from_static(b"x")));
         }
-        let used = own_memory() - before;
+        let used = own_memory_mib() - before;
         println!("| {count} | {:.0} |", used * 1024.0 * 1024.0 / count as f64);
         assert_eq!(record.size().1 as u64, count);
     }
 }
 
-fn own_memory() -> f64 {
+/// Returns the resident memory of this process, in MiB.
+fn own_memory_mib() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
     let kib = line
--- a/lib/testutils/src/bin/dispatch-load.rs
+++ b/lib/testutils/src/bin/dispatch-load.rs
@@ -1,4 +1,5 @@
-//! Goodput of the dispatch plane over load, on a virtual clock, under any policy.
+//! `dispatch-load`: measures the dispatch plane's goodput at several loads, on a virtual clock and with any policy.
+//! Prints one line for each load, over all seeds.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -18,12 +19,12 @@
 use stackcourse_testutils::dispatch::load::Trouble;
 use stackcourse_testutils::dispatch::load::Uneven;
 
-/// From this share of the work done in time on, a window is well.
-const WELL: f64 = 0.9;
+/// The share of the work done in time from which a window counts as recovered.
+const RECOVERED_GOODPUT: f64 = 0.9;
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
-    let policy = match policy(&matches) {
+    let policy = match parse_policy(&matches) {
         Ok(policy) => policy,
         Err(message) => {
             eprintln!("{message}");
@@ -33,59 +34,60 @@
     let loads = matches.get_one::<String>("loads").expect("a default");
     println!("load  goodput (sd)  in time, late, refused of each kind in percent");
     for load in loads.split(',').filter_map(|l| l.parse().ok()) {
-        let reports: Vec<LoadReport> = plans(&matches, load, policy).map(load::run).collect();
+        let reports: Vec<LoadReport> = load_plans(&matches, load, policy).map(load::run).collect();
         print_line(load, &reports, value(&matches, "swing") > 0);
     }
     ExitCode::SUCCESS
 }
 
 fn command() -> Command {
-    let swing = "How much more than its part the first third of the schedulers takes, in percent; the last third takes as much less";
-    let late = "Orders of a hundred that are carried out late";
-    let slow = "Workers that take five times as long in the middle half of the run";
-    let mbit = "Mbit/s of two thirds of the schedulers' machines; 0 for no limit";
-    let queues = "Queues of a configuration that is accepted each second of the middle half";
-    let crashing = "Jobs of a thousand in the middle half with a task that takes workers down";
-    let crashing_kind = "The kind of those jobs, from 1, as they are printed; 0 for all";
+    let swing = "By how many percent the first third of the schedulers gets more jobs; the last third gets as much less";
+    let late = "Percentage of orders that are carried out late";
+    let slow = "Workers that are five times slower in the middle half of the run";
+    let mbit = "Network limit of two thirds of the schedulers' machines, in Mbit/s; 0 for none";
+    let queues = "Queues of a configuration that is applied every second of the middle half";
+    let crashing = "Jobs in a thousand of the middle half with a task that crashes workers";
+    let crashing_kind =
+        "The kind of the jobs that crash workers, from 1, in the printed order; 0 for all";
     let wanted =
-        "Jobs of a hundred of the first kind whose data lies in one rack, a sixth of the workers";
-    let remote = "How long a task takes outside of its data's rack, in percent";
-    let restarts = "Executors that are restarted in the middle half, one each 200 ms";
+        "Percentage of the first kind's jobs whose data is in one rack, a sixth of the workers";
+    let remote = "Duration of a task outside its data's rack, in percent";
+    let restarts = "Executors restarted in the middle half, one every 200 ms";
     Command::new("dispatch-load")
-        .about("Plays the users' mix of jobs at shares of the workers' capacity")
+        .about("Simulates the users' mix of jobs at shares of the workers' capacity")
         .arg(
             Arg::new("loads")
                 .long("loads")
                 .default_value("0.5,0.7,0.8,0.9,1.0,1.2,1.5,3.0")
-                .help("Shares of the capacity"),
+                .help("Loads to run, as shares of the capacity"),
         )
-        .arg(number("seconds", "10", "Virtual seconds of each run"))
-        .arg(number("schedulers", "3", "Schedulers that share the load"))
-        .arg(number("workers", "11", "Workers"))
-        .arg(number("swing", "0", swing))
-        .arg(number("seed", "1", "The first seed"))
-        .arg(number("seeds", "1", "How many seeds"))
-        .arg(number("late", "0", late))
-        .arg(number("slow", "0", slow))
-        .arg(number("mbit", "0", mbit))
-        .arg(number("queues", "0", queues))
-        .arg(number("restarts", "0", restarts))
+        .arg(number_arg("seconds", "10", "Virtual seconds of each run"))
+        .arg(number_arg("schedulers", "3", "The number of schedulers"))
+        .arg(number_arg("workers", "11", "The number of workers"))
+        .arg(number_arg("swing", "0", swing))
+        .arg(number_arg("seed", "1", "The first seed"))
+        .arg(number_arg("seeds", "1", "The number of seeds"))
+        .arg(number_arg("late", "0", late))
+        .arg(number_arg("slow", "0", slow))
+        .arg(number_arg("mbit", "0", mbit))
+        .arg(number_arg("queues", "0", queues))
+        .arg(number_arg("restarts", "0", restarts))
         .arg(
             Arg::new("bursts")
                 .long("bursts")
                 .default_value("0,0,0")
-                .help("How many times as many jobs of each kind come in the middle half; 0 for as many as ever"),
+                .help("Factors of each kind's job rate in the middle half; 0 for no change"),
         )
-        .arg(number("crashing", "0", crashing))
-        .arg(number("crashing-kind", "0", crashing_kind))
+        .arg(number_arg("crashing", "0", crashing))
+        .arg(number_arg("crashing-kind", "0", crashing_kind))
         .arg(
             Arg::new("speeds")
                 .long("speeds")
                 .default_value("0.8,1.0,1.25")
-                .help("Speeds of the workers, in turn; eight at most"),
+                .help("Speeds that the workers have in turn; eight at most"),
         )
-        .arg(number("wanted", "0", wanted))
-        .arg(number("remote", "100", remote))
+        .arg(number_arg("wanted", "0", wanted))
+        .arg(number_arg("remote", "100", remote))
         .arg(
             Arg::new("set")
                 .long("set")
@@ -95,7 +97,7 @@
         )
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .default_value(default)
@@ -107,16 +109,16 @@
     *matches.get_one::<u64>(name).expect("it has a default")
 }
 
-/// The policy with the fields that were set; what is wrong with them otherwise.
-fn policy(matches: &ArgMatches) -> Result<Policy, String> {
+/// Returns the policy with the fields of `--set`, or a message with everything that is wrong with them.
+fn parse_policy(matches: &ArgMatches) -> Result<Policy, String> {
     let mut document = serde_json::json!({});
     for field in matches.get_many::<String>("set").into_iter().flatten() {
         let (name, text) = field
             .split_once('=')
-            .ok_or(format!("{field}: no `=` in it"))?;
+            .ok_or(format!("{field}: `=` is missing"))?;
         let (section, key) = name
             .split_once('.')
-            .ok_or(format!("{name}: no `.` in it"))?;
+            .ok_or(format!("{name}: `.` is missing"))?;
         let parsed = serde_json::from_str::<Value>(text);
         document[section][key] = parsed.map_err(|e| format!("{name}: {e}"))?;
     }
@@ -130,7 +132,7 @@
     }
 }
 
-fn uneven(matches: &ArgMatches) -> Uneven {
+fn worker_variation(matches: &ArgMatches) -> Uneven {
     let list = matches.get_one::<String>("speeds").expect("a default");
     let speeds: Vec<f64> = list.split(',').filter_map(|s| s.parse().ok()).collect();
     let mut uneven = Uneven::of(&speeds);
@@ -139,7 +141,7 @@
     uneven
 }
 
-fn plans(matches: &ArgMatches, load: f64, policy: Policy) -> impl Iterator<Item = LoadPlan> {
+fn load_plans(matches: &ArgMatches, load: f64, policy: Policy) -> impl Iterator<Item = LoadPlan> {
     let first = value(matches, "seed");
     let plan = LoadPlan {
         seed: first,
@@ -150,7 +152,7 @@
         swing: value(matches, "swing") as f64 / 100.0,
         late: value(matches, "late") as f64 / 100.0,
         slow: value(matches, "slow") as usize,
-        uneven: uneven(matches),
+        uneven: worker_variation(matches),
         trouble: Trouble {
             link_mbit: value(matches, "mbit"),
             queues: value(matches, "queues") as usize,
@@ -159,7 +161,7 @@
             crashing_kind: value(matches, "crashing-kind")
                 .checked_sub(1)
                 .map(|k| k as usize),
-            bursts: bursts(matches),
+            bursts: parse_bursts(matches),
         },
         policy,
     };
@@ -167,8 +169,8 @@
     seeds.map(move |seed| LoadPlan { seed, ..plan })
 }
 
-/// The factors of `--bursts`.
-fn bursts(matches: &ArgMatches) -> [f64; 3] {
+/// Returns the factors of `--bursts`; missing ones are 0.
+fn parse_bursts(matches: &ArgMatches) -> [f64; 3] {
     let text = matches.get_one::<String>("bursts").expect("a default");
     let mut bursts = [0.0; 3];
     let factors = text.split(',').filter_map(|f| f.parse().ok());
@@ -180,8 +182,8 @@
     let count = reports.len() as f64;
     let mean = reports.iter().map(LoadReport::goodput).sum::<f64>() / count;
     let squares = reports.iter().map(|r| (r.goodput() - mean).powi(2));
-    let spread = (squares.sum::<f64>() / count).sqrt();
-    print!("{load:4.2}  {mean:7.3} ({spread:.3}) ");
+    let deviation = (squares.sum::<f64>() / count).sqrt();
+    print!("{load:4.2}  {mean:7.3} ({deviation:.3}) ");
     for (number, kind) in load::KINDS.iter().enumerate() {
         let kinds: Vec<KindReport> = reports.iter().map(|r| r.kinds[number]).collect();
         let offered: u64 = kinds.iter().map(|k| k.offered).sum();
@@ -193,12 +195,15 @@
         let refused = share(|k| k.refused);
         print!(" {}: {in_time:5.1} {late:5.1} {refused:5.1} ", kind.name);
     }
-    let trouble: f64 = reports.iter().map(LoadReport::goodput_in_trouble).sum();
-    let back = reports.iter().map(|r| r.time_until_back(WELL)).max();
-    let back = back.unwrap_or_default().as_secs_f64();
+    let under_faults: f64 = reports.iter().map(LoadReport::goodput_in_trouble).sum();
+    let recovery = reports
+        .iter()
+        .map(|r| r.time_until_back(RECOVERED_GOODPUT))
+        .max();
+    let recovery = recovery.unwrap_or_default().as_secs_f64();
     print!(
-        " middle half: {:5.3}, well after {back:.1} s ",
-        trouble / count
+        " middle half: {:5.3}, recovered after {recovery:.1} s ",
+        under_faults / count
     );
     if swing {
         let share = |n: usize| {
@@ -213,8 +218,8 @@
     let crashes: u64 = reports.iter().map(|r| r.crashes).sum();
     let misjudged: u64 = reports.iter().map(|r| r.misjudged).sum();
     if crashes > 0 {
-        print!(" {crashes} crashes, {misjudged} jobs given up for those of others ");
+        print!(" {crashes} crashes, {misjudged} jobs wrongly failed ");
     }
-    let broken = reports.iter().find_map(|r| r.violation.clone());
-    println!("{}", broken.unwrap_or_default());
+    let violation = reports.iter().find_map(|r| r.violation.clone());
+    println!("{}", violation.unwrap_or_default());
 }
--- a/lib/testutils/src/bin/dispatch-run.rs
+++ b/lib/testutils/src/bin/dispatch-run.rs
@@ -1,4 +1,5 @@
-//! Randomised runs of the dispatch plane, by seeds.
+//! `dispatch-run`: runs schedulers and executors on a virtual clock under random faults, one run for each seed. Fails
+//! if a seed violates a guarantee or does not recover.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -13,98 +14,96 @@
 
 fn main() -> ExitCode {
     let matches = Command::new("dispatch-run")
-        .about("Runs schedulers and executors on a virtual clock under drawn faults")
-        .arg(number("from", "1", "The first seed"))
-        .arg(number("seeds", "100", "How many seeds"))
-        .arg(number(
+        .about("Runs schedulers and executors on a virtual clock under random faults")
+        .arg(number_arg("from", "1", "The first seed"))
+        .arg(number_arg("seeds", "100", "The number of seeds"))
+        .arg(number_arg(
             "span",
             "40",
-            "Virtual seconds with faults in each run",
+            "Virtual seconds with faults for each seed",
         ))
-        .arg(number(
+        .arg(number_arg(
             "cell",
             "0",
-            "Executors at which a scheduler places tasks; 0 for all five",
+            "Executors in the cell of each scheduler; 0 for all five",
         ))
         .arg(
             Arg::new("losses")
                 .long("losses")
                 .action(ArgAction::SetTrue)
-                .help("Also kill all schedulers, all executors or everybody at once"),
+                .help("Also kill all schedulers, all executors or all processes at once"),
         )
         .arg(
             Arg::new("crashing")
                 .long("crashing")
                 .action(ArgAction::SetTrue)
-                .help("Also hand in jobs with a task that takes workers down"),
+                .help("Also submit jobs with a task that crashes workers"),
         )
         .arg(
             Arg::new("resizing")
                 .long("resizing")
                 .action(ArgAction::SetTrue)
-                .help("Also let workers' rooms shrink and grow while they run"),
+                .help("Also change the workers' capacity while they run"),
         )
         .arg(
             Arg::new("evacuating")
                 .long("evacuating")
                 .action(ArgAction::SetTrue)
-                .help(
-                    "Also evacuate availability zones while the store turns some schedulers away",
-                ),
+                .help("Also evacuate availability zones while the store rejects some schedulers"),
         )
         .arg(
             Arg::new("leaving")
                 .long("leaving")
                 .action(ArgAction::SetTrue)
-                .help("Also ask schedulers to leave, and start them again"),
+                .help("Also stop schedulers as planned, and restart them"),
         )
         .arg(
             Arg::new("departing")
                 .long("departing")
                 .action(ArgAction::SetTrue)
-                .help("Also ask executors to leave, and start them again"),
+                .help("Also stop executors as planned, and restart them"),
         )
         .arg(
             Arg::new("doubled")
                 .long("doubled")
                 .action(ArgAction::SetTrue)
-                .help("Also link schedulers twice, and break single links"),
+                .help("Also give schedulers duplicate links, and break single links"),
         )
         .arg(
             Arg::new("recovering")
                 .long("recovering")
                 .action(ArgAction::SetTrue)
-                .help("Let schedulers that have just started serve early, while the store turns some away"),
+                .help("Let restarted schedulers serve early, while the store rejects some of them"),
         )
         .arg(
             Arg::new("preempting")
                 .long("preempting")
                 .action(ArgAction::SetTrue)
-                .help("Let urgent jobs stop the runs of others; jobs are of three priorities"),
+                .help("Submit jobs of three priorities and let urgent ones preempt others"),
         )
         .arg(
             Arg::new("balance")
                 .long("balance")
                 .action(ArgAction::SetTrue)
-                .help("Let schedulers hand jobs that wait to others at which less waits"),
+                .help("Let schedulers hand waiting jobs off to less loaded ones"),
         )
         .arg(
             Arg::new("reborn")
                 .long("reborn")
                 .action(ArgAction::SetTrue)
-                .help("Let workers that have crashed come up under the id that they had"),
+                .help("Let crashed workers restart under the same id"),
         )
         .arg(
             Arg::new("suspend")
                 .long("suspend")
                 .value_parser(["counted", "uncounted"])
-                .help("Also suspend machines; whether clocks count the time"),
+                .help("Also suspend machines, with clocks that count the suspended time or don't"),
         )
         .arg(
             Arg::new("trace")
                 .long("trace")
                 .action(ArgAction::SetTrue)
-                .help("Print what happens"),
+                .help("Print all events"),
         )
         .get_matches();
     let value = |name: &str| *matches.get_one::<u64>(name).expect("it has a default");
@@ -116,7 +115,7 @@
         Some(_) => Suspensions::Uncounted,
         None => Suspensions::None,
     };
-    let mut broken = 0;
+    let mut failed = 0;
     let mut steps = 0;
     let mut starts = 0;
     let mut preempted = 0;
@@ -143,22 +142,24 @@
         starts += report.starts;
         preempted += report.preempted;
         if report.violation.is_some() || report.recovered < run::RECOVERED {
-            broken += 1;
+            failed += 1;
             println!("seed {seed}: {report:?}");
         }
     }
     if preempted > 0 {
-        println!("{preempted} runs stopped for more urgent tasks");
+        println!("{preempted} runs preempted");
     }
-    println!("{steps} steps, {starts} starts, {broken} seeds with a broken promise");
-    if broken == 0 {
+    println!(
+        "{steps} steps, {starts} starts, {failed} seeds violated a guarantee or did not recover"
+    );
+    if failed == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .default_value(default)
--- a/lib/testutils/src/bin/fault-proxy.rs
+++ b/lib/testutils/src/bin/fault-proxy.rs
@@ -23,9 +23,12 @@
             .help(help)
     };
     let matches = Command::new("fault-proxy")
-        .arg(address("listen", "Where connections are taken"))
-        .arg(address("to", "Where they are passed on to"))
-        .arg(address("control", "Where faults are set, `PUT /fault`"))
+        .arg(address("listen", "The address to accept connections at"))
+        .arg(address("to", "The address to forward connections to"))
+        .arg(address(
+            "control",
+            "The address at which faults are set with `PUT /fault`",
+        ))
         .get_matches();
     let get = |name: &str| *matches.get_one::<SocketAddr>(name).expect("required");
     let proxy = FaultProxy::start(get("listen"), get("to"));
@@ -35,14 +38,14 @@
             let proxy = web::Data::new(proxy.clone());
             App::new()
                 .app_data(proxy)
-                .route("/fault", web::put().to(set))
+                .route("/fault", web::put().to(set_fault))
         });
         Ok(server.workers(1).disable_signals().listen(listener)?.run())
     });
     control.wait();
 }
 
-async fn set(proxy: web::Data<FaultProxy>, fault: web::Json<Fault>) -> HttpResponse {
+async fn set_fault(proxy: web::Data<FaultProxy>, fault: web::Json<Fault>) -> HttpResponse {
     proxy.set(fault.into_inner());
     HttpResponse::Ok().finish()
 }
--- a/lib/testutils/src/bin/load.rs
+++ b/lib/testutils/src/bin/load.rs
@@ -1,4 +1,5 @@
-//! `load`: sends a workload to running entries and reports.
+//! `load`: sends a random workload to running entries on this machine and reports response times, outcomes and
+//! violations.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,7 +23,7 @@
             .help(help)
     };
     Command::new("load")
-        .about("Sends jobs to entries at a set rate and reports how they fared")
+        .about("Sends jobs to entries at a given rate and reports their outcomes")
         .arg(
             Arg::new("entry")
                 .long("entry")
@@ -30,29 +31,29 @@
                 .required(true)
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(SocketAddr))
-                .help("An entry's HTTP address on this machine; give several for several"),
+                .help("An entry's HTTP address on this machine; may be repeated"),
         )
         .arg(
             Arg::new("service")
                 .long("service")
                 .action(ArgAction::Append)
                 .default_value("quote")
-                .help("A service; jobs are spread over all that are given"),
+                .help("A service; may be repeated, jobs are spread over all"),
         )
-        .arg(number("rate", "50", "Tasks a second"))
-        .arg(number("seconds", "20", "How long jobs arrive"))
+        .arg(number("rate", "50", "Tasks per second"))
+        .arg(number("seconds", "20", "The time over which jobs arrive"))
         .arg(number("tasks", "3", "The mean number of tasks of a job"))
         .arg(number(
             "again",
             "0.02",
-            "The share of jobs that are sent twice",
+            "The share of jobs that are submitted twice",
         ))
         .arg(number(
             "slots",
             "80",
-            "Slots of all permitted workers, for the ideal",
+            "Slots of all permitted workers, from which the ideal is computed",
         ))
-        .arg(number("seed", "1", "The seed"))
+        .arg(number("seed", "1", "The seed of the workload"))
         .arg(number("deadline-ms", "20000", "The deadline of each job"))
         .arg(
             Arg::new("json")
@@ -71,8 +72,8 @@
         .copied()
         .collect();
     if entries.iter().any(|e| !e.ip().is_loopback()) {
-        eprintln!("error: load is sent to this machine only");
-        eprintln!("hint: give loopback addresses");
+        eprintln!("error: load may only be sent to this machine");
+        eprintln!("hint: use loopback addresses");
         std::process::exit(2);
     }
     let services = matches.get_many::<String>("service").expect("defaulted");
@@ -110,7 +111,7 @@
     line("  of an ideal single queue", &report.ideal);
     line("response, ms", &report.response_ms);
     line("refusals, ms", &report.refusal_ms);
-    println!("goodput {:.3} of what was asked", report.goodput);
+    println!("goodput {:.3} of the offered work", report.goodput);
     for (outcome, count) in &report.outcomes {
         println!("{outcome:12} {count}");
     }
--- a/lib/testutils/src/bin/random-run.rs
+++ b/lib/testutils/src/bin/random-run.rs
@@ -1,4 +1,5 @@
-//! `random-run`: randomised runs of the state machines over many seeds.
+//! `random-run`: runs the state machines under random faults, one run for each seed. Exits with 1 at the first
+//! violation of a guarantee and with 2 if some seed did not recover.
 
 use std::time::Duration;
 
@@ -19,9 +20,9 @@
             .help(help)
     };
     Command::new("random-run")
-        .about("Runs the state machines under random faults until a promise breaks")
+        .about("Runs the state machines under random faults until a guarantee is violated")
         .arg(number("first", "1", "The first seed"))
-        .arg(number("seeds", "100", "How many seeds to run"))
+        .arg(number("seeds", "100", "The number of seeds"))
         .arg(number(
             "seconds",
             "60",
@@ -32,20 +33,20 @@
                 .long("break")
                 .value_parser(["nothing", "fence", "seal", "horizon"])
                 .default_value("nothing")
-                .help("The check to leave out; the run then tells how soon that is noticed"),
+                .help("The check to disable, to see how soon the runs detect it"),
         )
         .arg(
             Arg::new("clocks")
                 .long("clocks")
                 .value_parser(["right", "running", "always"])
                 .default_value("right")
-                .help("When the clocks of boxes are set ahead and back"),
+                .help("When the clocks of boxes are set forward and back"),
         )
 }
 
 fn main() {
     let matches = command().get_matches();
-    let number = |name: &str| *matches.get_one::<u64>(name).expect("defaulted");
+    let number = |name: &str| *matches.get_one::<u64>(name).expect("it has a default");
     let broken = match matches.get_one::<String>("break").map(String::as_str) {
         Some("fence") => Broken::Fence,
         Some("seal") => Broken::Seal,
@@ -76,13 +77,13 @@
         for (sum, n) in outcomes.iter_mut().zip(report.outcomes) {
             *sum += n;
         }
-        if let Some(what) = report.violation {
-            println!("seed {seed}: {what}; {steps} steps so far");
+        if let Some(violation) = report.violation {
+            println!("seed {seed}: {violation}; {steps} steps so far");
             std::process::exit(1);
         }
         if report.untimely > 0 {
             println!(
-                "seed {seed}: {} jobs refused for their mint time",
+                "seed {seed}: {} jobs refused because of their id's creation time",
                 report.untimely
             );
         }
@@ -92,12 +93,14 @@
             println!("seed {seed}: jobs were not served again after the faults had ended");
         }
     }
-    println!("{steps} steps, {starts} starts, no promise broken, {stuck} runs did not recover");
-    println!("{untimely} jobs refused for their mint time after the faults had ended");
+    println!("{steps} steps, {starts} starts, no violation, {stuck} runs did not recover");
+    println!(
+        "{untimely} jobs refused because of their id's creation time after the faults had ended"
+    );
     let [other, complete, failed, not_run, unknown] = outcomes;
     println!(
-        "answers: {complete} complete, {failed} failed, {not_run} not_run, {unknown} unknown, \
-         {other} others"
+        "outcomes: {complete} complete, {failed} failed, {not_run} not_run, {unknown} unknown, \
+         {other} other"
     );
     std::process::exit(i32::from(stuck > 0) * 2);
 }
--- a/lib/testutils/src/bin/stub-backend.rs
+++ b/lib/testutils/src/bin/stub-backend.rs
@@ -1,4 +1,4 @@
-//! `stub-backend`: see the library's module `stub_backend`.
+//! `stub-backend`: runs the simulated backend server of the module `stub_backend` as a process.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
         .value_parser(value_parser!(SocketAddr));
     let matches = Command::new("stub-backend").arg(listen).get_matches();
     let listen = *matches.get_one::<SocketAddr>("listen").expect("required");
-    let running = stub_backend::start(listen, stub_backend::BackendState::default());
-    println!("stub-backend: ready at {}", running.url());
-    running.wait();
+    let server = stub_backend::start(listen, stub_backend::BackendState::default());
+    println!("stub-backend: ready at {}", server.url());
+    server.wait();
 }
--- a/lib/testutils/src/bin/stub-store.rs
+++ b/lib/testutils/src/bin/stub-store.rs
@@ -1,4 +1,4 @@
-//! `stub-store`: see the library's module `stub_store`.
+//! `stub-store`: runs the simulated store of the module `stub_store` as a process.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
         .value_parser(value_parser!(SocketAddr));
     let matches = Command::new("stub-store").arg(listen).get_matches();
     let listen = *matches.get_one::<SocketAddr>("listen").expect("required");
-    let running = stub_store::start(listen);
-    println!("stub-store: ready at {}", running.url());
-    running.wait();
+    let server = stub_store::start(listen);
+    println!("stub-store: ready at {}", server.url());
+    server.wait();
 }
