--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -1,5 +1,5 @@
-//! `stackcourse status`: shows the configuration version in force on each node, and which nodes are behind. Fails if
-//! an entry does not respond or a node is behind.
+//! `stackcourse status`: shows the configuration version in force on each node, and which nodes are behind.
+//! Fails if an entry does not respond or a node is behind.
 
 use std::collections::BTreeMap;
 
--- a/lib/testutils/src/bin/bench.rs
+++ b/lib/testutils/src/bin/bench.rs
@@ -1,4 +1,5 @@
-//! `bench`: measures clusters of real processes on this machine and prints the tables of `docs/MEASUREMENTS.md`.
+//! `bench`: measures clusters of real processes on this machine and prints the tables of
+//! `docs/MEASUREMENTS.md`.
 //!
 //! Needs the release build of the whole workspace: it runs the `stackcourse` binary from its own directory.
 
--- a/lib/testutils/src/bin/capacity.rs
+++ b/lib/testutils/src/bin/capacity.rs
@@ -1,5 +1,5 @@
-//! `capacity`: measures with real processes on this machine how cost grows with nodes, starts and remembered tasks,
-//! and prints the tables behind `docs/CAPACITY.md`.
+//! `capacity`: measures with real processes on this machine how cost grows with nodes, starts and remembered
+//! tasks, and prints the tables behind `docs/CAPACITY.md`.
 //!
 //! Needs the release build of the whole workspace.
 
--- a/lib/testutils/src/bin/dispatch-load.rs
+++ b/lib/testutils/src/bin/dispatch-load.rs
@@ -1,5 +1,5 @@
-//! `dispatch-load`: measures the dispatch plane's goodput at several loads, on a virtual clock and with any policy.
-//! Prints one line for each load, over all seeds.
+//! `dispatch-load`: measures the dispatch plane's goodput at several loads, on a virtual clock and with any
+//! policy. Prints one line for each load, over all seeds.
 
 use std::process::ExitCode;
 use std::time::Duration;
--- a/lib/testutils/src/bin/dispatch-run.rs
+++ b/lib/testutils/src/bin/dispatch-run.rs
@@ -1,5 +1,5 @@
-//! `dispatch-run`: runs schedulers and executors on a virtual clock under random faults, one run for each seed. Fails
-//! if a seed violates a guarantee or does not recover.
+//! `dispatch-run`: runs schedulers and executors on a virtual clock under random faults, one run for each
+//! seed. Fails if a seed violates a guarantee or does not recover.
 
 use std::process::ExitCode;
 use std::time::Duration;
--- a/lib/testutils/src/bin/platform-soak.rs
+++ b/lib/testutils/src/bin/platform-soak.rs
@@ -1,5 +1,5 @@
-//! `platform-soak`: runs soak tests of the real processes under random faults, one for each seed. Fails if a seed
-//! violates a guarantee or does not recover.
+//! `platform-soak`: runs soak tests of the real processes under random faults, one for each seed. Fails if a
+//! seed violates a guarantee or does not recover.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
