--- a/lib/testutils/src/dispatch/callers.rs
+++ b/lib/testutils/src/dispatch/callers.rs
@@ -1,4 +1,8 @@
-//! Callers of a world: they hand jobs in, hand them in again after silence, and leave.
+//! The callers of a simulated world and their jobs.
+//!
+//! Creates random jobs and keeps what the simulation has to know of each: its request, how long its tasks run and
+//! whether they fail or crash workers. [`World`](super::world::World) submits the jobs, and submits them again when
+//! no answer comes.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,53 +20,53 @@
 use crate::dispatch::witness::SeenJob;
 use crate::dispatch::witness::Witness;
 
-/// A job that has had no answer is handed in again after this long, in microseconds.
-pub const AGAIN_US: u64 = 1_300_000;
+/// The time after which a job without an answer is submitted again, in microseconds.
+pub const RESUBMIT_US: u64 = 1_300_000;
 
-/// What a caller knows of its job.
+/// A job of a caller.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    /// The request.
+    /// The request as it is submitted.
     pub request: JobRequest,
-    /// How long its tasks take, in microseconds.
+    /// The run time of its tasks, in microseconds, where `task_work_us` has none for them.
     pub work_us: u64,
-    /// How long each of its tasks takes, where they differ.
-    pub works_us: Vec<u64>,
-    /// Whether its tasks always fail.
-    pub poison: bool,
-    /// The task of its that takes down each worker which starts it, if there is one.
-    pub crashing: Option<u32>,
-    /// Whether its caller was answered for good or has left.
+    /// The run time of each task, in microseconds, where they differ.
+    pub task_work_us: Vec<u64>,
+    /// Whether all its tasks fail.
+    pub fails: bool,
+    /// The index of the task that crashes each worker that starts it, if there is one.
+    pub crashing_task: Option<u32>,
+    /// Whether the caller received a final answer.
     pub settled: bool,
-    /// How often it was handed in.
-    pub tries: u32,
+    /// The number of submissions.
+    pub submissions: u32,
 }
 
 impl OpenJob {
-    /// How long one of its tasks takes, in microseconds.
-    pub fn work_of(&self, index: u32) -> u64 {
-        let list = &self.works_us;
+    /// Returns the run time of a task, in microseconds.
+    pub fn work_us_of(&self, index: u32) -> u64 {
+        let list = &self.task_work_us;
         list.get(index as usize).copied().unwrap_or(self.work_us)
     }
 }
 
-/// All callers.
+/// The callers of a world and their jobs.
 #[derive(Debug)]
 pub struct Callers {
-    /// The catalog that new schedulers begin with.
+    /// The catalog that new schedulers start with.
     pub catalog: Catalog,
-    /// Their jobs.
+    /// The jobs by number.
     pub jobs: HashMap<JobNumber, OpenJob>,
-    /// Which caller waits for which job.
+    /// The job that each waiting caller waits for.
     pub waiting: HashMap<CallerId, JobNumber>,
     next_caller: u64,
     next_job: u64,
 }
 
-/// The queue of the world, and the service behind it.
+/// The name of the default queue and of the service behind it.
 pub const SERVICE: &str = "quotes";
 
-/// The catalog of the world.
+/// Returns a catalog of one queue.
 pub fn catalog(version: u64) -> Catalog {
     let queue = Queue {
         name: SERVICE.to_owned(),
@@ -81,7 +85,7 @@
     }
 }
 
-/// The same with queues of three priorities.
+/// Returns a catalog of three queues with the priorities 0 to 2.
 pub fn ranked_catalog(version: u64) -> Catalog {
     let plain = catalog(version);
     let ranked = |priority: u32| Queue {
@@ -102,7 +106,7 @@
 }
 
 impl Callers {
-    /// No callers yet, and the catalog that schedulers begin with.
+    /// Creates a set without callers. Schedulers start with `catalog`.
     pub fn with_catalog(catalog: Catalog) -> Callers {
         Callers {
             catalog,
@@ -113,13 +117,13 @@
         }
     }
 
-    /// A number for a job that is made elsewhere.
+    /// Returns the next free job number.
     pub fn next_number(&mut self) -> JobNumber {
         self.next_job += 1;
         JobNumber(self.next_job)
     }
 
-    /// A caller for a job.
+    /// Creates a caller that waits for a job.
     pub fn caller_for(&mut self, number: JobNumber) -> CallerId {
         self.next_caller += 1;
         let caller = CallerId(self.next_caller);
@@ -127,7 +131,7 @@
         caller
     }
 
-    /// A new job.
+    /// Creates a random job and registers it with the witness.
     pub fn new_job(&mut self, rng: &mut impl Rng, witness: &mut Witness) -> JobNumber {
         let number = self.next_number();
         let count = rng.random_range(1..=8);
@@ -144,7 +148,7 @@
             ..Step::default()
         };
         let queues = &self.catalog.queues;
-        // Nothing is drawn where there is no choice, so that the seeds of such runs give what they gave.
+        // With one queue nothing is drawn, so that existing seeds reproduce the same runs.
         let queue = match queues.len() {
             1 => 0,
             count => rng.random_range(0..count),
@@ -160,11 +164,11 @@
         let open = OpenJob {
             request,
             work_us: u64::from(work_ms) * 1000,
-            works_us: Vec::new(),
-            poison: rng.random_bool(0.02),
-            crashing: None,
+            task_work_us: Vec::new(),
+            fails: rng.random_bool(0.02),
+            crashing_task: None,
             settled: false,
-            tries: 0,
+            submissions: 0,
         };
         self.jobs.insert(number, open);
         let seen = SeenJob {
--- a/lib/testutils/src/dispatch/load.rs
+++ b/lib/testutils/src/dispatch/load.rs
@@ -73,7 +73,7 @@
 /// The rack that a plan's jobs may want, and every so many workers there is one in it.
 const RACK: (&str, usize) = ("rack-0", 6);
 /// How many times as long a slow worker takes.
-pub const SLOW_PACE: f64 = 5.0;
+pub const SLOWDOWN: f64 = 5.0;
 const SIZES: [u32; 3] = [16_000, 16_000, 24_000];
 
 /// What to run.
@@ -93,7 +93,7 @@
     pub swing: f64,
     /// The share of orders to workers that are carried out late.
     pub late: f64,
-    /// How many workers take [`SLOW_PACE`] times as long in the middle half of the span.
+    /// How many workers take [`SLOWDOWN`] times as long in the middle half of the span.
     pub slow: usize,
     /// What goes wrong in the middle half of the span, beside slow workers.
     pub trouble: Trouble,
@@ -301,10 +301,10 @@
             world.workers[number].rack = RACK.0.to_owned();
         }
     }
-    world.remote = plan.uneven.remote;
-    set_paces(&mut world, &plan, false);
+    world.remote_factor = plan.uneven.remote;
+    set_slowdowns(&mut world, &plan, false);
     world.run(Duration::from_secs(4));
-    world.late = plan.late;
+    world.late_share = plan.late;
     let mean: f64 = KINDS.iter().map(mean_work).sum::<f64>() / 100.0;
     let room = |n: usize| f64::from(SIZES[n % 3]) / 1000.0 * plan.uneven.speed(n);
     let capacity: f64 = (0..plan.workers).map(room).sum();
@@ -321,7 +321,7 @@
         world.run(Duration::from_secs_f64(gap));
         let middle = begin + span / 4..begin + span * 3 / 4;
         let slow = middle.contains(&world.now);
-        set_paces(&mut world, &plan, slow);
+        set_slowdowns(&mut world, &plan, slow);
         if slow {
             harm.play(&mut world, &plan);
         }
@@ -348,7 +348,7 @@
         } else {
             small
         };
-        world.network.limit(Node::Scheduler(n), rate);
+        world.network.set_bandwidth(Node::Scheduler(n), rate);
     }
 }
 
@@ -379,14 +379,14 @@
 }
 
 /// Gives each worker its speed; the slow ones are slow now or not.
-fn set_paces(world: &mut World, plan: &LoadPlan, slow: bool) {
+fn set_slowdowns(world: &mut World, plan: &LoadPlan, slow: bool) {
     for number in 0..plan.workers {
         let factor = if slow && number < plan.slow {
-            SLOW_PACE
+            SLOWDOWN
         } else {
             1.0
         };
-        world.workers[number].pace = factor / plan.uneven.speed(number);
+        world.workers[number].slowdown = factor / plan.uneven.speed(number);
     }
 }
 
@@ -457,11 +457,11 @@
         OpenJob {
             request,
             work_us: longest,
-            works_us: works,
-            poison: false,
-            crashing: None,
+            task_work_us: works,
+            fails: false,
+            crashing_task: None,
             settled: false,
-            tries: 0,
+            submissions: 0,
         },
     );
     world.witness.jobs.insert(
@@ -478,11 +478,11 @@
     let crashing = if may_crash { trouble.crashing } else { 0.0 };
     let crashes = crashing > 0.0 && world.rng.random_bool(crashing);
     if crashes && let Some(job) = world.callers.jobs.get_mut(&number) {
-        job.crashing = Some(0);
+        job.crashing_task = Some(0);
     }
     let scheduler = entry(world, plan);
     let third = scheduler * 3 / plan.schedulers;
-    world.hand_in(number, scheduler);
+    world.submit(number, scheduler);
     (!crashes).then_some(Offered {
         number,
         kind,
--- a/lib/testutils/src/dispatch/network.rs
+++ b/lib/testutils/src/dispatch/network.rs
@@ -1,5 +1,7 @@
-//! Links between the processes of a world: in order, delayed, cut one way or both, reset, and of
-//! limited bandwidth where a process's machine has a limit.
+//! The simulated network between schedulers and executors.
+//!
+//! Keeps the links, the directions that are cut, the bandwidth limits of machines and the traffic of each
+//! process. Messages on a link arrive in order; a message into a cut direction is held until the cut heals.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,7 +9,7 @@
 use stackcourse_lib::prelude::LinkId;
 use stackcourse_lib::protos::dispatch::frame::Body;
 
-/// A process of the world.
+/// A process of a simulated world, by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Node {
     /// A scheduler.
@@ -19,20 +21,20 @@
 /// A link between two processes.
 #[derive(Clone, Debug)]
 pub struct Wire {
-    /// Who opened it.
+    /// The process that opened it.
     pub from: Node,
-    /// To whom.
+    /// The process at the other end.
     pub to: Node,
-    /// When the last message each way arrives, so that the order is kept.
-    pub last: [u64; 2],
-    /// Messages that a cut holds up, each way.
+    /// When the last message in each direction arrives. Later messages arrive after it, which keeps the order.
+    pub last_arrival: [u64; 2],
+    /// The messages in each direction that wait for a cut to heal.
     pub held: [Vec<Body>; 2],
-    /// Which ends have closed it or heard that it is closed.
+    /// Which ends have closed the link or learned that it is closed.
     pub closed: [bool; 2],
 }
 
 impl Wire {
-    /// The other end, and which direction leads there.
+    /// Returns the process at the other end and the index of the direction that leads there.
     pub fn other(&self, node: Node) -> (Node, usize) {
         if node == self.from {
             (self.to, 0)
@@ -41,81 +43,82 @@
         }
     }
 
-    /// Which end a process is.
+    /// Returns the index of a process's end.
     pub fn end(&self, node: Node) -> usize {
         usize::from(node != self.from)
     }
 }
 
-/// A frame's headers on the wire, in bytes.
-const HEADERS: u64 = 66;
+/// The size of a frame's headers on the network, in bytes.
+const HEADER_BYTES: u64 = 66;
 
-/// What a machine's connection to the network carries each way.
+/// The bandwidth limit of a machine, which holds for each direction.
 #[derive(Clone, Copy, Debug)]
 struct Uplink {
     bytes_per_s: u64,
-    /// When what was sent, and what is received, is through.
+    /// When the last frame sent, and the last frame received, has passed.
     free_at: [u64; 2],
 }
 
 impl Uplink {
-    /// When a frame is through that may begin at `from`.
-    fn pass(&mut self, way: usize, from: u64, bytes: u64) -> u64 {
-        let begin = self.free_at[way].max(from);
-        self.free_at[way] = begin + (bytes + HEADERS) * 1_000_000 / self.bytes_per_s;
+    /// Queues a frame that is ready at `from`, and returns when it has passed.
+    fn enqueue(&mut self, way: usize, from: u64, bytes: u64) -> u64 {
+        let start = self.free_at[way].max(from);
+        self.free_at[way] = start + (bytes + HEADER_BYTES) * 1_000_000 / self.bytes_per_s;
         self.free_at[way]
     }
 }
 
+/// Returns the two processes in a fixed order.
 fn pair(a: Node, b: Node) -> (Node, Node) {
     (a.min(b), a.max(b))
 }
 
-/// What a process has sent and received since counting began.
+/// The traffic of a process since the counters were last reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
-    /// Frames, sent and received.
+pub struct Traffic {
+    /// The frames sent and received.
     pub frames: [u64; 2],
-    /// Their bytes without headers, sent and received.
+    /// The bytes sent and received, without headers.
     pub bytes: [u64; 2],
 }
 
-/// All links, and the cuts.
+/// The links, cuts, bandwidth limits and traffic counters.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// The links.
+    /// The links. Those closed at both ends are removed when the cuts heal.
     pub wires: BTreeMap<LinkId, Wire>,
-    /// Directions in which nothing passes.
+    /// The directions in which nothing passes.
     pub cuts: BTreeSet<(Node, Node)>,
     uplinks: BTreeMap<Node, Uplink>,
-    loads: BTreeMap<Node, Load>,
-    /// The links that were opened between two processes, by their pair in order.
+    traffic: BTreeMap<Node, Traffic>,
+    /// All links that were ever opened between two processes, by [`pair`].
     pairs: BTreeMap<(Node, Node), Vec<LinkId>>,
     next: u64,
 }
 
 impl Network {
-    /// Begins to count anew.
-    pub fn count_anew(&mut self) {
-        self.loads.clear();
+    /// Resets the traffic counters.
+    pub fn reset_traffic(&mut self) {
+        self.traffic.clear();
     }
 
-    /// What a process has sent and received.
-    pub fn load_of(&self, node: Node) -> Load {
-        self.loads.get(&node).copied().unwrap_or_default()
+    /// Returns the traffic of a process.
+    pub fn traffic_of(&self, node: Node) -> Traffic {
+        self.traffic.get(&node).copied().unwrap_or_default()
     }
 
     /// Counts a frame from one process to another.
     pub fn count(&mut self, from: Node, to: Node, bytes: u64) {
         for (way, node) in [from, to].into_iter().enumerate() {
-            let load = self.loads.entry(node).or_default();
-            load.frames[way] += 1;
-            load.bytes[way] += bytes;
+            let traffic = self.traffic.entry(node).or_default();
+            traffic.frames[way] += 1;
+            traffic.bytes[way] += bytes;
         }
     }
 
-    /// Limits what a process's machine can send and receive; the others have no limit.
-    pub fn limit(&mut self, node: Node, bytes_per_s: u64) {
+    /// Limits the bandwidth of a process's machine in each direction. Without a call it is unlimited.
+    pub fn set_bandwidth(&mut self, node: Node, bytes_per_s: u64) {
         let uplink = Uplink {
             bytes_per_s,
             free_at: [0; 2],
@@ -123,19 +126,19 @@
         self.uplinks.insert(node, uplink);
     }
 
-    /// When a frame that is sent at `now` has left its machine.
-    pub fn departs(&mut self, from: Node, now: u64, bytes: u64) -> u64 {
+    /// Queues a frame at its sender, and returns when it has left the machine.
+    pub fn depart(&mut self, from: Node, now: u64, bytes: u64) -> u64 {
         let uplink = self.uplinks.get_mut(&from);
-        uplink.map_or(now, |u| u.pass(0, now, bytes))
+        uplink.map_or(now, |u| u.enqueue(0, now, bytes))
     }
 
-    /// When a frame that comes to a machine at `at` is received whole.
-    pub fn arrives(&mut self, to: Node, at: u64, bytes: u64) -> u64 {
+    /// Queues a frame that reaches a machine at `at`, and returns when it is fully received.
+    pub fn arrive(&mut self, to: Node, at: u64, bytes: u64) -> u64 {
         let uplink = self.uplinks.get_mut(&to);
-        uplink.map_or(at, |u| u.pass(1, at, bytes))
+        uplink.map_or(at, |u| u.enqueue(1, at, bytes))
     }
 
-    /// How long what is sent by a process now waits for its machine's connection, in microseconds.
+    /// Returns how long a frame sent now would wait at its sender, in microseconds.
     pub fn backlog(&self, node: Node, now: u64) -> u64 {
         let uplink = self.uplinks.get(&node);
         uplink.map_or(0, |u| u.free_at[0].saturating_sub(now))
@@ -148,7 +151,7 @@
         let wire = Wire {
             from,
             to,
-            last: [0; 2],
+            last_arrival: [0; 2],
             held: [Vec::new(), Vec::new()],
             closed: [false; 2],
         };
@@ -157,24 +160,24 @@
         link
     }
 
-    /// Whether an open link joins two processes.
-    pub fn joined(&self, a: Node, b: Node) -> bool {
+    /// Returns whether an open link connects two processes.
+    pub fn is_linked(&self, a: Node, b: Node) -> bool {
         let links = self.pairs.get(&pair(a, b)).into_iter().flatten();
         let mut wires = links.filter_map(|link| self.wires.get(link));
         wires.any(|w| w.closed == [false; 2])
     }
 
-    /// Whether something passes from one process to another.
-    pub fn passes(&self, from: Node, to: Node) -> bool {
+    /// Returns whether messages pass from one process to another.
+    pub fn is_open(&self, from: Node, to: Node) -> bool {
         !self.cuts.contains(&(from, to))
     }
 
-    /// The open links of a process.
+    /// Returns the links that are open at a process's end.
     pub fn links_of(&self, node: Node) -> Vec<LinkId> {
-        let of = self.wires.iter().filter(|(_, w)| {
+        let links = self.wires.iter().filter(|(_, w)| {
             let mine = w.from == node || w.to == node;
             mine && !w.closed[w.end(node)]
         });
-        of.map(|(link, _)| *link).collect()
+        links.map(|(link, _)| *link).collect()
     }
 }
--- a/lib/testutils/src/dispatch/run.rs
+++ b/lib/testutils/src/dispatch/run.rs
@@ -137,7 +137,7 @@
     );
     world.trace = plan.trace;
     if plan.recovering {
-        world.unserved = UNSERVED;
+        world.unserved_share = UNSERVED;
     }
     if plan.reborn {
         world.keep_worker_ids();
@@ -169,14 +169,14 @@
             let n = world.rng.random_range(0..SCHEDULERS);
             if world.is_node_up(Node::Scheduler(n)) {
                 world.print(Node::Scheduler(n), "asked to leave");
-                world.leave(n);
+                world.leave_scheduler(n);
             }
         }
         if plan.departing && world.rng.random_bool(DEPARTURES) {
             let n = world.rng.random_range(0..EXECUTORS);
             if world.is_node_up(Node::Executor(n)) {
                 world.print(Node::Executor(n), "asked to leave");
-                world.depart(n);
+                world.leave_executor(n);
             }
         }
         if plan.doubled && world.rng.random_bool(DOUBLED) {
@@ -229,7 +229,7 @@
 fn make_crashing(world: &mut World, number: JobNumber) {
     if let Some(job) = world.callers.jobs.get_mut(&number) {
         let count = job.request.steps[0].count;
-        job.crashing = Some(world.rng.random_range(0..count));
+        job.crashing_task = Some(world.rng.random_range(0..count));
     }
 }
 
@@ -249,7 +249,7 @@
         let (schedulers, _) = world.size();
         let away = (0..schedulers).filter(|_| world.rng.random_bool(0.4));
         let away = away.collect();
-        world.turn_away(away);
+        world.set_unserved(away);
     }
     let zone = format!("z{}", world.rng.random_range(0..ZONES));
     let evacuated = !world.is_evacuated(&zone);
@@ -275,7 +275,7 @@
     let number = world.callers.new_job(&mut world.rng, &mut world.witness);
     let (schedulers, _) = world.size();
     let at = world.rng.random_range(0..schedulers);
-    world.hand_in(number, at);
+    world.submit(number, at);
     number
 }
 
@@ -321,16 +321,16 @@
             }
         }
         5 => world.heal(),
-        6 => world.reset(node),
+        6 => world.reset_links(node),
         7 => world.crash_worker(worker),
-        8 => world.raise_worker(worker),
+        8 => world.replace_worker(worker),
         9 => {
-            let pace = world.rng.random_range(1.0..7.0);
-            world.workers[worker].pace = pace;
+            let slowdown = world.rng.random_range(1.0..7.0);
+            world.workers[worker].slowdown = slowdown;
         }
-        10 => world.workers[worker].sick = world.rng.random_bool(0.5),
-        11 => world.late = [0.0, 0.05, 0.2][world.rng.random_range(0..3)],
-        _ => world.lost = [0.0, 0.03, 0.1][world.rng.random_range(0..3)],
+        10 => world.workers[worker].is_failing = world.rng.random_bool(0.5),
+        11 => world.late_share = [0.0, 0.05, 0.2][world.rng.random_range(0..3)],
+        _ => world.lost_share = [0.0, 0.03, 0.1][world.rng.random_range(0..3)],
     }
 }
 
@@ -340,9 +340,9 @@
     let a = Node::Scheduler(world.rng.random_range(0..schedulers));
     let b = Node::Scheduler(world.rng.random_range(0..schedulers));
     if world.rng.random_bool(0.5) {
-        world.double(a, b);
+        world.add_link(a, b);
     } else {
-        world.reset_one(a);
+        world.reset_link(a);
     }
 }
 
@@ -391,19 +391,19 @@
 /// Ends all faults and lets what is left of them pass.
 fn calm(world: &mut World) {
     world.heal();
-    world.turn_away(std::collections::BTreeSet::new());
+    world.set_unserved(std::collections::BTreeSet::new());
     for zone in (0..ZONES).map(|n| format!("z{n}")) {
         if world.is_evacuated(&zone) {
             world.set_evacuated(&zone, false);
         }
     }
-    world.late = 0.0;
-    world.lost = 0.0;
+    world.late_share = 0.0;
+    world.lost_share = 0.0;
     let (_, executors) = world.size();
     for number in 0..executors {
-        world.raise_worker(number);
-        world.workers[number].pace = 1.0;
-        world.workers[number].sick = false;
+        world.replace_worker(number);
+        world.workers[number].slowdown = 1.0;
+        world.workers[number].is_failing = false;
         world.workers[number].resize(world.now, CAPACITY);
     }
     world.run(Duration::from_secs(14));
--- a/lib/testutils/src/dispatch/witness.rs
+++ b/lib/testutils/src/dispatch/witness.rs
@@ -1,4 +1,8 @@
-//! What workers and callers see, held against the promises.
+//! Checks the guarantees of the dispatch plane.
+//!
+//! Takes what workers and callers observe, as starts, crashes and answers, and keeps the first violation: a task
+//! that runs twice at the same time, more tasks than a worker has capacity for, or an answer that contradicts
+//! what the workers did.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -7,121 +11,127 @@
 use stackcourse_lib::dispatch::model::JobOutcome;
 use stackcourse_lib::dispatch::model::TaskName;
 
-/// A job as its caller knows it.
+/// What was observed of a job.
 #[derive(Clone, Debug, Default)]
 pub struct SeenJob {
-    /// How many tasks it has.
+    /// The number of tasks.
     pub tasks: u32,
-    /// What each takes, in thousandths of a core.
+    /// The CPU demand of each task, in thousandths of a core.
     pub cpu: u32,
-    /// Which tasks have ended whole.
+    /// The tasks that completed.
     pub done: HashSet<u32>,
-    /// How often each task has failed.
+    /// The number of failed runs per task.
     pub failed: HashMap<u32, u32>,
-    /// How many workers have crashed while each task ran there, or had ended there and nobody knew.
-    pub lost: HashMap<u32, u32>,
-    /// The task of it that takes workers down, if one has.
+    /// The number of worker crashes per task: the task was running there, or had ended there and its end was not
+    /// acknowledged yet.
+    pub crashes: HashMap<u32, u32>,
+    /// The task that crashes workers, once it has crashed one.
     pub culprit: Option<Culprit>,
-    /// How often it was handed in.
+    /// The number of submissions.
     pub handed_in: u32,
-    /// How often it was refused.
+    /// The number of submissions that were refused.
     pub refused: u32,
-    /// Whether a task has begun.
+    /// Whether a task of the job has started.
     pub began: bool,
 }
 
-/// A task that takes down each worker which starts it.
+/// A task that crashes each worker that starts it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Culprit {
-    /// Which task of its job.
+    /// The index of the task in its job.
     pub index: u32,
-    /// How many workers it has taken down.
+    /// The number of workers that it has crashed.
     pub crashes: u32,
-    /// How often it was started after [`CRASHES_BORNE`] of them.
-    pub more: u32,
+    /// The number of starts after the first [`MAX_CRASHES`] crashes.
+    pub extra_starts: u32,
 }
 
-/// Holds what is seen against the promises.
+/// Checks observations against the guarantees and keeps the first violation.
 #[derive(Clone, Debug, Default)]
 pub struct Witness {
-    /// The jobs that callers handed in.
+    /// The jobs that callers submitted.
     pub jobs: HashMap<JobNumber, SeenJob>,
-    /// The first promise that was broken.
+    /// The first violation.
     pub violation: Option<String>,
-    /// Tasks that began.
+    /// The number of task starts.
     pub starts: u64,
-    /// Jobs that callers were told are complete.
+    /// The number of answers that report a job as completed.
     pub completed: u64,
-    /// Jobs that were refused.
+    /// The number of answers that refuse a job.
     pub refused: u64,
-    /// Jobs that ended otherwise.
+    /// The number of all other answers.
     pub others: u64,
-    /// Jobs that were said to have failed for the crashes of workers and that would have run whole.
+    /// The number of jobs that were reported as failed because of crashes that other jobs caused.
     pub misjudged: u64,
 }
 
-/// A task that has failed so often fails its job.
+/// A task that has failed this many times fails its job.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// A task may be given up once so many workers have crashed while it ran there.
-pub const CRASHES_ENOUGH: u32 = 2;
-/// After so many crashes a task that causes them is hardly started any more.
-pub const CRASHES_BORNE: u32 = 3;
-/// So many starts after that are too many.
-pub const MORE_STARTS: u32 = 3;
+/// A task may be given up once this many workers have crashed while it ran there.
+pub const MIN_CRASHES_TO_FAIL: u32 = 2;
+/// A task that has crashed this many workers should not be started again. A few starts may be under way already.
+pub const MAX_CRASHES: u32 = 3;
+/// This many starts beyond [`MAX_CRASHES`] are a violation.
+pub const EXCESS_STARTS: u32 = 3;
 
 impl SeenJob {
-    /// Notes that a task begins; says whether it takes workers down and was started too often.
-    fn starts_again(&mut self, index: u32) -> bool {
-        let spent = |c: &&mut Culprit| c.index == index && c.crashes >= CRASHES_BORNE;
-        let Some(culprit) = self.culprit.as_mut().filter(spent) else {
+    /// Records the start of a task. Returns whether the task crashes workers and has now been started too many
+    /// times.
+    fn record_start(&mut self, index: u32) -> bool {
+        let is_over_limit = |c: &&mut Culprit| c.index == index && c.crashes >= MAX_CRASHES;
+        let Some(culprit) = self.culprit.as_mut().filter(is_over_limit) else {
             return false;
         };
-        culprit.more += 1;
-        culprit.more >= MORE_STARTS
+        culprit.extra_starts += 1;
+        culprit.extra_starts >= EXCESS_STARTS
     }
 }
 
 impl Witness {
-    /// Notes a broken promise.
+    /// Records a violation; the first one is kept.
     pub fn break_promise(&mut self, what: String) {
         self.violation.get_or_insert(what);
     }
 
-    /// A task begins at a worker; `elsewhere` says that it runs at another one already, and
-    /// `taken` what runs at this one, with it.
+    /// Checks the start of a task. `elsewhere` says whether the task runs at another worker already; `taken` is
+    /// the demand of all tasks at this worker, including the new one.
     pub fn started(&mut self, task: TaskName, elsewhere: bool, taken: u32, capacity: u32) {
         self.starts += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.break_promise(format!("{task} was started and nobody asked for it"));
+            return self.break_promise(format!(
+                "{task} was started, but its job was never submitted"
+            ));
         };
         job.began = true;
-        let repeated = job.starts_again(task.index);
+        let repeated = job.record_start(task.index);
         if job.refused > 0 && job.refused == job.handed_in {
-            self.break_promise(format!("{task} was started after its job was refused"));
+            self.break_promise(format!("{task} was started after its job had been refused"));
         }
         if repeated {
             self.break_promise(format!(
-                "{task} was started {MORE_STARTS} times more after {CRASHES_BORNE} workers had crashed under it"
+                "{task} was started {EXCESS_STARTS} more times after it had crashed {MAX_CRASHES} workers"
             ));
         }
         if elsewhere {
-            self.break_promise(format!("{task} runs twice at once"));
+            self.break_promise(format!("{task} runs at two workers at the same time"));
         }
         if taken > capacity {
-            self.break_promise(format!("{task}: {taken} taken of {capacity}"));
+            self.break_promise(format!(
+                "{task} exceeds its worker's capacity: {taken} of {capacity} in use"
+            ));
         }
     }
 
-    /// A worker crashes at which `running` runs or has ended unknown to all others.
+    /// Records the crash of a worker. `running` are the tasks that ran there or whose ends were not acknowledged yet.
     pub fn crashed<'a>(&mut self, running: impl Iterator<Item = &'a TaskName>) {
-        for lost in running {
-            if let Some(job) = self.jobs.get_mut(&lost.job) {
-                *job.lost.entry(lost.index).or_default() += 1;
+        for task in running {
+            if let Some(job) = self.jobs.get_mut(&task.job) {
+                *job.crashes.entry(task.index).or_default() += 1;
             }
         }
     }
 
-    /// A task takes a worker down.
+    /// Records that a task crashed its worker.
     pub fn crashed_by(&mut self, task: TaskName) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let culprit = job.culprit.get_or_insert(Culprit {
@@ -132,10 +142,10 @@
         }
     }
 
-    /// A caller is told what became of its job.
+    /// Checks an answer to a caller against what the workers did.
     pub fn answered(&mut self, number: JobNumber, outcome: JobOutcome) {
         let Some(job) = self.jobs.get_mut(&number) else {
-            return self.break_promise(format!("{number}: an answer nobody asked for"));
+            return self.break_promise(format!("{number} was answered, but never submitted"));
         };
         match outcome {
             JobOutcome::Completed => {
@@ -143,26 +153,32 @@
                 if job.done.len() < job.tasks as usize {
                     let done = job.done.len();
                     let tasks = job.tasks;
-                    let what = format!("{number} is said to be complete with {done} of {tasks}");
+                    let what = format!(
+                        "{number} is reported as completed with {done} of {tasks} tasks done"
+                    );
                     self.break_promise(what);
                 }
             }
             JobOutcome::Failed => {
                 self.others += 1;
                 let often = job.failed.values().any(|n| *n >= MAX_ATTEMPTS);
-                let lost = job.lost.values().any(|n| *n >= CRASHES_ENOUGH);
+                let crashed = job.crashes.values().any(|n| *n >= MIN_CRASHES_TO_FAIL);
                 if !often && job.culprit.is_none() {
                     self.misjudged += 1;
                 }
-                if !often && !lost {
-                    self.break_promise(format!("{number} is said to have failed without cause"));
+                if !often && !crashed {
+                    self.break_promise(format!(
+                        "{number} is reported as failed, but no task failed or crashed often enough"
+                    ));
                 }
             }
             JobOutcome::Refused(_) => {
                 self.refused += 1;
                 job.refused += 1;
                 if job.began && job.refused == job.handed_in {
-                    self.break_promise(format!("{number} was refused although it had begun"));
+                    self.break_promise(format!(
+                        "{number} was refused after one of its tasks had started"
+                    ));
                 }
             }
             JobOutcome::Cancelled | JobOutcome::Unknown | JobOutcome::GivenUp => self.others += 1,
--- a/lib/testutils/src/dispatch/worker.rs
+++ b/lib/testutils/src/dispatch/worker.rs
@@ -1,5 +1,7 @@
-//! A model of a worker, after what the platform says of it: leases on its own clock, run numbers,
-//! fencing tokens, a list of ends that is forgotten once it was taken note of.
+//! A model of a worker as the platform specifies it.
+//!
+//! Handles starts, stops and holds: leases on the worker's own clock, run numbers, fencing tokens, and a list of
+//! ends that are kept until they are acknowledged.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,128 +18,130 @@
 use stackcourse_lib::dispatch::executor::WorkerIncarnation;
 use stackcourse_lib::dispatch::model::TaskName;
 
-/// Runs are kept for at most this long without a renewal, in microseconds of the worker's clock.
-pub const MOST_HELD_US: u64 = 1_000_000;
-/// A worker's room is known to have shrunk after this long: three seconds and a heartbeat.
-const SHRINK_KNOWN_US: u64 = 3_500_000;
-/// A stop takes this long, in microseconds.
+/// A call extends the lease of the runs at most this far into the future, in microseconds.
+pub const MAX_LEASE_US: u64 = 1_000_000;
+/// The time until a reduced capacity is known everywhere, in microseconds: three seconds and one heartbeat.
+const RESIZE_KNOWN_US: u64 = 3_500_000;
+/// The time that a stop takes, in microseconds.
 pub const STOP_US: u64 = 30_000;
 
 /// A run at the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelRun {
-    /// Its number.
+    /// The number of the run.
     pub run: u32,
-    /// When it began, in microseconds of the world's clock.
+    /// When it began, in microseconds on the world's clock.
     pub began: u64,
-    /// When it ends by itself.
+    /// When it ends unless it is stopped, in microseconds on the world's clock.
     pub ends: u64,
-    /// Whether it ends in failure.
+    /// Whether it fails at its end.
     pub fails: bool,
-    /// When a stop that was ordered takes effect.
+    /// When a requested stop takes effect.
     pub stopping: Option<u64>,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerModel {
-    /// Which life of the worker it is.
+    /// The incarnation.
     pub life: WorkerIncarnation,
-    /// When its clock stood at nothing, in microseconds of the world's clock.
+    /// When the worker's clock read zero, in microseconds on the world's clock.
     clock_zero: u64,
-    /// How often it has said what it is and has.
+    /// The number of heartbeats that it has sent.
     pub beats: u64,
-    /// What it has, in thousandths of a core.
+    /// The CPU capacity, in thousandths of a core.
     pub capacity: u32,
-    /// When it last had more, and how much.
-    shrunk: Option<(u64, u32)>,
-    /// Whether it is up.
+    /// When the capacity was last reduced, and the limit that held until then.
+    last_reduction: Option<(u64, u32)>,
+    /// Whether the worker is up.
     pub up: bool,
-    /// Whether it says that it leaves.
+    /// Whether its heartbeats say that it is leaving.
     pub draining: bool,
-    /// The rack that it stands in; empty if it has none.
+    /// The rack of the worker; empty if it has none.
     pub rack: String,
-    /// How long work takes here against its ordinary time.
-    pub pace: f64,
-    /// Whether all that is started fails.
-    pub sick: bool,
-    /// How many runs have begun.
+    /// The factor by which run times are longer here.
+    pub slowdown: f64,
+    /// Whether every run that starts here fails.
+    pub is_failing: bool,
+    /// The number of runs that have begun.
     pub begun: u64,
-    /// What runs.
+    /// The current runs.
     pub running: BTreeMap<TaskName, ModelRun>,
     fence: u64,
-    held_until: u64,
-    above: HashMap<TaskName, u32>,
+    lease_until: u64,
+    /// The highest run number of each task that has ended or was stopped. Starts up to it are refused.
+    highest_ended: HashMap<TaskName, u32>,
     finished: Vec<FinishedRow>,
-    next_end: u64,
+    next_end_number: u64,
 }
 
 impl WorkerModel {
-    /// A worker that has just come up.
+    /// Creates a worker that has just started.
     pub fn new(life: WorkerIncarnation, capacity: u32) -> WorkerModel {
         WorkerModel {
             life,
             clock_zero: 0,
             beats: 0,
             capacity,
-            shrunk: None,
+            last_reduction: None,
             up: true,
             draining: false,
             rack: String::new(),
-            pace: 1.0,
-            sick: false,
+            slowdown: 1.0,
+            is_failing: false,
             begun: 0,
             running: BTreeMap::new(),
             fence: 0,
-            held_until: 0,
-            above: HashMap::new(),
+            lease_until: 0,
+            highest_ended: HashMap::new(),
             finished: Vec::new(),
-            next_end: 1,
+            next_end_number: 1,
         }
     }
 
-    /// The same, with a clock that stands at nothing at this time, in microseconds of the world's clock.
+    /// Sets when the worker's clock reads zero, in microseconds on the world's clock.
     pub fn with_clock(self, clock_zero: u64) -> WorkerModel {
         WorkerModel { clock_zero, ..self }
     }
 
-    /// Gives it more or less room. What runs stays.
+    /// Changes the capacity. Current runs continue.
     pub fn resize(&mut self, now: u64, capacity: u32) {
         if capacity < self.capacity {
-            self.shrunk = Some((now, self.bound(now)));
+            self.last_reduction = Some((now, self.usable_capacity(now)));
         }
         self.capacity = capacity;
     }
 
-    /// What may be taken of it at most: room that has gone counts until everybody can know.
-    pub fn bound(&self, now: u64) -> u32 {
-        match self.shrunk {
-            Some((at, before)) if now < at + SHRINK_KNOWN_US => before.max(self.capacity),
+    /// Returns the most capacity that may be in use. A reduction counts once it is known everywhere.
+    pub fn usable_capacity(&self, now: u64) -> u32 {
+        match self.last_reduction {
+            Some((at, before)) if now < at + RESIZE_KNOWN_US => before.max(self.capacity),
             _ => self.capacity,
         }
     }
 
-    /// Whether a call that names a life, or none, is for this one.
-    fn is_meant(&self, life: &str) -> bool {
+    /// Returns whether a call is meant for this incarnation: it names it, or names none.
+    fn is_addressed_by(&self, life: &str) -> bool {
         life.is_empty() || life == self.life.id
     }
 
-    /// Its clock, in milliseconds.
+    /// Returns the reading of the worker's clock, in milliseconds.
     pub fn clock_ms(&self, now: u64) -> u64 {
         (now - self.clock_zero) / 1000
     }
 
-    /// When its clock stands at so many milliseconds.
-    fn at_clock(&self, ms: u64) -> u64 {
+    /// Converts a reading of the worker's clock to the world's clock, in microseconds.
+    fn to_world_time(&self, ms: u64) -> u64 {
         self.clock_zero + ms * 1000
     }
 
-    fn extend(&mut self, now: u64, deadline_ms: u64) {
-        let until = self.at_clock(deadline_ms).min(now + MOST_HELD_US);
-        self.held_until = self.held_until.max(until);
+    /// Extends the lease of the runs to a deadline on the worker's clock.
+    fn extend_lease(&mut self, now: u64, deadline_ms: u64) {
+        let until = self.to_world_time(deadline_ms).min(now + MAX_LEASE_US);
+        self.lease_until = self.lease_until.max(until);
     }
 
-    /// Carries out a start; `work_us` is its ordinary time. Says whether a run began.
+    /// Handles a start order. `work_us` is the run time at normal speed. Returns the reply and whether a run began.
     pub fn start(
         &mut self,
         now: u64,
@@ -152,24 +156,24 @@
             return (OrderReply::Refused(StartRefusal::Fence), false);
         }
         self.fence = call.fence;
-        if call.deadline_ms > 0 && self.at_clock(call.deadline_ms) < now {
+        if call.deadline_ms > 0 && self.to_world_time(call.deadline_ms) < now {
             return (OrderReply::Refused(StartRefusal::Late), false);
         }
-        self.extend(now, call.deadline_ms);
+        self.extend_lease(now, call.deadline_ms);
         let RunName { task, run } = call.run;
         if self.running.get(&task).is_some_and(|r| r.run == run) {
             return (OrderReply::Done(self.clock_ms(now)), false);
         }
-        let old = self.above.get(&task).is_some_and(|n| run <= *n);
-        if old || self.running.contains_key(&task) {
+        let is_old = self.highest_ended.get(&task).is_some_and(|n| run <= *n);
+        if is_old || self.running.contains_key(&task) {
             return (OrderReply::Refused(StartRefusal::Old), false);
         }
-        let work = (work_us as f64 * self.pace) as u64;
+        let work = (work_us as f64 * self.slowdown) as u64;
         let begun = ModelRun {
             run,
             began: now,
             ends: now + work,
-            fails: fails || self.sick,
+            fails: fails || self.is_failing,
             stopping: None,
         };
         self.begun += 1;
@@ -177,17 +181,17 @@
         (OrderReply::Done(self.clock_ms(now)), true)
     }
 
-    /// Carries out a stop.
+    /// Handles a stop order.
     pub fn stop(&mut self, now: u64, life: &str, name: RunName, fence: u64) -> OrderReply {
-        if !self.is_meant(life) {
+        if !self.is_addressed_by(life) {
             return OrderReply::WrongLife;
         }
         if fence < self.fence {
             return OrderReply::Refused(StartRefusal::Fence);
         }
         self.fence = fence;
-        let above = self.above.entry(name.task).or_default();
-        *above = (*above).max(name.run);
+        let highest = self.highest_ended.entry(name.task).or_default();
+        *highest = (*highest).max(name.run);
         if let Some(run) = self.running.get_mut(&name.task)
             && run.run <= name.run
         {
@@ -196,9 +200,9 @@
         OrderReply::Done(self.clock_ms(now))
     }
 
-    /// Carries out a hold.
+    /// Handles a hold: extends the lease, forgets acknowledged ends and returns the lists.
     pub fn hold(&mut self, now: u64, call: &HoldCall) -> HoldReply {
-        if !self.is_meant(&call.life) {
+        if !self.is_addressed_by(&call.life) {
             return HoldReply::WrongLife;
         }
         if call.fence < self.fence {
@@ -206,7 +210,7 @@
         }
         self.fence = call.fence;
         if call.deadline_ms > 0 {
-            self.extend(now, call.deadline_ms);
+            self.extend_lease(now, call.deadline_ms);
         }
         self.finished.retain(|f| f.number > call.seen);
         let row = |(task, run): (&TaskName, &ModelRun)| {
@@ -228,20 +232,20 @@
         }
     }
 
-    /// Whether ends wait to be taken note of.
+    /// Returns whether there are ends with a higher number than `seen`.
     pub fn has_news(&self, seen: u64) -> bool {
         self.finished.iter().any(|f| f.number > seen)
     }
 
-    /// The tasks that its executor must take to be there: what runs, and what has ended untold.
+    /// Returns the tasks that run here or whose ends are not acknowledged yet.
     pub fn known_there(&self) -> impl Iterator<Item = &TaskName> {
         let ended = self.finished.iter().map(|f| &f.run.task);
         self.running.keys().chain(ended)
     }
 
-    /// Ends what is over by now; gives the ends.
+    /// Ends the runs that are over at `now` and returns their ends.
     pub fn advance(&mut self, now: u64) -> Vec<(RunName, RunEnd)> {
-        let lapsed = now >= self.held_until;
+        let is_expired = now >= self.lease_until;
         let end = |run: &ModelRun| {
             if run.ends <= now {
                 Some(if run.fails {
@@ -251,14 +255,14 @@
                 })
             } else if run.stopping.is_some_and(|at| at <= now) {
                 Some(RunEnd::Stopped)
-            } else if lapsed {
+            } else if is_expired {
                 Some(RunEnd::Lapsed)
             } else {
                 None
             }
         };
-        let over = self.running.iter();
-        let over: Vec<(RunName, RunEnd)> = over
+        let runs = self.running.iter();
+        let ended: Vec<(RunName, RunEnd)> = runs
             .filter_map(|(task, r)| {
                 let run = RunName {
                     task: *task,
@@ -267,18 +271,18 @@
                 end(r).map(|e| (run, e))
             })
             .collect();
-        for (run, end) in &over {
+        for (run, end) in &ended {
             self.running.remove(&run.task);
-            let above = self.above.entry(run.task).or_default();
-            *above = (*above).max(run.run);
+            let highest = self.highest_ended.entry(run.task).or_default();
+            *highest = (*highest).max(run.run);
             self.finished.push(FinishedRow {
-                number: self.next_end,
+                number: self.next_end_number,
                 run: *run,
                 end: *end,
                 checkpoint: String::new(),
             });
-            self.next_end += 1;
+            self.next_end_number += 1;
         }
-        over
+        ended
     }
 }
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -1,9 +1,13 @@
-//! A world of schedulers, executors and workers on a virtual clock.
+//! A simulated dispatch plane on a virtual clock.
+//!
+//! Runs the state machines of schedulers and executors as shipped, with models of the network, the workers, the store
+//! and the callers around them. [`World::run`] handles the scheduled events in the order of their times and stops at
+//! the first violation that the witness reports.
 
-mod at_workers;
 mod evacuations;
 mod links;
-mod lives;
+mod processes;
+mod workers;
 
 use std::collections::BTreeMap;
 
@@ -33,82 +37,84 @@
 use stackcourse_lib::prelude::Mono;
 use stackcourse_lib::protos::dispatch::frame::Body;
 
-use crate::dispatch::callers::AGAIN_US;
 use crate::dispatch::callers::Callers;
+use crate::dispatch::callers::RESUBMIT_US;
 use crate::dispatch::network::Network;
 use crate::dispatch::network::Node;
 use crate::dispatch::witness::Witness;
 use crate::dispatch::worker::WorkerModel;
 use crate::dispatch::world::evacuations::Evacuations;
 
-/// What a worker of the world has, in thousandths of a core.
+/// The default CPU capacity of a worker, in thousandths of a core.
 pub const CAPACITY: u32 = 16_000;
-/// Time passes for processes in steps of this, in microseconds.
+/// The interval between the ticks of a process, in microseconds.
 const TICK_US: u64 = 20_000;
-/// An order's answer is waited for this long, in microseconds.
-const ORDER_US: u64 = 40_000;
-/// The answer to a hold is waited for this much longer than the hold may wait, in microseconds.
-const HOLD_EXTRA_US: u64 = 20_000;
-/// The store tells a scheduler after this long which executors there are, in microseconds.
-const ROSTER_US: u64 = 30_000;
-/// An executor has read its key in the store this long after its start.
-const RECALL_US: u64 = 6_000;
-/// The store's watch tells of a change after this long, in microseconds.
-const WATCH_US: u64 = 4_000;
-/// The store's answers hold values in a form that is longer than they are, in thirds.
-const STORE_THIRDS: u64 = 4;
-/// Workers beat this often, in microseconds.
-const BEAT_US: u64 = 500_000;
-/// A run that takes its worker down does so after this long, in microseconds.
-const CRASH_US: u64 = 10_000;
-/// The worker is back after this long, in microseconds.
-const CRASH_AWAY_US: u64 = 3_000_000;
-/// A heartbeat may be held up for this long, in microseconds.
-const HELD_UP_US: u64 = 4_000_000;
-/// Workers' lists are looked at this often while a hold waits, in microseconds.
-const POLL_US: u64 = 1_000;
-
-/// Something that is due.
+/// The time until an order without an answer is reported as such, in microseconds.
+const ORDER_TIMEOUT_US: u64 = 40_000;
+/// The time that a hold may take beyond its own wait until it counts as unanswered, in microseconds.
+const HOLD_GRACE_US: u64 = 20_000;
+/// The time until a scheduler receives the roster of executors from the store, in microseconds.
+const ROSTER_DELAY_US: u64 = 30_000;
+/// The time until a new executor has read its key in the store, in microseconds.
+const RESTORE_DELAY_US: u64 = 6_000;
+/// The delay of the store's watch, in microseconds.
+const WATCH_DELAY_US: u64 = 4_000;
+/// The size of a value in the store's answers, in thirds of its plain size.
+const STORE_SIZE_THIRDS: u64 = 4;
+/// The interval between the heartbeats of a worker, in microseconds.
+const HEARTBEAT_US: u64 = 500_000;
+/// The time until a run that crashes its worker does so, in microseconds.
+const CRASH_DELAY_US: u64 = 10_000;
+/// The time until a worker that crashed or lost power restarts, in microseconds.
+const CRASH_RESTART_US: u64 = 3_000_000;
+/// The longest delay of a late heartbeat, in microseconds.
+const MAX_HEARTBEAT_DELAY_US: u64 = 4_000_000;
+/// The interval at which a waiting hold checks the worker's lists, in microseconds.
+const POLL_INTERVAL_US: u64 = 1_000;
+
+/// A scheduled event. Where it has an incarnation, after the index of its process, it is ignored once the process has
+/// another one.
 #[derive(Debug)]
-enum Due {
+enum Event {
     Tick(Node, u64),
     Deliver(LinkId, Node, Box<Body>),
-    Closed(LinkId, Node),
+    /// A process learns that a link is closed.
+    LinkClosed(LinkId, Node),
     Dial(Node, Node, u64),
-    Beat(usize),
-    Start(usize, u64, StartCall, Order),
-    Stop(usize, u64, String, RunName, u64, Order),
+    Heartbeat(usize),
+    Start(usize, u64, StartCall, OrderDelivery),
+    Stop(usize, u64, String, RunName, u64, OrderDelivery),
     Hold(usize, u64, HoldCall, u64),
-    Started(usize, u64, RunName, OrderReply),
-    Stopped(usize, u64, RunName, OrderReply),
-    Held(usize, u64, HoldReply),
-    Again(JobNumber),
-    Return(Node),
+    StartReply(usize, u64, RunName, OrderReply),
+    StopReply(usize, u64, RunName, OrderReply),
+    HoldReply(usize, u64, HoldReply),
+    Resubmit(JobNumber),
+    Restart(Node),
     Roster(usize, u64),
-    /// An executor reads what an earlier life of it has left in the store.
-    Recall(usize, u64),
-    /// The store tells a scheduler of a newer catalog.
+    /// An executor reads the heartbeat that an earlier incarnation saved in the store.
+    RestoreWorker(usize, u64),
+    /// A scheduler receives a newer catalog from the store.
     Catalog(usize, u64, Catalog),
-    /// The time of a scheduler that leaves is up.
-    Ended(usize, u64),
-    /// The store tells a scheduler of a zone.
+    /// The deadline of a leaving scheduler has passed.
+    LeaveDeadline(usize, u64),
+    /// A scheduler receives the record of a zone from the store.
     Zone(usize, u64, String, ZoneRecord),
-    /// A run takes down a life of a worker, if it is still there.
-    Crash(usize, String, RunName),
-    /// A worker that has crashed comes back.
-    Back(usize),
-    /// An executor that leaves is looked at; it is killed once its time is up.
-    Departing(usize, u64, u64),
-    /// A heartbeat of a life of a worker that is over arrives.
-    LateBeat(usize, WorkerHeartbeat),
+    /// A run crashes its worker, if both are still there. Has the id of the worker's incarnation.
+    CrashWorker(usize, String, RunName),
+    /// A worker that crashed restarts.
+    RestartWorker(usize),
+    /// A leaving executor is checked. It is killed once it is drained or its time is up.
+    CheckLeaving(usize, u64, u64),
+    /// A delayed heartbeat arrives, from an incarnation of the worker that has ended.
+    LateHeartbeat(usize, WorkerHeartbeat),
 }
 
-/// How an order goes to a worker.
+/// How an order reaches a worker.
 #[derive(Clone, Copy, Debug)]
-struct Order {
-    /// Whether it gets no answer, and is carried out late.
+struct OrderDelivery {
+    /// Whether it is delivered late and its sender receives no answer.
     late: bool,
-    /// When the life that it was sent to began. One that the worker was started after has gone with that life.
+    /// When the incarnation that it was sent to started. A later incarnation does not receive it.
     born: Option<u64>,
 }
 
@@ -119,78 +125,78 @@
 struct SchedulerNode {
     scheduler: Scheduler,
     up: bool,
-    life: u64,
+    incarnation: u64,
     skew: u64,
     frozen_until: u64,
-    /// When it was last told which executors there are, or will be.
+    /// When it receives, or last received, the roster.
     roster_at: u64,
-    /// Since when it has run and the store has served it; none while the store turns it away.
+    /// Since when it has run and been served by the store; `None` while the store rejects it.
     served_since: Option<u64>,
 }
 
 struct ExecutorNode {
     executor: Executor,
     up: bool,
-    life: u64,
+    incarnation: u64,
     skew: u64,
     frozen_until: u64,
 }
 
-/// The world.
+/// A simulated dispatch plane with its workers, callers and network.
 pub struct World {
-    /// The time, in microseconds.
+    /// The current time, in microseconds.
     pub now: u64,
-    /// Its luck.
+    /// The random number generator of the run.
     pub rng: ChaCha8Rng,
-    /// What workers and callers saw.
+    /// The checks of the guarantees.
     pub witness: Witness,
     /// The callers.
     pub callers: Callers,
     /// The workers.
     pub workers: Vec<WorkerModel>,
-    /// How many lives of workers were taken down by a run.
+    /// The number of worker crashes that were caused by a run.
     pub crashes: u64,
-    /// The links.
+    /// The network.
     pub network: Network,
-    /// The share of orders to workers that get no answer and are carried out late.
-    pub late: f64,
-    /// The share of answers of workers that are lost.
-    pub lost: f64,
-    /// How many times as long a task takes outside of the rack that it wants.
-    pub remote: f64,
-    /// Inputs given to the state machines.
+    /// The share of orders to workers that are delivered late and get no answer.
+    pub late_share: f64,
+    /// The share of workers' replies that are lost.
+    pub lost_share: f64,
+    /// The factor by which a task runs longer outside its preferred rack.
+    pub remote_factor: f64,
+    /// The number of events that were handled.
     pub steps: u64,
-    /// What callers were told, and when.
+    /// The answers to callers: when, to which job, and what.
     pub answers: Vec<(u64, JobNumber, JobOutcome)>,
-    /// The figures that decide.
+    /// The policy of all processes.
     pub policy: Policy,
-    /// The share of schedulers that the store does not tell which executors there are in their first seconds.
-    pub unserved: f64,
-    /// Whether log lines and what happens at the workers are printed.
+    /// The share of starting schedulers that receive the roster late.
+    pub unserved_share: f64,
+    /// Whether to print log lines and what happens at the workers.
     pub trace: bool,
-    /// Whether a worker that has crashed comes up under the id that it had.
-    reborn: bool,
-    /// How many availability zones the processes are spread over, in turn.
+    /// Whether a crashed worker restarts under its old id.
+    reuses_ids: bool,
+    /// The number of availability zones that the processes are spread over in turn.
     zones: usize,
     schedulers: Vec<SchedulerNode>,
     executors: Vec<ExecutorNode>,
-    /// What executors have written to the store of their workers.
-    kept: Vec<Option<WorkerHeartbeat>>,
-    /// Which zones are evacuated by the store, and since when.
+    /// The heartbeats that executors saved in the store, by executor.
+    saved_heartbeats: Vec<Option<WorkerHeartbeat>>,
+    /// The evacuated zones according to the store.
     evacuations: Evacuations,
-    due: BTreeMap<(u64, u64), Due>,
+    events: BTreeMap<(u64, u64), Event>,
     sequence: u64,
-    lives: u64,
+    incarnations: u64,
 }
 
 impl World {
-    /// A world in which everything has just come up.
+    /// Creates a world in which every process has just started.
     pub fn new(seed: u64, schedulers: usize, executors: usize) -> World {
         let catalog = Callers::default().catalog;
         World::with_policy(seed, schedulers, executors, catalog, Policy::default())
     }
 
-    /// The same, with a catalog and a policy.
+    /// Creates a world with a catalog and a policy.
     pub fn with_policy(
         seed: u64,
         schedulers: usize,
@@ -201,7 +207,7 @@
         World::with_zones(seed, (schedulers, executors, 1), catalog, policy)
     }
 
-    /// The same, with numbers of schedulers, of executors, and of availability zones.
+    /// Creates a world with the given numbers of schedulers, executors and availability zones.
     pub fn with_zones(
         seed: u64,
         (schedulers, executors, zones): (usize, usize, usize),
@@ -218,21 +224,21 @@
             workers: Vec::new(),
             crashes: 0,
             network: Network::default(),
-            late: 0.0,
-            lost: 0.0,
-            unserved: 0.0,
-            remote: 1.0,
+            late_share: 0.0,
+            lost_share: 0.0,
+            unserved_share: 0.0,
+            remote_factor: 1.0,
             steps: 0,
             answers: Vec::new(),
             trace: false,
-            reborn: false,
+            reuses_ids: false,
             schedulers: Vec::new(),
             executors: Vec::new(),
-            kept: vec![None; executors],
+            saved_heartbeats: vec![None; executors],
             evacuations: Evacuations::default(),
-            due: BTreeMap::new(),
+            events: BTreeMap::new(),
             sequence: 0,
-            lives: 0,
+            incarnations: 0,
         };
         for number in 0..executors {
             let worker = world.new_worker(number);
@@ -245,17 +251,17 @@
             world.schedulers.push(node);
         }
         for node in world.nodes() {
-            world.begin(node);
+            world.start_process(node);
         }
         for number in 0..executors {
-            world.at(1000, Due::Beat(number));
+            world.schedule(1000, Event::Heartbeat(number));
         }
         world
     }
 
-    /// From now on a worker that has crashed comes up under the id that it had, and counts anew.
+    /// Lets crashed workers restart under their old ids, with all counts reset. Replaces all workers.
     pub fn keep_worker_ids(&mut self) {
-        self.reborn = true;
+        self.reuses_ids = true;
         for number in 0..self.workers.len() {
             self.workers[number] = self.new_worker(number);
         }
@@ -267,15 +273,15 @@
         schedulers.chain(executors).collect()
     }
 
-    fn at(&mut self, wait: u64, due: Due) {
+    fn schedule(&mut self, wait: u64, event: Event) {
         self.sequence += 1;
-        self.due.insert((self.now + wait, self.sequence), due);
+        self.events.insert((self.now + wait, self.sequence), event);
     }
 
-    fn life(&self, node: Node) -> u64 {
+    fn incarnation(&self, node: Node) -> u64 {
         match node {
-            Node::Scheduler(n) => self.schedulers[n].life,
-            Node::Executor(n) => self.executors[n].life,
+            Node::Scheduler(n) => self.schedulers[n].incarnation,
+            Node::Executor(n) => self.executors[n].incarnation,
         }
     }
 
@@ -293,29 +299,31 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time by `span` and handles the events due by then, or stops at the first violation.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span.as_micros() as u64;
         while self.witness.violation.is_none() {
-            let Some(entry) = self.due.first_entry() else {
+            let Some(entry) = self.events.first_entry() else {
                 break;
             };
             let (at, _) = *entry.key();
             if at > end {
                 break;
             }
-            let due = entry.remove();
+            let event = entry.remove();
             self.advance_workers(at);
             self.now = self.now.max(at);
-            self.step(due);
+            self.step(event);
         }
         self.now = self.now.max(end);
     }
 
-    fn step(&mut self, due: Due) {
-        let node = match &due {
-            Due::Tick(node, _) | Due::Deliver(_, node, _) | Due::Closed(_, node) => Some(*node),
-            Due::Started(n, ..) | Due::Stopped(n, ..) | Due::Held(n, ..) => {
+    fn step(&mut self, event: Event) {
+        let node = match &event {
+            Event::Tick(node, _) | Event::Deliver(_, node, _) | Event::LinkClosed(_, node) => {
+                Some(*node)
+            }
+            Event::StartReply(n, ..) | Event::StopReply(n, ..) | Event::HoldReply(n, ..) => {
                 Some(Node::Executor(*n))
             }
             _ => None,
@@ -324,59 +332,67 @@
             let until = self.frozen_until(node);
             if until > self.now {
                 let wait = until - self.now;
-                return self.at(wait, due);
+                return self.schedule(wait, event);
             }
         }
         self.steps += 1;
-        match due {
-            Due::Tick(node, life) => self.tick(node, life),
-            Due::Deliver(link, node, body) => self.deliver(link, node, *body),
-            Due::Closed(link, node) => self.closed(link, node),
-            Due::Dial(from, to, life) => self.dial(from, to, life),
-            Due::Beat(number) => self.heartbeat(number),
-            Due::Start(n, life, call, order) => self.start(n, life, &call, order),
-            Due::Stop(n, life, worker, run, fence, order) => {
-                self.stop(n, life, &worker, run, fence, order);
+        match event {
+            Event::Tick(node, incarnation) => self.tick(node, incarnation),
+            Event::Deliver(link, node, body) => self.deliver(link, node, *body),
+            Event::LinkClosed(link, node) => self.handle_closed(link, node),
+            Event::Dial(from, to, incarnation) => self.dial(from, to, incarnation),
+            Event::Heartbeat(number) => self.send_heartbeat(number),
+            Event::Start(n, incarnation, call, order) => self.start(n, incarnation, &call, order),
+            Event::Stop(n, incarnation, worker, run, fence, order) => {
+                self.stop(n, incarnation, &worker, run, fence, order);
+            }
+            Event::Hold(n, incarnation, call, until) => self.hold(n, incarnation, call, until),
+            Event::StartReply(n, incarnation, run, reply) => {
+                self.with_executor(n, incarnation, |e, now| {
+                    e.handle_start_reply(now, run, reply)
+                });
+            }
+            Event::StopReply(n, incarnation, run, reply) => {
+                self.with_executor(n, incarnation, |e, now| {
+                    e.handle_stop_reply(now, run, reply)
+                });
             }
-            Due::Hold(n, life, call, until) => self.hold(n, life, call, until),
-            Due::Started(n, life, run, reply) => {
-                self.with_executor(n, life, |e, now| e.handle_start_reply(now, run, reply));
+            Event::HoldReply(n, incarnation, reply) => {
+                self.with_executor(n, incarnation, |e, now| e.handle_hold_reply(now, reply))
             }
-            Due::Stopped(n, life, run, reply) => {
-                self.with_executor(n, life, |e, now| e.handle_stop_reply(now, run, reply));
+            Event::Resubmit(number) => self.resubmit(number),
+            Event::Restart(node) => self.restart(node),
+            Event::Roster(n, incarnation) => self.deliver_roster(n, incarnation),
+            Event::RestoreWorker(n, incarnation) => self.restore_worker(n, incarnation),
+            Event::Catalog(n, incarnation, catalog) => {
+                self.deliver_catalog(n, incarnation, catalog)
             }
-            Due::Held(n, life, reply) => {
-                self.with_executor(n, life, |e, now| e.handle_hold_reply(now, reply))
+            Event::LeaveDeadline(n, incarnation) => self.finish_leaving(n, incarnation),
+            Event::Zone(n, incarnation, zone, record) => {
+                self.deliver_zone(n, incarnation, &zone, record)
             }
-            Due::Again(number) => self.hand_in_again(number),
-            Due::Return(node) => self.come_back(node),
-            Due::Roster(n, life) => self.tell_roster(n, life),
-            Due::Recall(n, life) => self.restore_worker(n, life),
-            Due::Catalog(n, life, catalog) => self.tell_catalog(n, life, catalog),
-            Due::Ended(n, life) => self.end_leaving(n, life),
-            Due::Zone(n, life, zone, word) => self.tell_zone(n, life, &zone, word),
-            Due::Crash(n, life, run) => self.crash_under(n, &life, run),
-            Due::Back(n) => self.worker_back(n),
-            Due::Departing(n, life, until) => self.watch_departing(n, life, until),
-            Due::LateBeat(n, heartbeat) => self.late_beat(n, heartbeat),
+            Event::CrashWorker(n, incarnation, run) => self.crash_from_run(n, &incarnation, run),
+            Event::RestartWorker(n) => self.restart_worker(n),
+            Event::CheckLeaving(n, incarnation, until) => self.check_leaving(n, incarnation, until),
+            Event::LateHeartbeat(n, heartbeat) => self.deliver_late_heartbeat(n, heartbeat),
         }
     }
 
-    fn tick(&mut self, node: Node, life: u64) {
-        if self.life(node) != life || !self.is_up(node) {
+    fn tick(&mut self, node: Node, incarnation: u64) {
+        if self.incarnation(node) != incarnation || !self.is_up(node) {
             return;
         }
         match node {
             Node::Scheduler(n) => {
                 self.with_scheduler(n, |s, now| s.tick(now));
-                self.read_wanted_roster(n, life);
+                self.read_wanted_roster(n, incarnation);
             }
-            Node::Executor(n) => self.with_executor(n, life, |e, now| e.tick(now)),
+            Node::Executor(n) => self.with_executor(n, incarnation, |e, now| e.tick(now)),
         }
-        self.at(TICK_US, Due::Tick(node, life));
+        self.schedule(TICK_US, Event::Tick(node, incarnation));
     }
 
-    /// Gives a scheduler something to do.
+    /// Calls a scheduler, if it is up, and carries out its actions.
     pub fn with_scheduler(&mut self, n: usize, work: impl FnOnce(&mut Scheduler, Mono)) {
         let node = &mut self.schedulers[n];
         if !node.up {
@@ -387,7 +403,7 @@
         for action in actions {
             match action {
                 scheduler::Action::Send(link, body) => {
-                    self.hold_to_evacuations(n, link, &body);
+                    self.check_evacuations(n, link, &body);
                     self.send(Node::Scheduler(n), link, *body);
                 }
                 scheduler::Action::Close(link) => self.close(Node::Scheduler(n), link),
@@ -398,9 +414,15 @@
         }
     }
 
-    fn with_executor(&mut self, n: usize, life: u64, work: impl FnOnce(&mut Executor, Mono)) {
+    /// Calls an executor, if it is up in the given incarnation, and carries out its actions.
+    fn with_executor(
+        &mut self,
+        n: usize,
+        incarnation: u64,
+        work: impl FnOnce(&mut Executor, Mono),
+    ) {
         let node = &mut self.executors[n];
-        if !node.up || node.life != life {
+        if !node.up || node.incarnation != incarnation {
             return;
         }
         work(&mut node.executor, Mono(self.now + node.skew));
@@ -411,73 +433,78 @@
                 executor::Action::Close(link) => self.close(Node::Executor(n), link),
                 executor::Action::Start(call) => {
                     if self.executors[n].executor.is_evacuated() {
-                        let what = format!("{:?} in a zone known to be evacuated", call.run);
+                        let what = format!(
+                            "{:?} is started in a zone that its executor knows to be evacuated",
+                            call.run
+                        );
                         self.witness.break_promise(what);
                     }
                     let (wait, order) = self.order_delay(n);
                     if order.late {
-                        let unanswered = Due::Started(n, life, call.run, OrderReply::NoAnswer);
-                        self.at(ORDER_US, unanswered);
+                        let unanswered =
+                            Event::StartReply(n, incarnation, call.run, OrderReply::NoAnswer);
+                        self.schedule(ORDER_TIMEOUT_US, unanswered);
                     }
-                    self.at(wait, Due::Start(n, life, call, order));
+                    self.schedule(wait, Event::Start(n, incarnation, call, order));
                 }
                 executor::Action::Stop(worker, run, fence) => {
                     let (wait, order) = self.order_delay(n);
                     if order.late {
-                        let unanswered = Due::Stopped(n, life, run, OrderReply::NoAnswer);
-                        self.at(ORDER_US, unanswered);
+                        let unanswered =
+                            Event::StopReply(n, incarnation, run, OrderReply::NoAnswer);
+                        self.schedule(ORDER_TIMEOUT_US, unanswered);
                     }
-                    self.at(wait, Due::Stop(n, life, worker, run, fence, order));
+                    self.schedule(wait, Event::Stop(n, incarnation, worker, run, fence, order));
                 }
                 executor::Action::Hold(call) => {
                     let wait = call.wait.as_micros() as u64;
-                    if self.rng.random_bool(self.late) {
-                        let unanswered = Due::Held(n, life, HoldReply::NoAnswer);
-                        self.at(wait + HOLD_EXTRA_US, unanswered);
+                    if self.rng.random_bool(self.late_share) {
+                        let unanswered = Event::HoldReply(n, incarnation, HoldReply::NoAnswer);
+                        self.schedule(wait + HOLD_GRACE_US, unanswered);
                     } else {
                         let until = self.now + wait;
-                        self.at(200, Due::Hold(n, life, call, until));
+                        self.schedule(200, Event::Hold(n, incarnation, call, until));
                     }
                 }
                 executor::Action::Log(event) => self.print(Node::Executor(n), &event.to_string()),
-                executor::Action::SaveHeartbeat(heartbeat) => self.kept[n] = heartbeat,
+                executor::Action::SaveHeartbeat(heartbeat) => self.saved_heartbeats[n] = heartbeat,
                 executor::Action::Dial(_) => {}
             }
         }
     }
 
-    /// Prints a line if the world is traced.
+    /// Prints a line if tracing is on.
     pub fn print(&self, node: Node, text: &str) {
         if self.trace {
             println!("{:>12} {node:?} {text}", self.now);
         }
     }
 
-    /// Hands a job in at a scheduler.
-    pub fn hand_in(&mut self, number: JobNumber, scheduler: usize) {
+    /// Submits a job at a scheduler.
+    pub fn submit(&mut self, number: JobNumber, scheduler: usize) {
         let caller = self.callers.caller_for(number);
         let Some(job) = self.callers.jobs.get_mut(&number) else {
             return;
         };
-        job.tries += 1;
+        job.submissions += 1;
         let request = job.request.clone();
         if let Some(seen) = self.witness.jobs.get_mut(&number) {
             seen.handed_in += 1;
         }
-        self.at(AGAIN_US, Due::Again(number));
+        self.schedule(RESUBMIT_US, Event::Resubmit(number));
         let node = &self.schedulers[scheduler];
         if node.up && node.frozen_until <= self.now {
             self.with_scheduler(scheduler, |s, now| s.submit(now, caller, request));
         }
     }
 
-    fn hand_in_again(&mut self, number: JobNumber) {
+    fn resubmit(&mut self, number: JobNumber) {
         let open = self.callers.jobs.get(&number);
-        if !open.is_some_and(|j| !j.settled && j.tries < 3) {
+        if !open.is_some_and(|j| !j.settled && j.submissions < 3) {
             return;
         }
         let scheduler = self.rng.random_range(0..self.schedulers.len());
-        self.hand_in(number, scheduler);
+        self.submit(number, scheduler);
     }
 
     fn answer(&mut self, caller: CallerId, outcome: JobOutcome) {
@@ -493,7 +520,8 @@
         }
     }
 
-    /// Kills a process; `silent` says that nobody hears of it. It comes back after `away`.
+    /// Kills a process and restarts it after `away` microseconds. With `silent` its peers do not learn that the links
+    /// are closed.
     pub fn kill(&mut self, node: Node, silent: bool, away: u64) {
         match node {
             Node::Scheduler(n) => self.schedulers[n].up = false,
@@ -508,14 +536,14 @@
                 self.close(node, link);
             }
         }
-        self.at(away, Due::Return(node));
+        self.schedule(away, Event::Restart(node));
     }
 
-    fn come_back(&mut self, node: Node) {
+    fn restart(&mut self, node: Node) {
         for link in self.network.links_of(node) {
             self.close(node, link);
         }
-        // Whoever still holds an end of an old link hears that nobody is there.
+        // The other ends of old links learn that the process has gone.
         let old: Vec<(LinkId, Node)> = self
             .network
             .wires
@@ -524,16 +552,16 @@
             .map(|(link, w)| (*link, w.other(node).0))
             .collect();
         for (link, other) in old {
-            self.at(500, Due::Closed(link, other));
+            self.schedule(500, Event::LinkClosed(link, other));
         }
         match node {
             Node::Scheduler(n) => self.schedulers[n] = self.new_scheduler(n),
             Node::Executor(n) => self.executors[n] = self.new_executor(n),
         }
-        self.begin(node);
+        self.start_process(node);
     }
 
-    /// Freezes a process.
+    /// Freezes a process for `span` microseconds.
     pub fn freeze(&mut self, node: Node, span: u64) {
         let until = self.now + span;
         match node {
@@ -546,7 +574,7 @@
         }
     }
 
-    /// Suspends a process with its machine. `counted` says whether its clock goes on meanwhile.
+    /// Suspends a process with its machine for `span` microseconds. `counted` says whether its clock goes on meanwhile.
     pub fn suspend(&mut self, node: Node, span: u64, counted: bool) {
         self.freeze(node, span);
         if counted {
@@ -559,29 +587,29 @@
         *skew = skew.saturating_sub(span);
     }
 
-    /// Runs that the executors, in their present lives, have stopped for more urgent tasks.
+    /// Returns the number of runs that the current incarnations of the executors preempted.
     pub fn preempted(&self) -> u64 {
         let counts = self.executors.iter().map(|n| n.executor.counts());
         counts.map(|c| c.preempted).sum()
     }
 
-    /// How many schedulers and executors there are.
+    /// Returns the numbers of schedulers and executors.
     pub fn size(&self) -> (usize, usize) {
         (self.schedulers.len(), self.executors.len())
     }
 
-    /// The version of the catalog that a scheduler has in force; 0 if it is down.
-    pub fn version_at(&self, scheduler: usize) -> u64 {
+    /// Returns the version of the catalog that a scheduler uses; 0 if it is down.
+    pub fn catalog_version(&self, scheduler: usize) -> u64 {
         let node = &self.schedulers[scheduler];
         if node.up { node.scheduler.version() } else { 0 }
     }
 
-    /// How many links to executors a scheduler has.
-    pub fn executors_linked(&self, scheduler: usize) -> usize {
+    /// Returns the number of links from a scheduler to executors.
+    pub fn linked_executors(&self, scheduler: usize) -> usize {
         self.schedulers[scheduler].scheduler.load()[2]
     }
 
-    /// Whether a process is up.
+    /// Returns whether a process is up.
     pub fn is_node_up(&self, node: Node) -> bool {
         self.is_up(node)
     }
--- a/lib/testutils/src/dispatch/world/evacuations.rs
+++ b/lib/testutils/src/dispatch/world/evacuations.rs
@@ -1,4 +1,7 @@
-//! Evacuated zones: the store's word on them, whom it reaches, and what must not be placed.
+//! Evacuated zones in a simulated world.
+//!
+//! Keeps the store's records of zones, delivers them to the schedulers that the store serves, and checks that no task
+//! is placed in a zone that its scheduler knows, or must know by now, to be evacuated.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,26 +11,28 @@
 
 use super::*;
 
-/// From so long after an evacuation was accepted on nothing is placed there, in microseconds.
+/// The time after which an accepted evacuation must be in force, in microseconds.
 const IN_FORCE_US: u64 = 5_000_000;
-/// A scheduler that has run and been served by the store for so long has heard of it, in microseconds.
+/// The time after which a scheduler that runs and is served by the store must know all zones, in microseconds.
 const SERVED_US: u64 = 1_000_000;
 
-/// What the store holds of zones.
+/// The store's records of zones.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evacuations {
     revision: u64,
-    /// The zones that are evacuated: the revision of that, and when it was accepted.
+    /// The evacuated zones: the revision, and when it was accepted.
     zones: BTreeMap<String, (u64, u64)>,
-    /// Schedulers that the store turns away.
-    away: BTreeSet<usize>,
+    /// The schedulers that the store rejects.
+    unserved: BTreeSet<usize>,
 }
 
 impl Evacuations {
+    /// Returns whether the store serves a scheduler.
     pub fn serves(&self, scheduler: usize) -> bool {
-        !self.away.contains(&scheduler)
+        !self.unserved.contains(&scheduler)
     }
 
+    /// Returns the evacuated zones with their revisions.
     fn listed(&self) -> BTreeMap<String, u64> {
         let zones = self.zones.iter();
         zones
@@ -37,7 +42,7 @@
 }
 
 impl World {
-    /// The store accepts that a zone is evacuated, or taken back, and tells the schedulers that it serves.
+    /// Makes the store accept that a zone is evacuated, or no longer so, and tell the schedulers that it serves.
     pub fn set_evacuated(&mut self, zone: &str, evacuated: bool) {
         self.evacuations.revision += 1;
         let revision = self.evacuations.revision;
@@ -47,64 +52,73 @@
         } else {
             self.evacuations.zones.remove(zone);
         }
-        let word = ZoneRecord {
+        let record = ZoneRecord {
             revision,
             evacuated,
         };
         for n in 0..self.schedulers.len() {
             if self.evacuations.serves(n) {
-                let life = self.life(Node::Scheduler(n));
-                self.at(WATCH_US, Due::Zone(n, life, zone.to_owned(), word));
+                let incarnation = self.incarnation(Node::Scheduler(n));
+                self.schedule(
+                    WATCH_DELAY_US,
+                    Event::Zone(n, incarnation, zone.to_owned(), record),
+                );
             }
         }
     }
 
-    /// Whether the store says that a zone is evacuated.
+    /// Returns whether a zone is evacuated according to the store.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuations.zones.contains_key(zone)
     }
 
-    /// The zones that a scheduler knows to be evacuated.
+    /// Returns the zones that a scheduler knows to be evacuated.
     pub fn evacuated_at(&self, scheduler: usize) -> Vec<String> {
         let zones = self.schedulers[scheduler].scheduler.evacuated();
         zones.map(str::to_owned).collect()
     }
 
-    /// The store turns these schedulers away and serves all others, which read everything anew: the history that
-    /// they were away for is lost.
-    pub fn turn_away(&mut self, schedulers: BTreeSet<usize>) {
+    /// Makes the store reject these schedulers and serve all others. Those that it serves again read the roster and
+    /// all zones, because they missed the changes meanwhile.
+    pub fn set_unserved(&mut self, schedulers: BTreeSet<usize>) {
         for n in 0..self.schedulers.len() {
             let (before, after) = (self.evacuations.serves(n), !schedulers.contains(&n));
             if before != after {
                 self.schedulers[n].served_since = after.then_some(self.now);
             }
         }
-        let back = self.evacuations.away.difference(&schedulers);
-        let back: Vec<usize> = back.copied().collect();
-        self.evacuations.away = schedulers;
-        for n in back {
-            let life = self.life(Node::Scheduler(n));
-            self.at(ROSTER_US, Due::Roster(n, life));
+        let served_again = self.evacuations.unserved.difference(&schedulers);
+        let served_again: Vec<usize> = served_again.copied().collect();
+        self.evacuations.unserved = schedulers;
+        for n in served_again {
+            let incarnation = self.incarnation(Node::Scheduler(n));
+            self.schedule(ROSTER_DELAY_US, Event::Roster(n, incarnation));
         }
     }
 
-    pub(super) fn tell_zone(&mut self, n: usize, life: u64, zone: &str, word: ZoneRecord) {
-        if self.life(Node::Scheduler(n)) == life && self.evacuations.serves(n) {
-            self.with_scheduler(n, |s, now| s.set_evacuation(now, zone, word));
+    pub(super) fn deliver_zone(
+        &mut self,
+        n: usize,
+        incarnation: u64,
+        zone: &str,
+        record: ZoneRecord,
+    ) {
+        if self.incarnation(Node::Scheduler(n)) == incarnation && self.evacuations.serves(n) {
+            self.with_scheduler(n, |s, now| s.set_evacuation(now, zone, record));
         }
     }
 
-    /// A scheduler has read everything that the store holds of zones.
-    pub(super) fn tell_all_zones(&mut self, n: usize) {
+    /// Delivers all zone records from the store to a scheduler.
+    pub(super) fn deliver_all_zones(&mut self, n: usize) {
         if self.evacuations.serves(n) {
             let (listed, at) = (self.evacuations.listed(), self.evacuations.revision);
             self.with_scheduler(n, |s, now| s.set_evacuations(now, &listed, at));
         }
     }
 
-    /// A scheduler sends a message: it must not place tasks in a zone of which it knows, or should know by now, that
-    /// it is evacuated.
-    pub(super) fn hold_to_evacuations(&mut self, n: usize, link: LinkId, body: &Body) {
+    /// Checks a message of a scheduler: it must not place tasks in a zone that it knows, or must know by now, to be
+    /// evacuated.
+    pub(super) fn check_evacuations(&mut self, n: usize, link: LinkId, body: &Body) {
         let Body::Orders(orders) = body else {
             return;
         };
@@ -120,7 +134,7 @@
         let since = self.evacuations.zones.get(&zone).map(|(_, since)| *since);
         let in_force = since.is_some_and(|since| self.now.saturating_sub(since) >= IN_FORCE_US);
         if knows || (in_force && node.served_since.is_some_and(served)) {
-            let what = format!("scheduler {n} places tasks in {zone}, which is evacuated");
+            let what = format!("scheduler {n} places tasks in the evacuated zone {zone}");
             self.witness.break_promise(what);
         }
     }
--- a/lib/testutils/src/dispatch/world/links.rs
+++ b/lib/testutils/src/dispatch/world/links.rs
@@ -1,15 +1,18 @@
-//! The links of a world: messages on their way, cuts, resets.
+//! The links between the processes of a simulated world.
+//!
+//! Sends and delivers messages, opens and closes links, cuts and heals directions, and tells the state machines of
+//! both ends.
 
 use prost::Message;
 use rand::Rng;
 use stackcourse_lib::prelude::LinkId;
 use stackcourse_lib::protos::dispatch::frame::Body;
 
-use super::Due;
+use super::Event;
 use super::World;
 use crate::dispatch::network::Node;
 
-/// The size of a frame, in bytes.
+/// Returns the size of a frame, in bytes.
 fn size(body: &Body) -> u64 {
     let bytes = match body {
         Body::Greeting(m) => m.encoded_len(),
@@ -36,16 +39,16 @@
             return;
         }
         let delay = self.rng.random_range(300..1500);
-        let last = wire.last[way];
+        let last = wire.last_arrival[way];
         let bytes = size(&body);
         self.network.count(from, to, bytes);
-        let departs = self.network.departs(from, self.now, bytes);
-        let arrives = self.network.arrives(to, departs + delay, bytes);
+        let departs = self.network.depart(from, self.now, bytes);
+        let arrives = self.network.arrive(to, departs + delay, bytes);
         let arrives = arrives.max(last + 1);
         let wire = self.network.wires.get_mut(&link).expect("it was there");
-        wire.last[way] = arrives;
+        wire.last_arrival[way] = arrives;
         let wait = arrives - self.now;
-        self.at(wait, Due::Deliver(link, to, Box::new(body)));
+        self.schedule(wait, Event::Deliver(link, to, Box::new(body)));
     }
 
     pub(super) fn deliver(&mut self, link: LinkId, node: Node, body: Body) {
@@ -57,14 +60,14 @@
             Node::Scheduler(n) => self.with_scheduler(n, |s, now| s.message(now, link, body)),
             Node::Executor(n) => {
                 if let Body::Orders(orders) = body {
-                    let life = self.life(node);
-                    self.with_executor(n, life, |e, now| e.handle_orders(now, link, orders));
+                    let incarnation = self.incarnation(node);
+                    self.with_executor(n, incarnation, |e, now| e.handle_orders(now, link, orders));
                 }
             }
         }
     }
 
-    /// A process closes a link; the other end hears of it unless it is cut off.
+    /// Closes a link at one end. The other end learns of it unless the direction to it is cut.
     pub(super) fn close(&mut self, node: Node, link: LinkId) {
         let Some(wire) = self.network.wires.get_mut(&link) else {
             return;
@@ -72,12 +75,12 @@
         let (other, _) = wire.other(node);
         let end = wire.end(node);
         wire.closed[end] = true;
-        if self.network.passes(node, other) {
-            self.at(800, Due::Closed(link, other));
+        if self.network.is_open(node, other) {
+            self.schedule(800, Event::LinkClosed(link, other));
         }
     }
 
-    pub(super) fn closed(&mut self, link: LinkId, node: Node) {
+    pub(super) fn handle_closed(&mut self, link: LinkId, node: Node) {
         let Some(wire) = self.network.wires.get_mut(&link) else {
             return;
         };
@@ -88,21 +91,21 @@
         match node {
             Node::Scheduler(n) => self.with_scheduler(n, |s, now| s.link_down(now, link)),
             Node::Executor(n) => {
-                let life = self.life(node);
-                self.with_executor(n, life, |e, _| e.link_down(link));
+                let incarnation = self.incarnation(node);
+                self.with_executor(n, incarnation, |e, _| e.link_down(link));
             }
         }
     }
 
-    pub(super) fn dial(&mut self, from: Node, to: Node, life: u64) {
-        if self.life(from) != life || !self.is_up(from) {
+    pub(super) fn dial(&mut self, from: Node, to: Node, incarnation: u64) {
+        if self.incarnation(from) != incarnation || !self.is_up(from) {
             return;
         }
         let wait = self.rng.random_range(40_000..200_000);
-        self.at(wait, Due::Dial(from, to, life));
+        self.schedule(wait, Event::Dial(from, to, incarnation));
         let awake = self.frozen_until(from) <= self.now && self.frozen_until(to) <= self.now;
-        let reachable = self.network.passes(from, to) && self.network.passes(to, from);
-        if !awake || !reachable || !self.is_up(to) || self.network.joined(from, to) {
+        let reachable = self.network.is_open(from, to) && self.network.is_open(to, from);
+        if !awake || !reachable || !self.is_up(to) || self.network.is_linked(from, to) {
             return;
         }
         let link = self.network.open(from, to);
@@ -118,18 +121,18 @@
         match node {
             Node::Scheduler(n) => self.with_scheduler(n, |s, now| s.link_up(now, link, &theirs)),
             Node::Executor(n) => {
-                let life = self.life(node);
-                self.with_executor(n, life, |e, now| e.link_up(now, link, &theirs));
+                let incarnation = self.incarnation(node);
+                self.with_executor(n, incarnation, |e, now| e.link_up(now, link, &theirs));
             }
         }
     }
 
-    /// Cuts a direction.
+    /// Cuts a direction: messages are held until the cut heals.
     pub fn cut(&mut self, from: Node, to: Node) {
         self.network.cuts.insert((from, to));
     }
 
-    /// Heals all cuts; what they held up goes on.
+    /// Heals all cuts and sends the messages that they held.
     pub fn heal(&mut self) {
         self.network.cuts.clear();
         let links: Vec<LinkId> = self.network.wires.keys().copied().collect();
@@ -145,18 +148,18 @@
             let wire = &self.network.wires[&link];
             if wire.closed[0] != wire.closed[1] {
                 let open = if wire.closed[0] { wire.to } else { wire.from };
-                self.at(500, Due::Closed(link, open));
+                self.schedule(500, Event::LinkClosed(link, open));
             }
         }
         self.network.wires.retain(|_, w| w.closed != [true; 2]);
     }
 
-    /// Opens another link between two processes that are linked.
-    pub fn double(&mut self, a: Node, b: Node) {
+    /// Opens another link between two processes that are linked already.
+    pub fn add_link(&mut self, a: Node, b: Node) {
         let up = [a, b].into_iter().all(|node| self.is_up(node));
         let awake = [a, b].into_iter().all(|n| self.frozen_until(n) <= self.now);
-        let reachable = self.network.passes(a, b) && self.network.passes(b, a);
-        if a == b || !up || !awake || !reachable || !self.network.joined(a, b) {
+        let reachable = self.network.is_open(a, b) && self.network.is_open(b, a);
+        if a == b || !up || !awake || !reachable || !self.network.is_linked(a, b) {
             return;
         }
         let link = self.network.open(a, b);
@@ -164,25 +167,25 @@
         self.link_up(b, a, link);
     }
 
-    /// Resets one link of a process, if it has any; what is under way on it is lost.
-    pub fn reset_one(&mut self, node: Node) {
+    /// Resets a random link of a process, if it has any. Messages on their way are lost.
+    pub fn reset_link(&mut self, node: Node) {
         let links = self.network.links_of(node);
         if links.is_empty() {
             return;
         }
         let link = links[self.rng.random_range(0..links.len())];
         let (from, to) = (self.network.wires[&link].from, self.network.wires[&link].to);
-        self.at(100, Due::Closed(link, from));
-        self.at(100, Due::Closed(link, to));
+        self.schedule(100, Event::LinkClosed(link, from));
+        self.schedule(100, Event::LinkClosed(link, to));
     }
 
-    /// Resets the links of a process.
-    pub fn reset(&mut self, node: Node) {
+    /// Resets all links of a process. Messages on their way are lost.
+    pub fn reset_links(&mut self, node: Node) {
         for link in self.network.links_of(node) {
             let wire = &self.network.wires[&link];
             let (from, to) = (wire.from, wire.to);
-            self.at(100, Due::Closed(link, from));
-            self.at(100, Due::Closed(link, to));
+            self.schedule(100, Event::LinkClosed(link, from));
+            self.schedule(100, Event::LinkClosed(link, to));
         }
     }
 }
--- a/lib/testutils/src/dispatch/world/at_workers.rs
+++ b/lib/testutils/src/dispatch/world/workers.rs
@@ -1,4 +1,7 @@
-//! What happens at the workers of a world: orders that arrive or come late, ends, heartbeats.
+//! The workers of a simulated world.
+//!
+//! Delivers orders to the worker models in time or late, returns their replies, ends runs, sends heartbeats, and
+//! crashes and restarts workers. Reports starts, ends and crashes to the witness.
 
 use rand::Rng;
 use stackcourse_lib::dispatch::executor::HoldCall;
@@ -11,83 +14,91 @@
 use stackcourse_lib::dispatch::executor::WorkerIncarnation;
 use stackcourse_lib::dispatch::model::Demand;
 
-use super::BEAT_US;
 use super::CAPACITY;
-use super::CRASH_AWAY_US;
-use super::CRASH_US;
-use super::Due;
-use super::HELD_UP_US;
-use super::HOLD_EXTRA_US;
-use super::ORDER_US;
-use super::Order;
-use super::POLL_US;
+use super::CRASH_DELAY_US;
+use super::CRASH_RESTART_US;
+use super::Event;
+use super::HEARTBEAT_US;
+use super::HOLD_GRACE_US;
+use super::MAX_HEARTBEAT_DELAY_US;
+use super::ORDER_TIMEOUT_US;
+use super::OrderDelivery;
+use super::POLL_INTERVAL_US;
 use super::World;
 use crate::dispatch::callers::SERVICE;
 use crate::dispatch::network::Node;
 use crate::dispatch::worker::WorkerModel;
 
 fn labels_of(rack: &str) -> Vec<String> {
-    let one = (!rack.is_empty()).then(|| rack.to_owned());
-    one.into_iter().collect()
+    let label = (!rack.is_empty()).then(|| rack.to_owned());
+    label.into_iter().collect()
 }
 
 impl World {
-    /// How long an order takes to a worker, and how it goes there.
-    pub(super) fn order_delay(&mut self, n: usize) -> (u64, Order) {
+    /// Draws the delay of an order to a worker and how it reaches it.
+    pub(super) fn order_delay(&mut self, n: usize) -> (u64, OrderDelivery) {
         let born = self.workers[n].life.born;
-        if self.rng.random_bool(self.late) {
-            let order = Order { late: true, born };
+        if self.rng.random_bool(self.late_share) {
+            let order = OrderDelivery { late: true, born };
             (self.rng.random_range(2_000_000..12_000_000), order)
         } else {
-            let order = Order { late: false, born };
+            let order = OrderDelivery { late: false, born };
             (self.rng.random_range(100..800), order)
         }
     }
 
-    /// Whether an order can reach the worker: it is up, and in the life that it was sent to.
-    fn reaches(&self, n: usize, order: Order) -> bool {
+    /// Returns whether an order can reach the worker: it is up, and still the incarnation that the order was sent to.
+    fn can_reach(&self, n: usize, order: OrderDelivery) -> bool {
         self.workers[n].up && self.workers[n].life.born == order.born
     }
 
-    pub(super) fn start(&mut self, n: usize, life: u64, call: &StartCall, order: Order) {
+    pub(super) fn start(
+        &mut self,
+        n: usize,
+        incarnation: u64,
+        call: &StartCall,
+        order: OrderDelivery,
+    ) {
         let task = call.run.task;
         let Some(job) = self.callers.jobs.get(&task.job) else {
-            return self.witness.break_promise(format!("{task}: nobody's job"));
+            return self
+                .witness
+                .break_promise(format!("{task} was started, but its job is unknown"));
         };
-        let (mut work_us, poison) = (job.work_of(task.index), job.poison);
+        let (mut work_us, fails) = (job.work_us_of(task.index), job.fails);
         let rack = &job.request.steps[task.step as usize].rack;
         if !rack.is_empty() && *rack != self.workers[n].rack {
-            work_us = (work_us as f64 * self.remote) as u64;
+            work_us = (work_us as f64 * self.remote_factor) as u64;
         }
-        let crashes = job.crashing == Some(task.index);
+        let crashes = job.crashing_task == Some(task.index);
         let cpu = self.witness.jobs[&task.job].cpu;
-        let reply = if self.reaches(n, order) {
+        let reply = if self.can_reach(n, order) {
             let now = self.now;
-            let (reply, begun) = self.workers[n].start(now, call, work_us, poison);
+            let (reply, begun) = self.workers[n].start(now, call, work_us, fails);
             self.print(
                 Node::Executor(n),
                 &format!("worker: start {:?} {reply:?}", call.run),
             );
             if begun {
-                self.note_start(n, call.run, cpu);
+                self.record_start(n, call.run, cpu);
             }
             if begun && crashes {
                 let life = self.workers[n].life.id.clone();
-                self.at(CRASH_US, Due::Crash(n, life, call.run));
+                self.schedule(CRASH_DELAY_US, Event::CrashWorker(n, life, call.run));
             }
             reply
         } else {
             OrderReply::Unreachable
         };
         if order.late {
-            // Whoever ordered it was told long ago that there is no answer.
+            // The executor was told long ago that there is no answer.
             return;
         }
         let (wait, reply) = self.reply_delay(reply);
-        self.at(wait, Due::Started(n, life, call.run, reply));
+        self.schedule(wait, Event::StartReply(n, incarnation, call.run, reply));
     }
 
-    pub(super) fn note_start(&mut self, n: usize, run: RunName, _cpu: u32) {
+    pub(super) fn record_start(&mut self, n: usize, run: RunName, _cpu: u32) {
         let others = (0..self.workers.len()).filter(|m| *m != n);
         let runs_at =
             |m: usize| self.workers[m].up && self.workers[m].running.contains_key(&run.task);
@@ -96,21 +107,21 @@
         let cpu_of =
             |t: &stackcourse_lib::dispatch::model::TaskName| jobs.get(&t.job).map_or(0, |j| j.cpu);
         let taken = self.workers[n].running.keys().map(cpu_of).sum();
-        let capacity = self.workers[n].bound(self.now);
+        let capacity = self.workers[n].usable_capacity(self.now);
         self.witness.started(run.task, elsewhere, taken, capacity);
     }
 
     pub(super) fn stop(
         &mut self,
         n: usize,
-        life: u64,
+        incarnation: u64,
         worker: &str,
         run: RunName,
         fence: u64,
-        order: Order,
+        order: OrderDelivery,
     ) {
         let now = self.now;
-        let reply = if self.reaches(n, order) {
+        let reply = if self.can_reach(n, order) {
             self.workers[n].stop(now, worker, run, fence)
         } else {
             OrderReply::Unreachable
@@ -119,50 +130,55 @@
             return;
         }
         let (wait, reply) = self.reply_delay(reply);
-        self.at(wait, Due::Stopped(n, life, run, reply));
+        self.schedule(wait, Event::StopReply(n, incarnation, run, reply));
     }
 
-    /// How long a reply takes, and the reply as it arrives.
+    /// Draws the delay of a reply. A lost reply becomes [`OrderReply::NoAnswer`].
     pub(super) fn reply_delay(&mut self, reply: OrderReply) -> (u64, OrderReply) {
-        if self.rng.random_bool(self.lost) {
-            (ORDER_US, OrderReply::NoAnswer)
+        if self.rng.random_bool(self.lost_share) {
+            (ORDER_TIMEOUT_US, OrderReply::NoAnswer)
         } else {
             (self.rng.random_range(100..800), reply)
         }
     }
 
-    pub(super) fn hold(&mut self, n: usize, life: u64, call: HoldCall, until: u64) {
+    pub(super) fn hold(&mut self, n: usize, incarnation: u64, call: HoldCall, until: u64) {
         if !self.workers[n].up {
-            return self.at(1000, Due::Held(n, life, HoldReply::Unreachable));
+            return self.schedule(
+                1000,
+                Event::HoldReply(n, incarnation, HoldReply::Unreachable),
+            );
         }
         let now = self.now;
         let first = self.workers[n].hold(now, &call);
         let lists = matches!(first, HoldReply::Lists { .. });
         if lists && now < until && !self.workers[n].has_news(call.seen) {
-            return self.at(POLL_US, Due::Hold(n, life, call, until));
+            return self.schedule(POLL_INTERVAL_US, Event::Hold(n, incarnation, call, until));
         }
-        let lost = self.rng.random_bool(self.lost);
+        let lost = self.rng.random_bool(self.lost_share);
         let (wait, reply) = if lost {
-            (HOLD_EXTRA_US, HoldReply::NoAnswer)
+            (HOLD_GRACE_US, HoldReply::NoAnswer)
         } else {
             (self.rng.random_range(100..800), first)
         };
-        self.at(wait, Due::Held(n, life, reply));
+        self.schedule(wait, Event::HoldReply(n, incarnation, reply));
     }
 
-    pub(super) fn heartbeat(&mut self, number: usize) {
-        self.at(BEAT_US, Due::Beat(number));
+    pub(super) fn send_heartbeat(&mut self, number: usize) {
+        self.schedule(HEARTBEAT_US, Event::Heartbeat(number));
         let node = &self.executors[number];
         if !self.workers[number].up || !node.up || node.frozen_until > self.now {
             return;
         }
-        let life = node.life;
-        let heartbeat = self.next_beat(number);
-        self.with_executor(number, life, |e, now| e.handle_heartbeat(now, heartbeat));
+        let incarnation = node.incarnation;
+        let heartbeat = self.next_heartbeat(number);
+        self.with_executor(number, incarnation, |e, now| {
+            e.handle_heartbeat(now, heartbeat)
+        });
     }
 
-    /// What a worker says of itself now.
-    fn next_beat(&mut self, number: usize) -> WorkerHeartbeat {
+    /// Returns the worker's next heartbeat.
+    fn next_heartbeat(&mut self, number: usize) -> WorkerHeartbeat {
         let worker = &mut self.workers[number];
         worker.beats += 1;
         WorkerHeartbeat {
@@ -179,23 +195,25 @@
         }
     }
 
-    /// A heartbeat of a life that is over was held up on the way.
-    fn hold_up_beat(&mut self, number: usize) {
-        let heartbeat = self.next_beat(number);
-        let wait = self.rng.random_range(0..HELD_UP_US);
-        self.at(wait, Due::LateBeat(number, heartbeat));
+    /// Sends a last heartbeat of an incarnation that ends, which arrives late.
+    fn delay_heartbeat(&mut self, number: usize) {
+        let heartbeat = self.next_heartbeat(number);
+        let wait = self.rng.random_range(0..MAX_HEARTBEAT_DELAY_US);
+        self.schedule(wait, Event::LateHeartbeat(number, heartbeat));
     }
 
-    /// A heartbeat that was held up arrives, whoever listens there by now.
-    pub(super) fn late_beat(&mut self, number: usize, heartbeat: WorkerHeartbeat) {
+    /// Delivers a delayed heartbeat to the executor's current incarnation.
+    pub(super) fn deliver_late_heartbeat(&mut self, number: usize, heartbeat: WorkerHeartbeat) {
         let node = &self.executors[number];
         if node.up && node.frozen_until <= self.now {
-            let life = node.life;
-            self.with_executor(number, life, |e, now| e.handle_heartbeat(now, heartbeat));
+            let incarnation = node.incarnation;
+            self.with_executor(number, incarnation, |e, now| {
+                e.handle_heartbeat(now, heartbeat)
+            });
         }
     }
 
-    /// Ends runs at workers that are over by then.
+    /// Ends the runs that are over at `at`.
     pub(super) fn advance_workers(&mut self, at: u64) {
         for number in 0..self.workers.len() {
             if !self.workers[number].up {
@@ -204,12 +222,12 @@
             for (run, end) in self.workers[number].advance(at) {
                 let line = format!("worker: end {run:?} {end:?}");
                 self.print(Node::Executor(number), &line);
-                self.note_end(run, end);
+                self.record_end(run, end);
             }
         }
     }
 
-    pub(super) fn note_end(&mut self, run: RunName, end: RunEnd) {
+    pub(super) fn record_end(&mut self, run: RunName, end: RunEnd) {
         let Some(job) = self.witness.jobs.get_mut(&run.task.job) else {
             return;
         };
@@ -222,26 +240,26 @@
         }
     }
 
-    /// A worker crashes; another life of it comes up at once or later.
+    /// Crashes a worker. It stays down until it is restarted or replaced.
     pub fn crash_worker(&mut self, number: usize) {
         if self.workers[number].up {
             self.witness.crashed(self.workers[number].known_there());
-            if self.reborn {
-                self.hold_up_beat(number);
+            if self.reuses_ids {
+                self.delay_heartbeat(number);
             }
         }
         self.workers[number].up = false;
         self.workers[number].running.clear();
     }
 
-    /// A worker loses power for a while.
+    /// Crashes a worker and restarts it later.
     pub fn lose_power(&mut self, number: usize) {
         self.crash_worker(number);
-        self.at(CRASH_AWAY_US, Due::Back(number));
+        self.schedule(CRASH_RESTART_US, Event::RestartWorker(number));
     }
 
-    /// A run takes its worker down, and all that runs there with it.
-    pub(super) fn crash_under(&mut self, n: usize, life: &str, run: RunName) {
+    /// Crashes the worker of a run, if both are still there.
+    pub(super) fn crash_from_run(&mut self, n: usize, life: &str, run: RunName) {
         let worker = &self.workers[n];
         let there = worker.running.get(&run.task).map(|r| r.run);
         if !worker.up || worker.life.id != life || there != Some(run.run) {
@@ -253,33 +271,34 @@
         self.lose_power(n);
     }
 
-    /// A worker is back as it was, in a new life.
-    pub(super) fn worker_back(&mut self, n: usize) {
+    /// Starts a new incarnation of a worker that is down, with the same capacity, speed and rack.
+    pub(super) fn restart_worker(&mut self, n: usize) {
         let old = self.workers[n].clone();
         if old.up {
             return;
         }
         let mut worker = self.new_worker(n);
         worker.capacity = old.capacity;
-        worker.pace = old.pace;
+        worker.slowdown = old.slowdown;
         worker.rack = old.rack;
         self.workers[n] = worker;
     }
 
-    /// A worker that had crashed is up again, in a new life.
-    pub fn raise_worker(&mut self, number: usize) {
+    /// Starts a new incarnation of a worker that is down, with the default capacity and speed.
+    pub fn replace_worker(&mut self, number: usize) {
         if !self.workers[number].up {
             self.workers[number] = self.new_worker(number);
         }
     }
 
     pub(super) fn new_worker(&mut self, number: usize) -> WorkerModel {
-        let life = self.new_life();
-        if !self.reborn {
+        let life = self.new_incarnation();
+        if !self.reuses_ids {
             let id = format!("w{life}");
             return WorkerModel::new(WorkerIncarnation { id, born: None }, CAPACITY);
         }
-        // A clock that was set back has let the later of two lives begin before the earlier one.
+        // For half of the incarnations the worker's clock was set back, so that a later incarnation has an earlier
+        // start time.
         let id = format!("w-{number}");
         let born = Some(if life.is_multiple_of(2) {
             life
--- a/lib/testutils/tests/runner/test_catalog_spread.rs
+++ b/lib/testutils/tests/runner/test_catalog_spread.rs
@@ -57,7 +57,7 @@
     let mut world = World::with_policy(seed, SCHEDULERS, EXECUTORS, catalog(1, 3), policy);
     for n in 0..SCHEDULERS {
         let rate = if n < LARGE { LARGE_LINK } else { SMALL_LINK };
-        world.network.limit(Node::Scheduler(n), rate);
+        world.network.set_bandwidth(Node::Scheduler(n), rate);
     }
     world.run(Duration::from_secs(4));
     world
@@ -68,7 +68,7 @@
     let begin = world.now;
     let step = Duration::from_millis(10);
     while world.now - begin < BOUND.as_micros() as u64 {
-        if (0..SCHEDULERS).all(|n| world.version_at(n) >= version) {
+        if (0..SCHEDULERS).all(|n| world.catalog_version(n) >= version) {
             return Some(Duration::from_micros(world.now - begin));
         }
         world.run(step);
@@ -78,7 +78,7 @@
 
 /// The links of executors to all schedulers.
 fn linked(world: &World) -> usize {
-    (0..SCHEDULERS).map(|n| world.executors_linked(n)).sum()
+    (0..SCHEDULERS).map(|n| world.linked_executors(n)).sum()
 }
 
 #[test]
--- a/lib/testutils/tests/runner/test_crashing_tasks.rs
+++ b/lib/testutils/tests/runner/test_crashing_tasks.rs
@@ -32,8 +32,8 @@
     world.run(Duration::from_secs(4));
     let number = world.callers.new_job(&mut world.rng, &mut world.witness);
     let job = world.callers.jobs.get_mut(&number).expect("it is new");
-    job.crashing = Some(0);
-    job.poison = false;
+    job.crashing_task = Some(0);
+    job.fails = false;
     job.work_us = 900_000;
     job.request.steps[0].estimate_ms = 900;
     job.request.patience_ms = 5000;
@@ -44,7 +44,7 @@
 fn test_crashing_task_is_given_up_after_few_crashes() {
     for seed in 1..6 {
         let (mut world, number) = world(seed);
-        world.hand_in(number, 0);
+        world.submit(number, 0);
         world.run(Duration::from_secs(7));
         assert_eq!(world.witness.violation, None, "seed {seed}");
         assert!(world.crashes >= 2, "seed {seed}: one crash proves nothing");
@@ -63,12 +63,12 @@
     for seed in 1..6 {
         let (mut world, number) = world(seed);
         for scheduler in 0..2 {
-            world.hand_in(number, scheduler);
+            world.submit(number, scheduler);
             world.run(KNOWS_ONE_CRASH);
             world.kill(Node::Scheduler(scheduler), false, AWAY_US);
             world.run(Duration::from_millis(100));
         }
-        world.hand_in(number, 2);
+        world.submit(number, 2);
         world.run(Duration::from_secs(7));
         assert_eq!(world.witness.violation, None, "seed {seed}");
         assert!(world.crashes <= 3, "seed {seed}: {} crashes", world.crashes);
--- a/lib/testutils/tests/runner/test_dispatch_run.rs
+++ b/lib/testutils/tests/runner/test_dispatch_run.rs
@@ -277,7 +277,7 @@
 fn test_dispatch_run_keeps_every_promise_when_machines_are_suspended() {
     let runs_twice = |seed| {
         let broken = run_suspended(seed, Suspensions::Uncounted).violation;
-        broken.is_some_and(|what| what.ends_with("runs twice at once"))
+        broken.is_some_and(|what| what.ends_with("runs at two workers at the same time"))
     };
     assert!([17, 18, 35, 37, 38].into_iter().any(runs_twice));
     for seed in [1, 2, 3, 4, 17, 18, 35, 37, 38] {
--- a/lib/testutils/tests/runner/test_fleet_cost.rs
+++ b/lib/testutils/tests/runner/test_fleet_cost.rs
@@ -11,8 +11,8 @@
 
 use stackcourse_lib::dispatch::policy::Policy;
 use stackcourse_testutils::dispatch::callers::Callers;
-use stackcourse_testutils::dispatch::network::Load;
 use stackcourse_testutils::dispatch::network::Node;
+use stackcourse_testutils::dispatch::network::Traffic;
 use stackcourse_testutils::dispatch::world::World;
 
 /// Schedulers, executors, zones.
@@ -22,20 +22,20 @@
 const SPAN: u64 = 2;
 
 /// What a process sends and receives in [`SPAN`] while nothing happens.
-fn at_rest(size: (usize, usize, usize), node: Node) -> Load {
+fn at_rest(size: (usize, usize, usize), node: Node) -> Traffic {
     let catalog = Callers::default().catalog;
     let mut world = World::with_zones(1, size, catalog, Policy::default());
     world.run(Duration::from_secs(3));
-    world.network.count_anew();
+    world.network.reset_traffic();
     world.run(Duration::from_secs(SPAN));
-    world.network.load_of(node)
+    world.network.traffic_of(node)
 }
 
-fn bytes_a_second(load: Load) -> u64 {
+fn bytes_a_second(load: Traffic) -> u64 {
     load.bytes.iter().sum::<u64>() / SPAN
 }
 
-fn frames_a_second(load: Load) -> u64 {
+fn frames_a_second(load: Traffic) -> u64 {
     load.frames.iter().sum::<u64>() / SPAN
 }
 
