--- a/lib/testutils/src/bin/dispatch-load.rs
+++ b/lib/testutils/src/bin/dispatch-load.rs
@@ -13,10 +13,10 @@
 use stackcourse_lib::findings::Findings;
 use stackcourse_testutils::dispatch::load;
 use stackcourse_testutils::dispatch::load::KindReport;
+use stackcourse_testutils::dispatch::load::LoadFaults;
 use stackcourse_testutils::dispatch::load::LoadPlan;
 use stackcourse_testutils::dispatch::load::LoadReport;
-use stackcourse_testutils::dispatch::load::Trouble;
-use stackcourse_testutils::dispatch::load::Uneven;
+use stackcourse_testutils::dispatch::load::WorkerVariation;
 
 /// From this share of the work done in time on, a window is well.
 const WELL: f64 = 0.9;
@@ -40,16 +40,16 @@
 }
 
 fn command() -> Command {
-    let swing = "How much more than its part the first third of the schedulers takes, in percent; the last third takes as much less";
+    let load_skew = "How much more than its part the first third of the schedulers takes, in percent; the last third takes as much less";
     let late = "Orders of a hundred that are carried out late";
     let slow = "Workers that take five times as long in the middle half of the run";
     let mbit = "Mbit/s of two thirds of the schedulers' machines; 0 for no limit";
     let queues = "Queues of a configuration that is accepted each second of the middle half";
     let crashing = "Jobs of a thousand in the middle half with a task that takes workers down";
     let crashing_kind = "The kind of those jobs, from 1, as they are printed; 0 for all";
-    let wanted =
+    let rack_share =
         "Jobs of a hundred of the first kind whose data lies in one rack, a sixth of the workers";
-    let remote = "How long a task takes outside of its data's rack, in percent";
+    let remote_factor = "How long a task takes outside of its data's rack, in percent";
     let restarts = "Executors that are restarted in the middle half, one each 200 ms";
     Command::new("dispatch-load")
         .about("Plays the users' mix of jobs at shares of the workers' capacity")
@@ -62,7 +62,7 @@
         .arg(number("seconds", "10", "Virtual seconds of each run"))
         .arg(number("schedulers", "3", "Schedulers that share the load"))
         .arg(number("workers", "11", "Workers"))
-        .arg(number("swing", "0", swing))
+        .arg(number("swing", "0", load_skew))
         .arg(number("seed", "1", "The first seed"))
         .arg(number("seeds", "1", "How many seeds"))
         .arg(number("late", "0", late))
@@ -84,8 +84,8 @@
                 .default_value("0.8,1.0,1.25")
                 .help("Speeds of the workers, in turn; eight at most"),
         )
-        .arg(number("wanted", "0", wanted))
-        .arg(number("remote", "100", remote))
+        .arg(number("wanted", "0", rack_share))
+        .arg(number("remote", "100", remote_factor))
         .arg(
             Arg::new("set")
                 .long("set")
@@ -130,13 +130,13 @@
     }
 }
 
-fn uneven(matches: &ArgMatches) -> Uneven {
+fn variation(matches: &ArgMatches) -> WorkerVariation {
     let list = matches.get_one::<String>("speeds").expect("a default");
     let speeds: Vec<f64> = list.split(',').filter_map(|s| s.parse().ok()).collect();
-    let mut uneven = Uneven::of(&speeds);
-    uneven.wanted = value(matches, "wanted") as f64 / 100.0;
-    uneven.remote = value(matches, "remote") as f64 / 100.0;
-    uneven
+    let mut variation = WorkerVariation::of(&speeds);
+    variation.rack_share = value(matches, "wanted") as f64 / 100.0;
+    variation.remote_factor = value(matches, "remote") as f64 / 100.0;
+    variation
 }
 
 fn plans(matches: &ArgMatches, load: f64, policy: Policy) -> impl Iterator<Item = LoadPlan> {
@@ -147,11 +147,11 @@
         span: Duration::from_secs(value(matches, "seconds")),
         schedulers: value(matches, "schedulers") as usize,
         workers: value(matches, "workers") as usize,
-        swing: value(matches, "swing") as f64 / 100.0,
+        load_skew: value(matches, "swing") as f64 / 100.0,
         late: value(matches, "late") as f64 / 100.0,
         slow: value(matches, "slow") as usize,
-        uneven: uneven(matches),
-        trouble: Trouble {
+        variation: variation(matches),
+        faults: LoadFaults {
             link_mbit: value(matches, "mbit"),
             queues: value(matches, "queues") as usize,
             restarts: value(matches, "restarts") as usize,
@@ -176,7 +176,7 @@
     bursts
 }
 
-fn print_line(load: f64, reports: &[LoadReport], swing: bool) {
+fn print_line(load: f64, reports: &[LoadReport], load_skew: bool) {
     let count = reports.len() as f64;
     let mean = reports.iter().map(LoadReport::goodput).sum::<f64>() / count;
     let squares = reports.iter().map(|r| (r.goodput() - mean).powi(2));
@@ -193,14 +193,14 @@
         let refused = share(|k| k.refused);
         print!(" {}: {in_time:5.1} {late:5.1} {refused:5.1} ", kind.name);
     }
-    let trouble: f64 = reports.iter().map(LoadReport::goodput_in_trouble).sum();
-    let back = reports.iter().map(|r| r.time_until_back(WELL)).max();
+    let faults: f64 = reports.iter().map(LoadReport::goodput_under_faults).sum();
+    let back = reports.iter().map(|r| r.recovery_time(WELL)).max();
     let back = back.unwrap_or_default().as_secs_f64();
     print!(
         " middle half: {:5.3}, well after {back:.1} s ",
-        trouble / count
+        faults / count
     );
-    if swing {
+    if load_skew {
         let share = |n: usize| {
             reports
                 .iter()
@@ -211,9 +211,9 @@
         print!(" thirds: {:.3} {:.3} {:.3} ", share(0), share(1), share(2));
     }
     let crashes: u64 = reports.iter().map(|r| r.crashes).sum();
-    let misjudged: u64 = reports.iter().map(|r| r.misjudged).sum();
+    let wrongly_failed: u64 = reports.iter().map(|r| r.wrongly_failed).sum();
     if crashes > 0 {
-        print!(" {crashes} crashes, {misjudged} jobs given up for those of others ");
+        print!(" {crashes} crashes, {wrongly_failed} jobs given up for those of others ");
     }
     let broken = reports.iter().find_map(|r| r.violation.clone());
     println!("{}", broken.unwrap_or_default());
--- a/lib/testutils/src/dispatch/callers.rs
+++ b/lib/testutils/src/dispatch/callers.rs
@@ -16,9 +16,9 @@
 use stackcourse_lib::dispatch::model::Step;
 use stackcourse_lib::dispatch::scheduler::CallerId;
 
+use crate::dispatch::witness::InvariantChecker;
+use crate::dispatch::witness::JobHistory;
 use crate::dispatch::witness::MAX_ATTEMPTS;
-use crate::dispatch::witness::SeenJob;
-use crate::dispatch::witness::Witness;
 
 /// The time after which a job without an answer is submitted again, in microseconds.
 pub const RESUBMIT_US: u64 = 1_300_000;
@@ -132,7 +132,7 @@
     }
 
     /// Creates a random job and registers it with the witness.
-    pub fn new_job(&mut self, rng: &mut impl Rng, witness: &mut Witness) -> JobNumber {
+    pub fn new_job(&mut self, rng: &mut impl Rng, witness: &mut InvariantChecker) -> JobNumber {
         let number = self.next_number();
         let count = rng.random_range(1..=8);
         let work_ms = [60, 200, 900][rng.random_range(0..3)];
@@ -171,10 +171,10 @@
             submissions: 0,
         };
         self.jobs.insert(number, open);
-        let seen = SeenJob {
+        let seen = JobHistory {
             tasks: count,
             cpu: cpu_milli,
-            ..SeenJob::default()
+            ..JobHistory::default()
         };
         witness.jobs.insert(number, seen);
         number
--- a/lib/testutils/src/dispatch/load.rs
+++ b/lib/testutils/src/dispatch/load.rs
@@ -17,7 +17,7 @@
 use crate::dispatch::callers::OpenJob;
 use crate::dispatch::callers::SERVICE;
 use crate::dispatch::network::Node;
-use crate::dispatch::witness::SeenJob;
+use crate::dispatch::witness::JobHistory;
 use crate::dispatch::world::World;
 
 /// A kind of jobs.
@@ -90,47 +90,47 @@
     /// How many workers there are.
     pub workers: usize,
     /// How much more than its part the first third of the schedulers takes, and the last third less.
-    pub swing: f64,
+    pub load_skew: f64,
     /// The share of orders to workers that are carried out late.
     pub late: f64,
     /// How many workers take [`SLOWDOWN`] times as long in the middle half of the span.
     pub slow: usize,
     /// What goes wrong in the middle half of the span, beside slow workers.
-    pub trouble: Trouble,
+    pub faults: LoadFaults,
     /// How the workers differ.
-    pub uneven: Uneven,
+    pub variation: WorkerVariation,
     /// The figures that decide.
     pub policy: Policy,
 }
 
 /// How workers differ: in speed, and in how far they are from data.
 #[derive(Clone, Copy, Debug)]
-pub struct Uneven {
+pub struct WorkerVariation {
     speeds: [f64; MOST_SPEEDS],
     count: usize,
     /// The share of jobs of the widest kind whose data lies in one rack.
-    pub wanted: f64,
+    pub rack_share: f64,
     /// How many times as long a task takes outside of its data's rack.
-    pub remote: f64,
+    pub remote_factor: f64,
 }
 
-impl Default for Uneven {
-    fn default() -> Uneven {
-        Uneven::of(&[0.8, 1.0, 1.25])
+impl Default for WorkerVariation {
+    fn default() -> WorkerVariation {
+        WorkerVariation::of(&[0.8, 1.0, 1.25])
     }
 }
 
-impl Uneven {
+impl WorkerVariation {
     /// Workers of these speeds in turn, up to eight, none of them far from data.
-    pub fn of(list: &[f64]) -> Uneven {
+    pub fn of(list: &[f64]) -> WorkerVariation {
         let count = list.len().min(MOST_SPEEDS);
         let mut speeds = [1.0; MOST_SPEEDS];
         speeds[..count].copy_from_slice(&list[..count]);
-        Uneven {
+        WorkerVariation {
             speeds,
             count: count.max(1),
-            wanted: 0.0,
-            remote: 1.0,
+            rack_share: 0.0,
+            remote_factor: 1.0,
         }
     }
 
@@ -141,7 +141,7 @@
 
 /// Trouble of a run; none by default.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct LoadFaults {
     /// What the machines of two thirds of the schedulers can send and receive, in Mbit/s, all the time;
     /// 0 for no limit. The others have [`LARGE_TIMES`] as much.
     pub link_mbit: u64,
@@ -158,7 +158,7 @@
     pub bursts: [f64; 3],
 }
 
-impl Trouble {
+impl LoadFaults {
     /// How many jobs of each kind come of a hundred without bursts.
     fn shares(&self) -> [f64; 3] {
         let times = |kind: usize| match self.bursts[kind] {
@@ -179,7 +179,7 @@
 
 /// How many times the bandwidth of a small scheduler's machine a large one's has.
 const LARGE_TIMES: u64 = 8;
-/// See [`Trouble::restarts`]; in microseconds.
+/// See [`LoadFaults::restarts`]; in microseconds.
 const REPLACE_GAP_US: u64 = 200_000;
 /// How long a restarted executor is away, in microseconds.
 const AWAY_US: u64 = 500_000;
@@ -215,7 +215,7 @@
     /// How many lives of workers were taken down by a task.
     pub crashes: u64,
     /// Jobs that were given up for such a task, and that would have run whole.
-    pub misjudged: u64,
+    pub wrongly_failed: u64,
     /// Tells runs apart of which one answer came at another time, or was another one.
     pub digest: u64,
     /// The promise that was broken, if any.
@@ -224,7 +224,7 @@
 
 impl LoadReport {
     /// The share of the work offered in the middle half of the run that was done in time.
-    pub fn goodput_in_trouble(&self) -> f64 {
+    pub fn goodput_under_faults(&self) -> f64 {
         let count = self.windows.len();
         let middle = &self.windows[count / 4..count * 3 / 4];
         let offered: f64 = middle.iter().map(|w| w.0).sum();
@@ -233,7 +233,7 @@
     }
 
     /// How long after the middle half of the run a window was below `share`; zero if none was.
-    pub fn time_until_back(&self, share: f64) -> Duration {
+    pub fn recovery_time(&self, share: f64) -> Duration {
         let count = self.windows.len();
         let after = &self.windows[count * 3 / 4..];
         let bad = after.iter().rposition(|w| w.1 < share * w.0);
@@ -297,16 +297,16 @@
     set_links(&mut world, &plan);
     for number in 0..plan.workers {
         world.workers[number].capacity = SIZES[number % 3];
-        if plan.uneven.wanted > 0.0 && number % RACK.1 == 0 {
+        if plan.variation.rack_share > 0.0 && number % RACK.1 == 0 {
             world.workers[number].rack = RACK.0.to_owned();
         }
     }
-    world.remote_factor = plan.uneven.remote;
+    world.remote_factor = plan.variation.remote_factor;
     set_slowdowns(&mut world, &plan, false);
     world.run(Duration::from_secs(4));
     world.late_share = plan.late;
     let mean: f64 = KINDS.iter().map(mean_work).sum::<f64>() / 100.0;
-    let room = |n: usize| f64::from(SIZES[n % 3]) / 1000.0 * plan.uneven.speed(n);
+    let room = |n: usize| f64::from(SIZES[n % 3]) / 1000.0 * plan.variation.speed(n);
     let capacity: f64 = (0..plan.workers).map(room).sum();
     let per_s = plan.load * capacity / mean;
     let begin = world.now;
@@ -316,7 +316,7 @@
     let mut harm = Harm::default();
     while world.now < end {
         let bursting = (begin + span / 4..begin + span * 3 / 4).contains(&world.now);
-        let times = if bursting { plan.trouble.times() } else { 1.0 };
+        let times = if bursting { plan.faults.times() } else { 1.0 };
         let gap = -world.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / (per_s * times);
         world.run(Duration::from_secs_f64(gap));
         let middle = begin + span / 4..begin + span * 3 / 4;
@@ -325,20 +325,20 @@
         if slow {
             harm.play(&mut world, &plan);
         }
-        let trouble = if slow {
-            plan.trouble
+        let faults = if slow {
+            plan.faults
         } else {
-            Trouble::default()
+            LoadFaults::default()
         };
-        let kind = draw_kind(&mut world, &trouble);
-        offered.extend(offer(&mut world, &plan, &trouble, kind));
+        let kind = draw_kind(&mut world, &faults);
+        offered.extend(offer(&mut world, &plan, &faults, kind));
     }
     world.run(Duration::from_secs(6));
     report(&world, &offered, begin)
 }
 
 fn set_links(world: &mut World, plan: &LoadPlan) {
-    let small = plan.trouble.link_mbit * 1_000_000 / 8;
+    let small = plan.faults.link_mbit * 1_000_000 / 8;
     if small == 0 {
         return;
     }
@@ -364,13 +364,13 @@
 impl Harm {
     /// Plays what is due.
     fn play(&mut self, world: &mut World, plan: &LoadPlan) {
-        let trouble = plan.trouble;
-        if trouble.queues > 0 && world.now >= self.changed + CHANGE_GAP_US {
+        let faults = plan.faults;
+        if faults.queues > 0 && world.now >= self.changed + CHANGE_GAP_US {
             self.changed = world.now;
             self.version += 1;
-            world.accept_catalog(catalog(2 + self.version, trouble.queues), |_| true);
+            world.accept_catalog(catalog(2 + self.version, faults.queues), |_| true);
         }
-        if self.restarts < trouble.restarts && world.now >= self.restarted + REPLACE_GAP_US {
+        if self.restarts < faults.restarts && world.now >= self.restarted + REPLACE_GAP_US {
             self.restarted = world.now;
             world.kill(Node::Executor(self.restarts % plan.workers), false, AWAY_US);
             self.restarts += 1;
@@ -386,7 +386,7 @@
         } else {
             1.0
         };
-        world.workers[number].slowdown = factor / plan.uneven.speed(number);
+        world.workers[number].slowdown = factor / plan.variation.speed(number);
     }
 }
 
@@ -402,9 +402,9 @@
 }
 
 /// The kind of the next job.
-fn draw_kind(world: &mut World, trouble: &Trouble) -> usize {
-    let draw = world.rng.random_range(0.0..100.0) * trouble.times();
-    let shares = trouble.shares();
+fn draw_kind(world: &mut World, faults: &LoadFaults) -> usize {
+    let draw = world.rng.random_range(0.0..100.0) * faults.times();
+    let shares = faults.shares();
     let mut kind = 0;
     let mut sum = shares[0];
     while draw > sum && kind < 2 {
@@ -415,7 +415,7 @@
 }
 
 /// Hands a job in. One with a task that takes workers down is not offered work.
-fn offer(world: &mut World, plan: &LoadPlan, trouble: &Trouble, kind: usize) -> Option<Offered> {
+fn offer(world: &mut World, plan: &LoadPlan, faults: &LoadFaults, kind: usize) -> Option<Offered> {
     let k = KINDS[kind];
     let count = (around(world, k.width, 0.4).round() as u32).clamp(1, k.widest);
     let work_ms = around(world, k.work_ms, 0.4);
@@ -426,8 +426,8 @@
     let longest = works.iter().copied().max().unwrap_or_default();
     let estimate = around(world, work_ms, 0.4);
     // Nothing is drawn where no rack is wanted, so that the seeds of such runs give what they gave.
-    let wanted = plan.uneven.wanted;
-    let near = kind == 0 && wanted > 0.0 && world.rng.random_bool(wanted);
+    let rack_share = plan.variation.rack_share;
+    let near = kind == 0 && rack_share > 0.0 && world.rng.random_bool(rack_share);
     let number = world.callers.next_number();
     let request = JobRequest {
         number,
@@ -466,16 +466,16 @@
     );
     world.witness.jobs.insert(
         number,
-        SeenJob {
+        JobHistory {
             tasks: count,
             cpu: cpu_milli,
-            ..SeenJob::default()
+            ..JobHistory::default()
         },
     );
     let at = world.now;
     // Nothing is drawn where none crash, so that the seeds of such runs give what they gave.
-    let may_crash = trouble.crashing_kind.is_none_or(|k| k == kind);
-    let crashing = if may_crash { trouble.crashing } else { 0.0 };
+    let may_crash = faults.crashing_kind.is_none_or(|k| k == kind);
+    let crashing = if may_crash { faults.crashing } else { 0.0 };
     let crashes = crashing > 0.0 && world.rng.random_bool(crashing);
     if crashes && let Some(job) = world.callers.jobs.get_mut(&number) {
         job.crashing_task = Some(0);
@@ -506,7 +506,7 @@
 fn entry(world: &mut World, plan: &LoadPlan) -> usize {
     let drawn = world.rng.random_range(0..plan.schedulers);
     let third = drawn * 3 / plan.schedulers;
-    if third < 2 || plan.swing == 0.0 || !world.rng.random_bool(plan.swing) {
+    if third < 2 || plan.load_skew == 0.0 || !world.rng.random_bool(plan.load_skew) {
         return drawn;
     }
     world.rng.random_range(0..plan.schedulers.div_ceil(3))
@@ -542,7 +542,7 @@
         thirds,
         windows,
         crashes: world.crashes,
-        misjudged: world.witness.misjudged,
+        wrongly_failed: world.witness.wrongly_failed,
         digest: digest(world),
         violation: world.witness.violation.clone(),
     }
--- a/lib/testutils/src/dispatch/run.rs
+++ b/lib/testutils/src/dispatch/run.rs
@@ -98,9 +98,9 @@
     /// Whether executors are asked to leave, and are started again.
     pub departing: bool,
     /// Whether schedulers are linked twice, and single links break.
-    pub doubled: bool,
+    pub duplicate_links: bool,
     /// Whether workers that have crashed come up under the id that they had.
-    pub reborn: bool,
+    pub reuse_ids: bool,
     /// Whether schedulers that have just started serve before they have met everybody, while the store turns some away.
     pub recovering: bool,
     /// Whether jobs are of several priorities, and urgent ones may stop the runs of others.
@@ -139,7 +139,7 @@
     if plan.recovering {
         world.unserved_share = UNSERVED;
     }
-    if plan.reborn {
+    if plan.reuse_ids {
         world.keep_worker_ids();
     }
     let span = plan.span;
@@ -179,7 +179,7 @@
                 world.leave_executor(n);
             }
         }
-        if plan.doubled && world.rng.random_bool(DOUBLED) {
+        if plan.duplicate_links && world.rng.random_bool(DOUBLED) {
             double_or_break(&mut world);
         }
         if world.rng.random_bool(faults) {
@@ -189,7 +189,7 @@
             lose_again(&mut world);
         }
         if plan.losses && world.rng.random_bool(LOSSES) {
-            lose_many(&mut world, plan.reborn);
+            lose_many(&mut world, plan.reuse_ids);
         }
     }
     calm(&mut world);
--- a/lib/testutils/src/dispatch/witness.rs
+++ b/lib/testutils/src/dispatch/witness.rs
@@ -13,7 +13,7 @@
 
 /// What was observed of a job.
 #[derive(Clone, Debug, Default)]
-pub struct SeenJob {
+pub struct JobHistory {
     /// The number of tasks.
     pub tasks: u32,
     /// The CPU demand of each task, in thousandths of a core.
@@ -28,7 +28,7 @@
     /// The task that crashes workers, once it has crashed one.
     pub culprit: Option<Culprit>,
     /// The number of submissions.
-    pub handed_in: u32,
+    pub submissions: u32,
     /// The number of submissions that were refused.
     pub refused: u32,
     /// Whether a task of the job has started.
@@ -48,9 +48,9 @@
 
 /// Checks observations against the guarantees and keeps the first violation.
 #[derive(Clone, Debug, Default)]
-pub struct Witness {
+pub struct InvariantChecker {
     /// The jobs that callers submitted.
-    pub jobs: HashMap<JobNumber, SeenJob>,
+    pub jobs: HashMap<JobNumber, JobHistory>,
     /// The first violation.
     pub violation: Option<String>,
     /// The number of task starts.
@@ -62,7 +62,7 @@
     /// The number of all other answers.
     pub others: u64,
     /// The number of jobs that were reported as failed because of crashes that other jobs caused.
-    pub misjudged: u64,
+    pub wrongly_failed: u64,
 }
 
 /// A task that has failed this many times fails its job.
@@ -74,7 +74,7 @@
 /// This many starts beyond [`MAX_CRASHES`] are a violation.
 pub const EXCESS_STARTS: u32 = 3;
 
-impl SeenJob {
+impl JobHistory {
     /// Records the start of a task. Returns whether the task crashes workers and has now been started too many
     /// times.
     fn record_start(&mut self, index: u32) -> bool {
@@ -87,43 +87,43 @@
     }
 }
 
-impl Witness {
+impl InvariantChecker {
     /// Records a violation; the first one is kept.
-    pub fn break_promise(&mut self, what: String) {
+    pub fn report_violation(&mut self, what: String) {
         self.violation.get_or_insert(what);
     }
 
     /// Checks the start of a task. `elsewhere` says whether the task runs at another worker already; `taken` is
     /// the demand of all tasks at this worker, including the new one.
-    pub fn started(&mut self, task: TaskName, elsewhere: bool, taken: u32, capacity: u32) {
+    pub fn check_start(&mut self, task: TaskName, elsewhere: bool, taken: u32, capacity: u32) {
         self.starts += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.break_promise(format!(
+            return self.report_violation(format!(
                 "{task} was started, but its job was never submitted"
             ));
         };
         job.began = true;
         let repeated = job.record_start(task.index);
-        if job.refused > 0 && job.refused == job.handed_in {
-            self.break_promise(format!("{task} was started after its job had been refused"));
+        if job.refused > 0 && job.refused == job.submissions {
+            self.report_violation(format!("{task} was started after its job had been refused"));
         }
         if repeated {
-            self.break_promise(format!(
+            self.report_violation(format!(
                 "{task} was started {EXCESS_STARTS} more times after it had crashed {MAX_CRASHES} workers"
             ));
         }
         if elsewhere {
-            self.break_promise(format!("{task} runs at two workers at the same time"));
+            self.report_violation(format!("{task} runs at two workers at the same time"));
         }
         if taken > capacity {
-            self.break_promise(format!(
+            self.report_violation(format!(
                 "{task} exceeds its worker's capacity: {taken} of {capacity} in use"
             ));
         }
     }
 
     /// Records the crash of a worker. `running` are the tasks that ran there or whose ends were not acknowledged yet.
-    pub fn crashed<'a>(&mut self, running: impl Iterator<Item = &'a TaskName>) {
+    pub fn record_crash<'a>(&mut self, running: impl Iterator<Item = &'a TaskName>) {
         for task in running {
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 *job.crashes.entry(task.index).or_default() += 1;
@@ -132,7 +132,7 @@
     }
 
     /// Records that a task crashed its worker.
-    pub fn crashed_by(&mut self, task: TaskName) {
+    pub fn record_culprit(&mut self, task: TaskName) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let culprit = job.culprit.get_or_insert(Culprit {
                 index: task.index,
@@ -143,9 +143,9 @@
     }
 
     /// Checks an answer to a caller against what the workers did.
-    pub fn answered(&mut self, number: JobNumber, outcome: JobOutcome) {
+    pub fn check_answer(&mut self, number: JobNumber, outcome: JobOutcome) {
         let Some(job) = self.jobs.get_mut(&number) else {
-            return self.break_promise(format!("{number} was answered, but never submitted"));
+            return self.report_violation(format!("{number} was answered, but never submitted"));
         };
         match outcome {
             JobOutcome::Completed => {
@@ -156,18 +156,18 @@
                     let what = format!(
                         "{number} is reported as completed with {done} of {tasks} tasks done"
                     );
-                    self.break_promise(what);
+                    self.report_violation(what);
                 }
             }
             JobOutcome::Failed => {
                 self.others += 1;
-                let often = job.failed.values().any(|n| *n >= MAX_ATTEMPTS);
-                let crashed = job.crashes.values().any(|n| *n >= MIN_CRASHES_TO_FAIL);
-                if !often && job.culprit.is_none() {
-                    self.misjudged += 1;
+                let failed_often = job.failed.values().any(|n| *n >= MAX_ATTEMPTS);
+                let crashed_often = job.crashes.values().any(|n| *n >= MIN_CRASHES_TO_FAIL);
+                if !failed_often && job.culprit.is_none() {
+                    self.wrongly_failed += 1;
                 }
-                if !often && !crashed {
-                    self.break_promise(format!(
+                if !failed_often && !crashed_often {
+                    self.report_violation(format!(
                         "{number} is reported as failed, but no task failed or crashed often enough"
                     ));
                 }
@@ -175,8 +175,8 @@
             JobOutcome::Refused(_) => {
                 self.refused += 1;
                 job.refused += 1;
-                if job.began && job.refused == job.handed_in {
-                    self.break_promise(format!(
+                if job.began && job.refused == job.submissions {
+                    self.report_violation(format!(
                         "{number} was refused after one of its tasks had started"
                     ));
                 }
--- a/lib/testutils/src/dispatch/worker.rs
+++ b/lib/testutils/src/dispatch/worker.rs
@@ -48,7 +48,7 @@
     /// When the worker's clock read zero, in microseconds on the world's clock.
     clock_zero: u64,
     /// The number of heartbeats that it has sent.
-    pub beats: u64,
+    pub heartbeats: u64,
     /// The CPU capacity, in thousandths of a core.
     pub capacity: u32,
     /// When the capacity was last reduced, and the limit that held until then.
@@ -81,7 +81,7 @@
         WorkerModel {
             life,
             clock_zero: 0,
-            beats: 0,
+            heartbeats: 0,
             capacity,
             last_reduction: None,
             up: true,
@@ -100,7 +100,7 @@
     }
 
     /// Sets when the worker's clock reads zero, in microseconds on the world's clock.
-    pub fn with_clock(self, clock_zero: u64) -> WorkerModel {
+    pub fn with_clock_zero(self, clock_zero: u64) -> WorkerModel {
         WorkerModel { clock_zero, ..self }
     }
 
@@ -233,12 +233,12 @@
     }
 
     /// Returns whether there are ends with a higher number than `seen`.
-    pub fn has_news(&self, seen: u64) -> bool {
+    pub fn has_unseen_ends(&self, seen: u64) -> bool {
         self.finished.iter().any(|f| f.number > seen)
     }
 
     /// Returns the tasks that run here or whose ends are not acknowledged yet.
-    pub fn known_there(&self) -> impl Iterator<Item = &TaskName> {
+    pub fn unacknowledged_tasks(&self) -> impl Iterator<Item = &TaskName> {
         let ended = self.finished.iter().map(|f| &f.run.task);
         self.running.keys().chain(ended)
     }
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -41,7 +41,7 @@
 use crate::dispatch::callers::RESUBMIT_US;
 use crate::dispatch::network::Network;
 use crate::dispatch::network::Node;
-use crate::dispatch::witness::Witness;
+use crate::dispatch::witness::InvariantChecker;
 use crate::dispatch::worker::WorkerModel;
 use crate::dispatch::world::evacuations::Evacuations;
 
@@ -149,7 +149,7 @@
     /// The random number generator of the run.
     pub rng: ChaCha8Rng,
     /// The checks of the guarantees.
-    pub witness: Witness,
+    pub witness: InvariantChecker,
     /// The callers.
     pub callers: Callers,
     /// The workers.
@@ -219,7 +219,7 @@
             policy,
             now: 10_000_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            witness: Witness::default(),
+            witness: InvariantChecker::default(),
             callers: Callers::with_catalog(catalog),
             workers: Vec::new(),
             crashes: 0,
@@ -437,7 +437,7 @@
                             "{:?} is started in a zone that its executor knows to be evacuated",
                             call.run
                         );
-                        self.witness.break_promise(what);
+                        self.witness.report_violation(what);
                     }
                     let (wait, order) = self.order_delay(n);
                     if order.late {
@@ -489,7 +489,7 @@
         job.submissions += 1;
         let request = job.request.clone();
         if let Some(seen) = self.witness.jobs.get_mut(&number) {
-            seen.handed_in += 1;
+            seen.submissions += 1;
         }
         self.schedule(RESUBMIT_US, Event::Resubmit(number));
         let node = &self.schedulers[scheduler];
@@ -511,7 +511,7 @@
         let Some(number) = self.callers.waiting.remove(&caller) else {
             return;
         };
-        self.witness.answered(number, outcome);
+        self.witness.check_answer(number, outcome);
         self.answers.push((self.now, number, outcome));
         if outcome != JobOutcome::Unknown
             && let Some(job) = self.callers.jobs.get_mut(&number)
--- a/lib/testutils/src/dispatch/world/evacuations.rs
+++ b/lib/testutils/src/dispatch/world/evacuations.rs
@@ -135,7 +135,7 @@
         let in_force = since.is_some_and(|since| self.now.saturating_sub(since) >= IN_FORCE_US);
         if knows || (in_force && node.served_since.is_some_and(served)) {
             let what = format!("scheduler {n} places tasks in the evacuated zone {zone}");
-            self.witness.break_promise(what);
+            self.witness.report_violation(what);
         }
     }
 }
--- a/lib/testutils/src/dispatch/world/workers.rs
+++ b/lib/testutils/src/dispatch/world/workers.rs
@@ -63,7 +63,7 @@
         let Some(job) = self.callers.jobs.get(&task.job) else {
             return self
                 .witness
-                .break_promise(format!("{task} was started, but its job is unknown"));
+                .report_violation(format!("{task} was started, but its job is unknown"));
         };
         let (mut work_us, fails) = (job.work_us_of(task.index), job.fails);
         let rack = &job.request.steps[task.step as usize].rack;
@@ -108,7 +108,8 @@
             |t: &stackcourse_lib::dispatch::model::TaskName| jobs.get(&t.job).map_or(0, |j| j.cpu);
         let taken = self.workers[n].running.keys().map(cpu_of).sum();
         let capacity = self.workers[n].usable_capacity(self.now);
-        self.witness.started(run.task, elsewhere, taken, capacity);
+        self.witness
+            .check_start(run.task, elsewhere, taken, capacity);
     }
 
     pub(super) fn stop(
@@ -152,7 +153,7 @@
         let now = self.now;
         let first = self.workers[n].hold(now, &call);
         let lists = matches!(first, HoldReply::Lists { .. });
-        if lists && now < until && !self.workers[n].has_news(call.seen) {
+        if lists && now < until && !self.workers[n].has_unseen_ends(call.seen) {
             return self.schedule(POLL_INTERVAL_US, Event::Hold(n, incarnation, call, until));
         }
         let lost = self.rng.random_bool(self.lost_share);
@@ -180,7 +181,7 @@
     /// Returns the worker's next heartbeat.
     fn next_heartbeat(&mut self, number: usize) -> WorkerHeartbeat {
         let worker = &mut self.workers[number];
-        worker.beats += 1;
+        worker.heartbeats += 1;
         WorkerHeartbeat {
             life: worker.life.clone(),
             service: SERVICE.to_owned(),
@@ -191,7 +192,7 @@
                 gpu: 0,
             },
             labels: labels_of(&worker.rack),
-            sequence: worker.beats,
+            sequence: worker.heartbeats,
         }
     }
 
@@ -243,7 +244,8 @@
     /// Crashes a worker. It stays down until it is restarted or replaced.
     pub fn crash_worker(&mut self, number: usize) {
         if self.workers[number].up {
-            self.witness.crashed(self.workers[number].known_there());
+            self.witness
+                .record_crash(self.workers[number].unacknowledged_tasks());
             if self.reuses_ids {
                 self.delay_heartbeat(number);
             }
@@ -267,7 +269,7 @@
         }
         self.print(Node::Executor(n), &format!("worker: crash under {run:?}"));
         self.crashes += 1;
-        self.witness.crashed_by(run.task);
+        self.witness.record_culprit(run.task);
         self.lose_power(n);
     }
 
@@ -305,6 +307,6 @@
         } else {
             u64::MAX - life
         });
-        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock(self.now)
+        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock_zero(self.now)
     }
 }
--- a/lib/testutils/src/platform/callers.rs
+++ b/lib/testutils/src/platform/callers.rs
@@ -8,7 +8,7 @@
 use stackcourse_lib::dispatch::model::JobNumber;
 use stackcourse_lib::dispatch::model::JobOutcome;
 
-use crate::dispatch::witness::SeenJob;
+use crate::dispatch::witness::JobHistory;
 use crate::platform::workers::CRASH;
 use crate::platform::workers::SharedWorkers;
 
@@ -108,21 +108,29 @@
 pub async fn hand_in(workers: &SharedWorkers, entry: SocketAddr, job: CallerJob) -> Got {
     {
         let mut workers = workers.lock().unwrap();
-        let seen = workers.witness.jobs.entry(job.number).or_insert(SeenJob {
-            tasks: job.tasks,
-            cpu: job.cpu,
-            ..SeenJob::default()
-        });
-        seen.handed_in += 1;
+        let seen = workers
+            .witness
+            .jobs
+            .entry(job.number)
+            .or_insert(JobHistory {
+                tasks: job.tasks,
+                cpu: job.cpu,
+                ..JobHistory::default()
+            });
+        seen.submissions += 1;
     }
     let path = format!("{PREFIX}{}", job.number);
     let got = call(entry, "POST", &path, Some(job.body())).await;
     let mut workers = workers.lock().unwrap();
     workers.advance();
     match (got.status, got.state.as_str()) {
-        (200, "completed") => workers.witness.answered(job.number, JobOutcome::Completed),
-        (200, "failed") => workers.witness.answered(job.number, JobOutcome::Failed),
-        (503, _) => workers.witness.answered(job.number, JobOutcome::Refused(0)),
+        (200, "completed") => workers
+            .witness
+            .check_answer(job.number, JobOutcome::Completed),
+        (200, "failed") => workers.witness.check_answer(job.number, JobOutcome::Failed),
+        (503, _) => workers
+            .witness
+            .check_answer(job.number, JobOutcome::Refused(0)),
         _ => {}
     }
     got
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -23,7 +23,7 @@
 use stackcourse_lib::dispatch::model::JobNumber;
 use stackcourse_lib::dispatch::model::TaskName;
 
-use crate::dispatch::witness::Witness;
+use crate::dispatch::witness::InvariantChecker;
 use crate::dispatch::worker::WorkerModel;
 use crate::standin;
 use crate::standin::StandIn;
@@ -51,7 +51,7 @@
     /// The workers, by number.
     pub models: Vec<WorkerModel>,
     /// What they and the callers see.
-    pub witness: Witness,
+    pub witness: InvariantChecker,
     /// The service they work for.
     pub service: String,
     /// How many lives were taken down by a task.
@@ -74,7 +74,7 @@
     pub fn new(count: usize, service: &str) -> SharedWorkers {
         let mut workers = Workers {
             models: Vec::new(),
-            witness: Witness::default(),
+            witness: InvariantChecker::default(),
             service: service.to_owned(),
             crashes: 0,
             starts: vec![0; count],
@@ -99,7 +99,8 @@
     fn life_under(&mut self, id: String) -> WorkerModel {
         self.lives += 1;
         let born = Some(BORN_MS + self.now() / 1000);
-        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock(self.now() - 1000)
+        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY)
+            .with_clock_zero(self.now() - 1000)
     }
 
     /// The time on the workers' clock, in microseconds.
@@ -124,13 +125,15 @@
     /// A worker crashes and comes up under the id that it had.
     pub fn restart(&mut self, number: usize) {
         self.advance();
-        self.witness.crashed(self.models[number].known_there());
+        self.witness
+            .record_crash(self.models[number].unacknowledged_tasks());
         let id = self.models[number].life.id.clone();
         self.models[number] = self.life_under(id);
     }
 
     fn begin_anew(&mut self, number: usize) {
-        self.witness.crashed(self.models[number].known_there());
+        self.witness
+            .record_crash(self.models[number].unacknowledged_tasks());
         self.models[number] = match self.lives.is_multiple_of(2) {
             true => self.life_under(self.models[number].life.id.clone()),
             false => self.new_life(),
@@ -146,7 +149,7 @@
             let there = self.models[number].running.get(&name.task);
             if there.is_some_and(|r| r.run == name.run) {
                 self.crashes += 1;
-                self.witness.crashed_by(name.task);
+                self.witness.record_culprit(name.task);
                 self.begin_anew(number);
             }
         }
@@ -193,13 +196,13 @@
         let jobs = &self.witness.jobs;
         let cpu = |t: &TaskName| jobs.get(&t.job).map_or(0, |j| j.cpu);
         let taken = self.models[number].running.keys().map(cpu).sum();
-        self.witness.started(task, elsewhere, taken, CAPACITY);
+        self.witness.check_start(task, elsewhere, taken, CAPACITY);
         self.starts[number] += 1;
         let now = self.now();
         let since = self.evacuated[number].map(|at| now.saturating_sub(at));
         if since.is_some_and(|since| since >= IN_FORCE_US) {
             let what = format!("{task} was started at worker {number}, which is evacuated");
-            self.witness.break_promise(what);
+            self.witness.report_violation(what);
         }
     }
 }
@@ -243,7 +246,7 @@
             let now = workers.now();
             let service = workers.service.clone();
             let model = &mut workers.models[desk.number];
-            model.beats += 1;
+            model.heartbeats += 1;
             let state = if model.draining { "draining" } else { "ready" };
             let document = json!({
                 "service": service,
@@ -256,7 +259,7 @@
                 "capacity": {"cpu": model.capacity, "memMb": 65_536, "gpu": 0},
                 "labels": ["a", "r1"],
                 "clockMs": model.clock_ms(now),
-                "sequence": model.beats,
+                "sequence": model.heartbeats,
                 "born": model.life.born,
             });
             (model.life.id.clone(), document)
@@ -385,7 +388,7 @@
             let mut workers = desk.workers.lock().unwrap();
             let now = workers.advance();
             let model = &mut workers.models[desk.number];
-            (model.hold(now, &call), model.has_news(call.seen))
+            (model.hold(now, &call), model.has_unseen_ends(call.seen))
         };
         let lists = matches!(reply, HoldReply::Lists { .. });
         if news || !lists || Instant::now() >= end {
--- a/lib/testutils/tests/runner/test_crashing_tasks.rs
+++ b/lib/testutils/tests/runner/test_crashing_tasks.rs
@@ -20,9 +20,9 @@
 use stackcourse_lib::dispatch::model::JobOutcome;
 use stackcourse_lib::dispatch::policy::Policy;
 use stackcourse_testutils::dispatch::load;
+use stackcourse_testutils::dispatch::load::LoadFaults;
 use stackcourse_testutils::dispatch::load::LoadPlan;
-use stackcourse_testutils::dispatch::load::Trouble;
-use stackcourse_testutils::dispatch::load::Uneven;
+use stackcourse_testutils::dispatch::load::WorkerVariation;
 use stackcourse_testutils::dispatch::network::Node;
 use stackcourse_testutils::dispatch::world::World;
 
@@ -89,18 +89,18 @@
             schedulers: 3,
             workers: 11,
             late: 0.0,
-            swing: 0.0,
+            load_skew: 0.0,
             slow: 0,
-            trouble: Trouble {
+            faults: LoadFaults {
                 crashing: 0.1,
                 crashing_kind: Some(0),
-                ..Trouble::default()
+                ..LoadFaults::default()
             },
-            uneven: Uneven::default(),
+            variation: WorkerVariation::default(),
             policy: Policy::default(),
         });
         assert_eq!(report.violation, None, "seed {seed}");
-        goodput += report.goodput_in_trouble() / SEEDS as f64;
+        goodput += report.goodput_under_faults() / SEEDS as f64;
     }
     assert!(goodput > 0.45, "{goodput} of the work in time");
 }
@@ -113,7 +113,7 @@
     const SEEDS: u64 = 40;
     const FIRST: u64 = 8;
     let mut goodput = 0.0;
-    let mut misjudged = 0;
+    let mut wrongly_failed = 0;
     for seed in 1..=SEEDS {
         let report = load::run(LoadPlan {
             seed,
@@ -122,21 +122,21 @@
             schedulers: 3,
             workers: 11,
             late: 0.0,
-            swing: 0.0,
+            load_skew: 0.0,
             slow: 0,
-            trouble: Trouble {
+            faults: LoadFaults {
                 crashing: 0.005,
-                ..Trouble::default()
+                ..LoadFaults::default()
             },
-            uneven: Uneven::default(),
+            variation: WorkerVariation::default(),
             policy: Policy::default(),
         });
         assert_eq!(report.violation, None, "seed {seed}");
-        goodput += report.goodput_in_trouble() / SEEDS as f64;
+        goodput += report.goodput_under_faults() / SEEDS as f64;
         if seed <= FIRST {
-            misjudged += report.misjudged;
+            wrongly_failed += report.wrongly_failed;
         }
     }
     assert!(goodput > 0.75, "{goodput} of the other work in time");
-    assert_eq!(misjudged, 0, "jobs given up for what others did");
+    assert_eq!(wrongly_failed, 0, "jobs given up for what others did");
 }
--- a/lib/testutils/tests/runner/test_dispatch_load.rs
+++ b/lib/testutils/tests/runner/test_dispatch_load.rs
@@ -4,9 +4,9 @@
 
 use stackcourse_lib::dispatch::policy::Policy;
 use stackcourse_testutils::dispatch::load;
+use stackcourse_testutils::dispatch::load::LoadFaults;
 use stackcourse_testutils::dispatch::load::LoadPlan;
-use stackcourse_testutils::dispatch::load::Trouble;
-use stackcourse_testutils::dispatch::load::Uneven;
+use stackcourse_testutils::dispatch::load::WorkerVariation;
 
 fn plan(policy: Policy) -> LoadPlan {
     LoadPlan {
@@ -15,11 +15,11 @@
         span: Duration::from_secs(8),
         schedulers: 3,
         workers: 11,
-        swing: 0.0,
+        load_skew: 0.0,
         late: 0.0,
         slow: 2,
-        trouble: Trouble::default(),
-        uneven: Uneven::default(),
+        faults: LoadFaults::default(),
+        variation: WorkerVariation::default(),
         policy,
     }
 }
@@ -54,7 +54,7 @@
             schedulers: 10,
             workers: 30,
             slow: 0,
-            trouble: Trouble {
+            faults: LoadFaults {
                 crashing_kind: None,
                 link_mbit: 25,
                 queues: 1500,
@@ -66,9 +66,9 @@
         };
         let report = load::run(plan);
         assert_eq!(report.violation, None, "seed {seed}");
-        let back = report.time_until_back(0.9);
+        let back = report.recovery_time(0.9);
         assert!(back <= Duration::from_secs(2), "well again after {back:?}");
-        goodput += report.goodput_in_trouble() / SEEDS as f64;
+        goodput += report.goodput_under_faults() / SEEDS as f64;
     }
     assert!(goodput > 0.85, "{goodput} of the work in time meanwhile");
 }
@@ -100,16 +100,16 @@
     let mut shares = [0.0; 3];
     let mut goodput = 0.0;
     for seed in 1..=SEEDS {
-        let trouble = Trouble {
+        let faults = LoadFaults {
             bursts,
-            ..Trouble::default()
+            ..LoadFaults::default()
         };
         let plan = LoadPlan {
             seed,
             load,
             schedulers: 4,
             slow: 0,
-            trouble,
+            faults,
             ..plan(policy)
         };
         let report = load::run(plan);
@@ -160,7 +160,7 @@
                 schedulers: 12,
                 workers: 30,
                 slow: 0,
-                swing: 0.55,
+                load_skew: 0.55,
                 ..plan(policy)
             });
             assert_eq!(report.violation, None, "seed {seed}");
--- a/lib/testutils/tests/runner/test_dispatch_run.rs
+++ b/lib/testutils/tests/runner/test_dispatch_run.rs
@@ -64,7 +64,7 @@
         let report = run::run_plan(RunPlan {
             seed,
             span: SPAN,
-            doubled: true,
+            duplicate_links: true,
             losses: seed % 2 == 0,
             leaving: seed % 3 == 0,
             ..RunPlan::default()
@@ -199,7 +199,7 @@
             departing: true,
             leaving: seed % 2 == 0,
             losses: seed % 3 == 0,
-            reborn: seed % 4 == 0,
+            reuse_ids: seed % 4 == 0,
             ..RunPlan::default()
         });
         assert_eq!(report.violation, None, "seed {seed}");
@@ -225,7 +225,7 @@
         RunPlan {
             seed: 22,
             crashing: true,
-            reborn: true,
+            reuse_ids: true,
             suspensions: Suspensions::Counted,
             ..losses
         },
@@ -252,7 +252,7 @@
         let report = run::run_plan(RunPlan {
             seed,
             span: SPAN,
-            reborn: true,
+            reuse_ids: true,
             crashing,
             ..RunPlan::default()
         });
--- a/lib/testutils/tests/runner/test_uneven_servers.rs
+++ b/lib/testutils/tests/runner/test_uneven_servers.rs
@@ -4,12 +4,12 @@
 
 use stackcourse_lib::dispatch::policy::Policy;
 use stackcourse_testutils::dispatch::load;
+use stackcourse_testutils::dispatch::load::LoadFaults;
 use stackcourse_testutils::dispatch::load::LoadPlan;
 use stackcourse_testutils::dispatch::load::LoadReport;
-use stackcourse_testutils::dispatch::load::Trouble;
-use stackcourse_testutils::dispatch::load::Uneven;
+use stackcourse_testutils::dispatch::load::WorkerVariation;
 
-fn plan(seed: u64, uneven: Uneven, policy: Policy) -> LoadPlan {
+fn plan(seed: u64, variation: WorkerVariation, policy: Policy) -> LoadPlan {
     LoadPlan {
         seed,
         load: 0.9,
@@ -17,10 +17,10 @@
         schedulers: 3,
         workers: 12,
         late: 0.0,
-        swing: 0.0,
+        load_skew: 0.0,
         slow: 1,
-        trouble: Trouble::default(),
-        uneven,
+        faults: LoadFaults::default(),
+        variation,
         policy,
     }
 }
@@ -34,7 +34,7 @@
 /// With the switch off each answer comes when it came before there was one, and is the same.
 #[test]
 fn test_uneven_servers_switched_off_change_nothing() {
-    let quarter = Uneven::of(&[0.55, 1.2, 1.2, 1.2]);
+    let quarter = WorkerVariation::of(&[0.55, 1.2, 1.2, 1.2]);
     let digests = [1, 2].map(|seed| play(plan(seed, quarter, Policy::default())).digest);
     assert_eq!(
         digests,
@@ -52,11 +52,11 @@
 #[test]
 fn test_uneven_servers_serve_more_where_tasks_go_by_speed() {
     const SEEDS: u64 = 3;
-    let half = Uneven::of(&[0.5, 1.5]);
+    let half = WorkerVariation::of(&[0.5, 1.5]);
     let [off, on] = [Policy::default(), by_speed()].map(|policy| {
         let plans = (1..=SEEDS).map(|seed| LoadPlan {
             load: 0.8,
-            swing: 0.0,
+            load_skew: 0.0,
             slow: 0,
             ..plan(seed, half, policy)
         });
@@ -69,15 +69,15 @@
 #[test]
 fn test_uneven_servers_fewer_jobs_are_late_far_from_their_data() {
     const SEEDS: u64 = 3;
-    let mut rack = Uneven::default();
-    rack.wanted = 0.6;
-    rack.remote = 2.0;
+    let mut rack = WorkerVariation::default();
+    rack.rack_share = 0.6;
+    rack.remote_factor = 2.0;
     let mut far = by_speed();
     far.speeds.far_factor = 2.0;
     let [off, on] = [Policy::default(), far].map(|policy| {
         let plans = (1..=SEEDS).map(|seed| LoadPlan {
             load: 0.7,
-            swing: 0.0,
+            load_skew: 0.0,
             slow: 0,
             ..plan(seed, rack, policy)
         });
