--- a/lib/testutils/src/dispatch.rs
+++ b/lib/testutils/src/dispatch.rs
@@ -1,5 +1,7 @@
-//! Randomised runs of the dispatch plane on a virtual clock: schedulers and executors as shipped,
-//! with models of the network, the workers and the callers around them.
+//! A simulation of the dispatch plane on a virtual clock.
+//!
+//! Runs the state machines of schedulers and executors as shipped against models of the network, the store,
+//! the workers and the callers, checks the invariants, and offers randomised runs and load runs.
 
 pub mod callers;
 pub mod load;
--- a/lib/testutils/src/dispatch/callers.rs
+++ b/lib/testutils/src/dispatch/callers.rs
@@ -1,8 +1,8 @@
 //! The callers of a simulated world and their jobs.
 //!
-//! Creates random jobs and keeps what the simulation has to know of each: its request, how long its tasks run and
-//! whether they fail or crash workers. [`World`](super::world::World) submits the jobs, and submits them again when
-//! no answer comes.
+//! Creates random jobs and keeps what the simulation has to know of each: its request, how long its tasks run
+//! and whether they fail or crash workers. [`World`](super::world::World) submits the jobs, and submits them
+//! again when no answer comes.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -131,7 +131,7 @@
         caller
     }
 
-    /// Creates a random job and registers it with the witness.
+    /// Creates a random job and registers it with the invariant checker.
     pub fn new_job(&mut self, rng: &mut impl Rng, witness: &mut InvariantChecker) -> JobNumber {
         let number = self.next_number();
         let count = rng.random_range(1..=8);
--- a/lib/testutils/src/dispatch/load.rs
+++ b/lib/testutils/src/dispatch/load.rs
@@ -1,5 +1,8 @@
-//! Load on the dispatch plane on a virtual clock: what the policy does with the users' mix of
-//! jobs at a share of the workers' capacity, without the processes' own cost.
+//! Load on a simulated dispatch plane.
+//!
+//! Submits the users' mix of jobs at a share of the workers' capacity, with planned faults in the middle half
+//! of the run, and reports the goodput: the share of the work that completes within its objective. The
+//! virtual clock leaves out the processing cost of the processes themselves.
 
 use std::rc::Rc;
 
@@ -20,47 +23,47 @@
 use crate::dispatch::witness::JobHistory;
 use crate::dispatch::world::World;
 
-/// A kind of jobs.
+/// A kind of jobs, with a queue of its own.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct JobKind {
     /// The name of its queue.
     pub name: &'static str,
-    /// How many of a hundred jobs are of it.
+    /// The share of jobs that are of this kind, in percent.
     pub share: f64,
-    /// The mean work of a task, in milliseconds.
+    /// The mean run time of a task, in milliseconds.
     pub work_ms: f64,
-    /// The mean number of tasks.
-    pub width: f64,
-    /// The most tasks.
-    pub widest: u32,
-    /// Its priority.
+    /// The mean number of tasks of a job.
+    pub mean_tasks: f64,
+    /// The largest number of tasks of a job.
+    pub max_tasks: u32,
+    /// The priority of the queue.
     pub priority: u32,
 }
 
-/// The kinds of the users' day.
-pub const KINDS: [Kind; 3] = [
-    Kind {
+/// The kinds of jobs of a typical day of the users.
+pub const KINDS: [JobKind; 3] = [
+    JobKind {
         name: "short",
         share: 24.5,
         work_ms: 60.0,
-        width: 8.0,
-        widest: 32,
+        mean_tasks: 8.0,
+        max_tasks: 32,
         priority: 0,
     },
-    Kind {
+    JobKind {
         name: "long",
         share: 4.4,
         work_ms: 900.0,
-        width: 4.0,
-        widest: 16,
+        mean_tasks: 4.0,
+        max_tasks: 16,
         priority: 2,
     },
-    Kind {
+    JobKind {
         name: "middle",
         share: 71.1,
         work_ms: 200.0,
-        width: 2.0,
-        widest: 8,
+        mean_tasks: 2.0,
+        max_tasks: 8,
         priority: 1,
     },
 ];
@@ -68,49 +71,49 @@
 const EXTENSION: f64 = 1.6;
 const OBJECTIVE_MS: u32 = 60;
 const MEAN_CPU: f64 = 1600.0;
-/// The most speeds that a plan names.
-const MOST_SPEEDS: usize = 8;
-/// The rack that a plan's jobs may want, and every so many workers there is one in it.
+/// The largest number of speeds in a plan.
+const MAX_SPEEDS: usize = 8;
+/// The rack that jobs may prefer, and its share of the workers: one in this many.
 const RACK: (&str, usize) = ("rack-0", 6);
-/// How many times as long a slow worker takes.
+/// The factor by which a slow worker takes longer.
 pub const SLOWDOWN: f64 = 5.0;
 const SIZES: [u32; 3] = [16_000, 16_000, 24_000];
 
-/// What to run.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPlan {
     /// The seed.
     pub seed: u64,
-    /// The offered work as a share of the capacity.
+    /// The offered work as a share of the workers' capacity.
     pub load: f64,
-    /// For how long, in virtual time.
+    /// For how long jobs are offered, in virtual time.
     pub span: Duration,
-    /// How many schedulers share the load.
+    /// The number of schedulers that share the load.
     pub schedulers: usize,
-    /// How many workers there are.
+    /// The number of workers.
     pub workers: usize,
-    /// How much more than its part the first third of the schedulers takes, and the last third less.
+    /// The share of the jobs of the last third of the schedulers that go to the first third instead.
     pub load_skew: f64,
-    /// The share of orders to workers that are carried out late.
+    /// The share of orders to workers that are delivered late.
     pub late: f64,
-    /// How many workers take [`SLOWDOWN`] times as long in the middle half of the span.
+    /// The number of workers that take [`SLOWDOWN`] times as long in the middle half of the span.
     pub slow: usize,
-    /// What goes wrong in the middle half of the span, beside slow workers.
+    /// The faults in the middle half of the span, apart from slow workers.
     pub faults: LoadFaults,
-    /// How the workers differ.
+    /// How the workers differ from each other.
     pub variation: WorkerVariation,
-    /// The figures that decide.
+    /// The policy of all processes.
     pub policy: Policy,
 }
 
-/// How workers differ: in speed, and in how far they are from data.
+/// Differences between workers in speed and in the distance to data.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerVariation {
-    speeds: [f64; MOST_SPEEDS],
+    speeds: [f64; MAX_SPEEDS],
     count: usize,
-    /// The share of jobs of the widest kind whose data lies in one rack.
+    /// The share of jobs of the first kind whose data lies in one rack.
     pub rack_share: f64,
-    /// How many times as long a task takes outside of its data's rack.
+    /// The factor by which a task takes longer outside the rack of its data.
     pub remote_factor: f64,
 }
 
@@ -121,10 +124,10 @@
 }
 
 impl WorkerVariation {
-    /// Workers of these speeds in turn, up to eight, none of them far from data.
+    /// Creates a variation with these speeds in turn, up to [`MAX_SPEEDS`], and no rack preferences.
     pub fn of(list: &[f64]) -> WorkerVariation {
-        let count = list.len().min(MOST_SPEEDS);
-        let mut speeds = [1.0; MOST_SPEEDS];
+        let count = list.len().min(MAX_SPEEDS);
+        let mut speeds = [1.0; MAX_SPEEDS];
         speeds[..count].copy_from_slice(&list[..count]);
         WorkerVariation {
             speeds,
@@ -139,91 +142,91 @@
     }
 }
 
-/// Trouble of a run; none by default.
+/// The faults of a run; none by default.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadFaults {
-    /// What the machines of two thirds of the schedulers can send and receive, in Mbit/s, all the time;
-    /// 0 for no limit. The others have [`LARGE_TIMES`] as much.
+    /// The bandwidth of the machines of two thirds of the schedulers during the whole run, in Mbit/s; 0 for
+    /// no limit. The others have [`LARGE_LINK_FACTOR`] times as much.
     pub link_mbit: u64,
-    /// A new configuration of this many queues is accepted each second; 0 for none.
+    /// The number of queues of the catalogs that the store accepts, one each second; 0 for none.
     pub queues: usize,
-    /// Executors that are restarted, one each [`REPLACE_GAP_US`].
+    /// The number of executor restarts, one each [`RESTART_INTERVAL_US`].
     pub restarts: usize,
-    /// The share of jobs in the middle half of the span with a task that takes down each worker
-    /// which starts it. They count neither as offered nor as done.
+    /// The share of jobs in the middle half of the span with a task that crashes each worker that starts it.
+    /// They count neither as offered nor as done.
     pub crashing: f64,
-    /// The kind of those jobs; none for all kinds.
+    /// The index of the kind of those jobs; `None` for all kinds.
     pub crashing_kind: Option<usize>,
-    /// How many times as many jobs of each kind come, in the order of [`KINDS`]; 0 for as many as ever.
+    /// The factor by which more jobs of each kind come, in the order of [`KINDS`]; 0 for the usual number.
     pub bursts: [f64; 3],
 }
 
 impl LoadFaults {
-    /// How many jobs of each kind come of a hundred without bursts.
-    fn shares(&self) -> [f64; 3] {
-        let times = |kind: usize| match self.bursts[kind] {
+    /// Returns the arrival rate of each kind; without bursts the rates sum to 100.
+    fn rates(&self) -> [f64; 3] {
+        let factor = |kind: usize| match self.bursts[kind] {
             0.0 => 1.0,
-            times => times,
+            factor => factor,
         };
-        [0, 1, 2].map(|kind| KINDS[kind].share * times(kind))
+        [0, 1, 2].map(|kind| KINDS[kind].share * factor(kind))
     }
 
-    /// How many times as many jobs come.
-    fn times(&self) -> f64 {
+    /// Returns the factor by which more jobs come in all.
+    fn factor(&self) -> f64 {
         if self.bursts == [0.0; 3] {
             return 1.0;
         }
-        self.shares().iter().sum::<f64>() / 100.0
+        self.rates().iter().sum::<f64>() / 100.0
     }
 }
 
-/// How many times the bandwidth of a small scheduler's machine a large one's has.
-const LARGE_TIMES: u64 = 8;
-/// See [`LoadFaults::restarts`]; in microseconds.
-const REPLACE_GAP_US: u64 = 200_000;
-/// How long a restarted executor is away, in microseconds.
-const AWAY_US: u64 = 500_000;
-/// Configurations are accepted so far apart, in microseconds.
-const CHANGE_GAP_US: u64 = 1_000_000;
-/// The span over which goodput is taken to tell when a run is well again, in microseconds.
+/// The bandwidth of a large machine as a multiple of that of a small one.
+const LARGE_LINK_FACTOR: u64 = 8;
+/// The interval between the restarts of [`LoadFaults::restarts`], in microseconds.
+const RESTART_INTERVAL_US: u64 = 200_000;
+/// The time until a killed executor restarts, in microseconds.
+const RESTART_US: u64 = 500_000;
+/// The interval between the catalogs of [`LoadFaults::queues`], in microseconds.
+const CATALOG_INTERVAL_US: u64 = 1_000_000;
+/// The length of the windows over which goodput is measured to find the recovery time, in microseconds.
 const WINDOW_US: u64 = 500_000;
 
-/// What became of the jobs of one kind.
+/// The results of the jobs of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KindReport {
-    /// Jobs handed in.
+    /// The number of jobs submitted.
     pub offered: u64,
-    /// Jobs complete within their objective.
+    /// The number of jobs that completed within their objective.
     pub in_time: u64,
-    /// Jobs complete later.
+    /// The number of jobs that completed later.
     pub late: u64,
-    /// Jobs refused.
+    /// The number of jobs that were refused.
     pub refused: u64,
-    /// The sum of their work, in core-seconds, and that of the jobs in time.
+    /// The work of all jobs and of the jobs in time, in core-seconds.
     pub work: (f64, f64),
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReport {
-    /// By kind, in the order of [`KINDS`].
+    /// The results by kind, in the order of [`KINDS`].
     pub kinds: [KindReport; 3],
-    /// The work that was offered and that was done in time, by thirds of the schedulers.
+    /// The work offered and the work done in time, by thirds of the schedulers.
     pub thirds: [(f64, f64); 3],
-    /// The work that was offered and that was done in time, by windows of half a second.
+    /// The work offered and the work done in time, by windows of half a second.
     pub windows: Vec<(f64, f64)>,
-    /// How many lives of workers were taken down by a task.
+    /// The number of worker crashes that were caused by a task.
     pub crashes: u64,
-    /// Jobs that were given up for such a task, and that would have run whole.
+    /// The number of jobs that were reported as failed because of crashes that other jobs caused.
     pub wrongly_failed: u64,
-    /// Tells runs apart of which one answer came at another time, or was another one.
+    /// A hash of all answers: their times, their jobs, and whether each reports a completed job.
     pub digest: u64,
-    /// The promise that was broken, if any.
+    /// The first violation of an invariant.
     pub violation: Option<String>,
 }
 
 impl LoadReport {
-    /// The share of the work offered in the middle half of the run that was done in time.
+    /// Returns the share of the work offered in the middle half of the run that was done in time.
     pub fn goodput_under_faults(&self) -> f64 {
         let count = self.windows.len();
         let middle = &self.windows[count / 4..count * 3 / 4];
@@ -232,7 +235,8 @@
         done / offered
     }
 
-    /// How long after the middle half of the run a window was below `share`; zero if none was.
+    /// Returns how long after the middle half of the run the last window with a goodput below `share` ends;
+    /// zero if there is none.
     pub fn recovery_time(&self, share: f64) -> Duration {
         let count = self.windows.len();
         let after = &self.windows[count * 3 / 4..];
@@ -241,7 +245,7 @@
         Duration::from_micros(windows * WINDOW_US)
     }
 
-    /// The share of the offered work that was done in time.
+    /// Returns the share of the offered work that was done in time.
     pub fn goodput(&self) -> f64 {
         let offered: f64 = self.kinds.iter().map(|k| k.work.0).sum();
         let done: f64 = self.kinds.iter().map(|k| k.work.1).sum();
@@ -249,7 +253,8 @@
     }
 }
 
-struct Offered {
+/// A job that counts as offered work.
+struct OfferedJob {
     number: JobNumber,
     kind: usize,
     third: usize,
@@ -258,8 +263,9 @@
     work: f64,
 }
 
-fn catalog(version: u64, more: usize) -> Catalog {
-    let queue = |kind: &Kind| Queue {
+/// Returns a catalog of one queue per kind and `extra` other queues.
+fn catalog(version: u64, extra: usize) -> Catalog {
+    let queue = |kind: &JobKind| Queue {
         name: kind.name.to_owned(),
         service: SERVICE.to_owned(),
         priority: kind.priority,
@@ -279,13 +285,13 @@
         queues: KINDS
             .iter()
             .map(queue)
-            .chain((0..more).map(other))
+            .chain((0..extra).map(other))
             .collect(),
         ..Catalog::default()
     }
 }
 
-/// Runs a plan.
+/// Runs a plan and returns its report.
 pub fn run(plan: LoadPlan) -> LoadReport {
     let mut world = World::with_policy(
         plan.seed,
@@ -294,7 +300,7 @@
         catalog(2, 0),
         plan.policy,
     );
-    set_links(&mut world, &plan);
+    set_bandwidths(&mut world, &plan);
     for number in 0..plan.workers {
         world.workers[number].capacity = SIZES[number % 3];
         if plan.variation.rack_share > 0.0 && number % RACK.1 == 0 {
@@ -305,25 +311,25 @@
     set_slowdowns(&mut world, &plan, false);
     world.run(Duration::from_secs(4));
     world.late_share = plan.late;
-    let mean: f64 = KINDS.iter().map(mean_work).sum::<f64>() / 100.0;
+    let mean_work: f64 = KINDS.iter().map(weighted_work).sum::<f64>() / 100.0;
     let room = |n: usize| f64::from(SIZES[n % 3]) / 1000.0 * plan.variation.speed(n);
     let capacity: f64 = (0..plan.workers).map(room).sum();
-    let per_s = plan.load * capacity / mean;
+    let per_s = plan.load * capacity / mean_work;
     let begin = world.now;
     let span = plan.span.as_micros() as u64;
     let end = begin + span;
     let mut offered = Vec::new();
-    let mut harm = Harm::default();
+    let mut fault_state = FaultState::default();
     while world.now < end {
         let bursting = (begin + span / 4..begin + span * 3 / 4).contains(&world.now);
-        let times = if bursting { plan.faults.times() } else { 1.0 };
-        let gap = -world.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / (per_s * times);
+        let factor = if bursting { plan.faults.factor() } else { 1.0 };
+        let gap = -world.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / (per_s * factor);
         world.run(Duration::from_secs_f64(gap));
         let middle = begin + span / 4..begin + span * 3 / 4;
         let slow = middle.contains(&world.now);
         set_slowdowns(&mut world, &plan, slow);
         if slow {
-            harm.play(&mut world, &plan);
+            fault_state.inject_due(&mut world, &plan);
         }
         let faults = if slow {
             plan.faults
@@ -331,20 +337,20 @@
             LoadFaults::default()
         };
         let kind = draw_kind(&mut world, &faults);
-        offered.extend(offer(&mut world, &plan, &faults, kind));
+        offered.extend(submit_job(&mut world, &plan, &faults, kind));
     }
     world.run(Duration::from_secs(6));
     report(&world, &offered, begin)
 }
 
-fn set_links(world: &mut World, plan: &LoadPlan) {
+fn set_bandwidths(world: &mut World, plan: &LoadPlan) {
     let small = plan.faults.link_mbit * 1_000_000 / 8;
     if small == 0 {
         return;
     }
     for n in 0..plan.schedulers {
         let rate = if n % 3 == 0 {
-            small * LARGE_TIMES
+            small * LARGE_LINK_FACTOR
         } else {
             small
         };
@@ -352,33 +358,37 @@
     }
 }
 
-/// What has gone wrong so far.
+/// The faults that were injected so far.
 #[derive(Default)]
-struct Harm {
-    version: u64,
-    changed: u64,
+struct FaultState {
+    catalogs: u64,
+    last_catalog: u64,
     restarts: usize,
-    restarted: u64,
+    last_restart: u64,
 }
 
-impl Harm {
-    /// Plays what is due.
-    fn play(&mut self, world: &mut World, plan: &LoadPlan) {
+impl FaultState {
+    /// Injects the faults that are due.
+    fn inject_due(&mut self, world: &mut World, plan: &LoadPlan) {
         let faults = plan.faults;
-        if faults.queues > 0 && world.now >= self.changed + CHANGE_GAP_US {
-            self.changed = world.now;
-            self.version += 1;
-            world.accept_catalog(catalog(2 + self.version, faults.queues), |_| true);
+        if faults.queues > 0 && world.now >= self.last_catalog + CATALOG_INTERVAL_US {
+            self.last_catalog = world.now;
+            self.catalogs += 1;
+            world.accept_catalog(catalog(2 + self.catalogs, faults.queues), |_| true);
         }
-        if self.restarts < faults.restarts && world.now >= self.restarted + REPLACE_GAP_US {
-            self.restarted = world.now;
-            world.kill(Node::Executor(self.restarts % plan.workers), false, AWAY_US);
+        if self.restarts < faults.restarts && world.now >= self.last_restart + RESTART_INTERVAL_US {
+            self.last_restart = world.now;
+            world.kill(
+                Node::Executor(self.restarts % plan.workers),
+                false,
+                RESTART_US,
+            );
             self.restarts += 1;
         }
     }
 }
 
-/// Gives each worker its speed; the slow ones are slow now or not.
+/// Sets the slowdown of each worker. `slow` says whether the slow workers of the plan are slow now.
 fn set_slowdowns(world: &mut World, plan: &LoadPlan, slow: bool) {
     for number in 0..plan.workers {
         let factor = if slow && number < plan.slow {
@@ -390,44 +400,51 @@
     }
 }
 
-/// The mean work of a kind's jobs, in core-seconds, times its share.
-fn mean_work(kind: &Kind) -> f64 {
-    kind.share * kind.width * kind.work_ms / 1000.0 * MEAN_CPU / 1000.0
+/// Returns the mean work of a kind's jobs, in core-seconds, times its share in percent.
+fn weighted_work(kind: &JobKind) -> f64 {
+    kind.share * kind.mean_tasks * kind.work_ms / 1000.0 * MEAN_CPU / 1000.0
 }
 
-/// A draw around a mean with a spread of 0.4, never below a tenth of it.
-fn around(world: &mut World, mean: f64, spread: f64) -> f64 {
+/// Draws from an approximately normal distribution; `spread` is the standard deviation as a share of the
+/// mean. Never returns less than a tenth of the mean.
+fn draw_around(world: &mut World, mean: f64, spread: f64) -> f64 {
     let sum: f64 = (0..12).map(|_| world.rng.random_range(0.0..1.0)).sum();
     (mean * (1.0 + spread * (sum - 6.0))).max(mean / 10.0)
 }
 
-/// The kind of the next job.
+/// Draws the kind of the next job.
 fn draw_kind(world: &mut World, faults: &LoadFaults) -> usize {
-    let draw = world.rng.random_range(0.0..100.0) * faults.times();
-    let shares = faults.shares();
+    let draw = world.rng.random_range(0.0..100.0) * faults.factor();
+    let rates = faults.rates();
     let mut kind = 0;
-    let mut sum = shares[0];
+    let mut sum = rates[0];
     while draw > sum && kind < 2 {
         kind += 1;
-        sum += shares[kind];
+        sum += rates[kind];
     }
     kind
 }
 
-/// Hands a job in. One with a task that takes workers down is not offered work.
-fn offer(world: &mut World, plan: &LoadPlan, faults: &LoadFaults, kind: usize) -> Option<Offered> {
+/// Submits a job. Returns `None` if one of its tasks crashes workers, because it does not count as offered
+/// work.
+fn submit_job(
+    world: &mut World,
+    plan: &LoadPlan,
+    faults: &LoadFaults,
+    kind: usize,
+) -> Option<OfferedJob> {
     let k = KINDS[kind];
-    let count = (around(world, k.width, 0.4).round() as u32).clamp(1, k.widest);
-    let work_ms = around(world, k.work_ms, 0.4);
-    let cpu_milli = around(world, MEAN_CPU, 0.2) as u32;
+    let count = (draw_around(world, k.mean_tasks, 0.4).round() as u32).clamp(1, k.max_tasks);
+    let work_ms = draw_around(world, k.work_ms, 0.4);
+    let cpu_milli = draw_around(world, MEAN_CPU, 0.2) as u32;
     let works: Vec<u64> = (0..count)
-        .map(|_| (around(world, work_ms, 0.15) * 1000.0) as u64)
+        .map(|_| (draw_around(world, work_ms, 0.15) * 1000.0) as u64)
         .collect();
     let longest = works.iter().copied().max().unwrap_or_default();
-    let estimate = around(world, work_ms, 0.4);
-    // Nothing is drawn where no rack is wanted, so that the seeds of such runs give what they gave.
+    let estimate = draw_around(world, work_ms, 0.4);
+    // Without rack preferences nothing is drawn, so that existing seeds reproduce the same runs.
     let rack_share = plan.variation.rack_share;
-    let near = kind == 0 && rack_share > 0.0 && world.rng.random_bool(rack_share);
+    let prefers_rack = kind == 0 && rack_share > 0.0 && world.rng.random_bool(rack_share);
     let number = world.callers.next_number();
     let request = JobRequest {
         number,
@@ -441,7 +458,7 @@
                 gpu: 0,
             },
             estimate_ms: estimate as u32,
-            rack: if near {
+            rack: if prefers_rack {
                 RACK.0.to_owned()
             } else {
                 String::new()
@@ -473,17 +490,17 @@
         },
     );
     let at = world.now;
-    // Nothing is drawn where none crash, so that the seeds of such runs give what they gave.
+    // Without crashing jobs nothing is drawn, so that existing seeds reproduce the same runs.
     let may_crash = faults.crashing_kind.is_none_or(|k| k == kind);
     let crashing = if may_crash { faults.crashing } else { 0.0 };
     let crashes = crashing > 0.0 && world.rng.random_bool(crashing);
     if crashes && let Some(job) = world.callers.jobs.get_mut(&number) {
         job.crashing_task = Some(0);
     }
-    let scheduler = entry(world, plan);
+    let scheduler = draw_scheduler(world, plan);
     let third = scheduler * 3 / plan.schedulers;
     world.submit(number, scheduler);
-    (!crashes).then_some(Offered {
+    (!crashes).then_some(OfferedJob {
         number,
         kind,
         third,
@@ -493,6 +510,7 @@
     })
 }
 
+/// Returns the hash of all answers.
 fn digest(world: &World) -> u64 {
     let fold = |sum: u64, n: u64| sum.wrapping_mul(0x0100_0000_01b3) ^ n;
     let numbers = world.answers.iter().flat_map(|(at, job, outcome)| {
@@ -502,8 +520,9 @@
     numbers.fold(0, fold)
 }
 
-/// Where a job is handed in. Without a swing nothing more is drawn, so that the seeds of such runs give what they gave.
-fn entry(world: &mut World, plan: &LoadPlan) -> usize {
+/// Draws the scheduler at which a job is submitted. Without a load skew only one number is drawn, so that
+/// existing seeds reproduce the same runs.
+fn draw_scheduler(world: &mut World, plan: &LoadPlan) -> usize {
     let drawn = world.rng.random_range(0..plan.schedulers);
     let third = drawn * 3 / plan.schedulers;
     if third < 2 || plan.load_skew == 0.0 || !world.rng.random_bool(plan.load_skew) {
@@ -512,7 +531,8 @@
     world.rng.random_range(0..plan.schedulers.div_ceil(3))
 }
 
-fn report(world: &World, offered: &[Offered], begin: u64) -> LoadReport {
+/// Sums up the answers to the offered jobs.
+fn report(world: &World, offered: &[OfferedJob], begin: u64) -> LoadReport {
     let mut windows = Vec::new();
     let mut kinds = [KindReport::default(); 3];
     let mut thirds = [(0.0, 0.0); 3];
--- a/lib/testutils/src/dispatch/network.rs
+++ b/lib/testutils/src/dispatch/network.rs
@@ -25,7 +25,8 @@
     pub from: Node,
     /// The process at the other end.
     pub to: Node,
-    /// When the last message in each direction arrives. Later messages arrive after it, which keeps the order.
+    /// When the last message in each direction arrives. Later messages arrive after it, which keeps the
+    /// order.
     pub last_arrival: [u64; 2],
     /// The messages in each direction that wait for a cut to heal.
     pub held: [Vec<Body>; 2],
--- a/lib/testutils/src/dispatch/run.rs
+++ b/lib/testutils/src/dispatch/run.rs
@@ -1,4 +1,7 @@
-//! Randomised runs: load and faults drawn from a seed, which reproduces the run.
+//! Randomised runs of a simulated dispatch plane.
+//!
+//! Draws jobs and faults from a seed, which reproduces the run, ends all faults after the planned span, and
+//! reports the first violation of an invariant and whether the plane recovers.
 
 use rand::Rng;
 use stackcourse_lib::dispatch::model::JobNumber;
@@ -10,102 +13,103 @@
 use crate::dispatch::world::CAPACITY;
 use crate::dispatch::world::World;
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunReport {
-    /// Inputs given to the state machines.
+    /// The number of events that the world handled.
     pub steps: u64,
-    /// Tasks that began.
+    /// The number of task starts.
     pub starts: u64,
-    /// Jobs that callers were told are complete.
+    /// The number of answers that report a job as completed.
     pub completed: u64,
-    /// Jobs that were refused.
+    /// The number of answers that refuse a job.
     pub refused: u64,
-    /// Jobs that ended otherwise.
+    /// The number of all other answers.
     pub others: u64,
-    /// Runs that executors, in their last lives, have stopped for more urgent tasks.
+    /// The number of runs that the executors preempted, in their last incarnations.
     pub preempted: u64,
-    /// The first promise that was broken.
+    /// The first violation of an invariant.
     pub violation: Option<String>,
-    /// Jobs complete of those handed in after all faults had ended, in percent.
+    /// The share of jobs completed among those submitted after all faults had ended, in percent.
     pub recovered: u64,
 }
 
 const SCHEDULERS: usize = 3;
 const EXECUTORS: usize = 5;
-/// Availability zones, where some are evacuated.
+/// The number of availability zones in runs with evacuations.
 const ZONES: usize = 3;
-/// How likely a zone is evacuated or taken back at each step.
-const EVACUATIONS: f64 = 0.02;
-/// The share of jobs that must be complete once all faults have ended, in percent.
+/// The probability per step that a zone is evacuated or no longer so.
+const EVACUATION_CHANCE: f64 = 0.02;
+/// The least share of jobs that must complete once all faults have ended, in percent.
 pub const RECOVERED: u64 = 80;
-/// How likely a loss of many is at each step.
-const LOSSES: f64 = 0.004;
-/// The share of schedulers that the store turns away when they start.
-const UNSERVED: f64 = 0.4;
-/// How likely an executor is lost at each step while schedulers serve early.
-const LOST_AGAIN: f64 = 0.04;
-/// How likely a job has a task that takes workers down.
-const CRASHING: f64 = 0.02;
-/// How likely a worker's room changes at each step.
-const RESIZES: f64 = 0.05;
-/// How likely a scheduler is asked to leave at each step.
-const LEAVES: f64 = 0.03;
-/// How likely an executor is asked to leave at each step.
-const DEPARTURES: f64 = 0.03;
-/// How likely a suspension is at each step.
-const SUSPENSIONS: f64 = 0.02;
-/// How likely a link is doubled or broken at each step.
-const DOUBLED: f64 = 0.08;
-/// How likely many jobs come at once, where some are urgent, at each step.
-const BURSTS: f64 = 0.05;
-/// How many they are.
+/// The probability per step that many processes are killed at once.
+const MASS_KILL_CHANCE: f64 = 0.004;
+/// The share of starting schedulers that receive the roster late, in runs where schedulers serve early.
+const UNSERVED_SHARE: f64 = 0.4;
+/// The probability per step that an executor is killed, in runs where schedulers serve early.
+const EXECUTOR_KILL_CHANCE: f64 = 0.04;
+/// The probability that a job has a task that crashes workers.
+const CRASHING_CHANCE: f64 = 0.02;
+/// The probability per step that the capacity of a worker changes.
+const RESIZE_CHANCE: f64 = 0.05;
+/// The probability per step that a scheduler is asked to leave.
+const LEAVE_CHANCE: f64 = 0.03;
+/// The probability per step that an executor is asked to leave.
+const DEPARTURE_CHANCE: f64 = 0.03;
+/// The probability per step that a machine is suspended.
+const SUSPENSION_CHANCE: f64 = 0.02;
+/// The probability per step that a link is duplicated or reset.
+const LINK_CHANCE: f64 = 0.08;
+/// The probability per step that a burst of jobs comes, in runs with preemption.
+const BURST_CHANCE: f64 = 0.05;
+/// The number of jobs in a burst.
 const BURST_JOBS: u32 = 12;
-/// Jobs handed in while it is calm again.
-const CALM_JOBS: u64 = 60;
+/// The number of jobs that are submitted after all faults have ended.
+const RECOVERY_JOBS: u64 = 60;
 
-/// Whether machines are suspended, and what the clock of a process makes of that.
+/// Whether machines are suspended, and how the clocks of their processes behave meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Suspensions {
-    /// None is.
+    /// No machine is suspended.
     #[default]
     None,
-    /// Clocks count the time.
+    /// The clocks count the time of the suspension.
     Counted,
-    /// Clocks stand still meanwhile, as the steady clock of the system does.
+    /// The clocks stand still meanwhile, as the monotonic clock of the system does.
     Uncounted,
 }
 
-/// What to run.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunPlan {
     /// The seed.
     pub seed: u64,
-    /// For how long faults come, in virtual time.
+    /// For how long faults are injected, in virtual time.
     pub span: Duration,
-    /// Whether all schedulers, all executors or everybody may be killed at once, too.
+    /// Whether all schedulers, all executors or all processes may be killed at once.
     pub losses: bool,
-    /// At how many executors a scheduler places tasks; 0 for all of them.
+    /// The number of executors at which a scheduler places tasks; 0 for all of them.
     pub cell: u32,
-    /// Whether some jobs have a task that takes down each worker which starts it.
+    /// Whether some jobs have a task that crashes each worker that starts it.
     pub crashing: bool,
-    /// Whether workers' rooms shrink and grow while they run.
+    /// Whether the capacities of workers change while they run.
     pub resizing: bool,
-    /// Whether zones are evacuated, and the store turns some schedulers away meanwhile.
+    /// Whether zones are evacuated, and the store rejects some schedulers meanwhile.
     pub evacuating: bool,
-    /// Whether schedulers are asked to leave, and are started again.
+    /// Whether schedulers are asked to leave and are restarted.
     pub leaving: bool,
-    /// Whether executors are asked to leave, and are started again.
+    /// Whether executors are asked to leave and are restarted.
     pub departing: bool,
-    /// Whether schedulers are linked twice, and single links break.
+    /// Whether schedulers are linked twice and single links are reset.
     pub duplicate_links: bool,
-    /// Whether workers that have crashed come up under the id that they had.
+    /// Whether crashed workers restart under their old ids.
     pub reuse_ids: bool,
-    /// Whether schedulers that have just started serve before they have met everybody, while the store turns some away.
+    /// Whether schedulers that have just started serve before all others have reported, while some receive
+    /// the roster late.
     pub recovering: bool,
-    /// Whether jobs are of several priorities, and urgent ones may stop the runs of others.
+    /// Whether jobs have different priorities and urgent ones may preempt the runs of others.
     pub preempting: bool,
-    /// Whether schedulers hand jobs that wait to others at which less waits.
+    /// Whether schedulers hand waiting jobs off to peers at which less waits.
     pub balance: bool,
     /// Whether machines are suspended.
     pub suspensions: Suspensions,
@@ -113,7 +117,7 @@
     pub trace: bool,
 }
 
-/// Runs a seed for a span of virtual time with faults, then for some time without.
+/// Runs a seed for a span of virtual time with faults and then for some time without.
 pub fn run(seed: u64, span: Duration) -> RunReport {
     run_plan(RunPlan {
         seed,
@@ -122,7 +126,7 @@
     })
 }
 
-/// Runs a plan.
+/// Runs a plan and returns its report.
 pub fn run_plan(plan: RunPlan) -> RunReport {
     let zones = if plan.evacuating { ZONES } else { 1 };
     let catalog = match plan.preempting {
@@ -137,7 +141,7 @@
     );
     world.trace = plan.trace;
     if plan.recovering {
-        world.unserved_share = UNSERVED;
+        world.unserved_share = UNSERVED_SHARE;
     }
     if plan.reuse_ids {
         world.keep_worker_ids();
@@ -149,53 +153,53 @@
     while world.now < end && world.witness.violation.is_none() {
         let pause = world.rng.random_range(1..90);
         world.run(Duration::from_millis(pause));
-        let number = hand_in(&mut world);
-        if plan.preempting && world.rng.random_bool(BURSTS) {
-            burst(&mut world);
+        let number = submit_job(&mut world);
+        if plan.preempting && world.rng.random_bool(BURST_CHANCE) {
+            submit_burst(&mut world);
         }
-        if plan.crashing && world.rng.random_bool(CRASHING) {
+        if plan.crashing && world.rng.random_bool(CRASHING_CHANCE) {
             make_crashing(&mut world, number);
         }
-        if plan.resizing && world.rng.random_bool(RESIZES) {
+        if plan.resizing && world.rng.random_bool(RESIZE_CHANCE) {
             resize(&mut world);
         }
-        if plan.suspensions != Suspensions::None && world.rng.random_bool(SUSPENSIONS) {
+        if plan.suspensions != Suspensions::None && world.rng.random_bool(SUSPENSION_CHANCE) {
             suspend(&mut world, plan.suspensions == Suspensions::Counted);
         }
-        if plan.evacuating && world.rng.random_bool(EVACUATIONS) {
+        if plan.evacuating && world.rng.random_bool(EVACUATION_CHANCE) {
             evacuate(&mut world);
         }
-        if plan.leaving && world.rng.random_bool(LEAVES) {
+        if plan.leaving && world.rng.random_bool(LEAVE_CHANCE) {
             let n = world.rng.random_range(0..SCHEDULERS);
             if world.is_node_up(Node::Scheduler(n)) {
                 world.print(Node::Scheduler(n), "asked to leave");
                 world.leave_scheduler(n);
             }
         }
-        if plan.departing && world.rng.random_bool(DEPARTURES) {
+        if plan.departing && world.rng.random_bool(DEPARTURE_CHANCE) {
             let n = world.rng.random_range(0..EXECUTORS);
             if world.is_node_up(Node::Executor(n)) {
                 world.print(Node::Executor(n), "asked to leave");
                 world.leave_executor(n);
             }
         }
-        if plan.duplicate_links && world.rng.random_bool(DOUBLED) {
-            double_or_break(&mut world);
+        if plan.duplicate_links && world.rng.random_bool(LINK_CHANCE) {
+            add_or_reset_link(&mut world);
         }
         if world.rng.random_bool(faults) {
-            fault(&mut world);
+            inject_fault(&mut world);
         }
-        if plan.recovering && world.rng.random_bool(LOST_AGAIN) {
-            lose_again(&mut world);
+        if plan.recovering && world.rng.random_bool(EXECUTOR_KILL_CHANCE) {
+            kill_executor(&mut world);
         }
-        if plan.losses && world.rng.random_bool(LOSSES) {
-            lose_many(&mut world, plan.reuse_ids);
+        if plan.losses && world.rng.random_bool(MASS_KILL_CHANCE) {
+            kill_many(&mut world, plan.reuse_ids);
         }
     }
-    calm(&mut world);
+    end_faults(&mut world);
     let before = world.witness.completed;
-    for _ in 0..CALM_JOBS {
-        hand_in(&mut world);
+    for _ in 0..RECOVERY_JOBS {
+        submit_job(&mut world);
         world.run(Duration::from_millis(60));
     }
     world.run(Duration::from_secs(6));
@@ -207,11 +211,11 @@
         others: world.witness.others,
         preempted: world.preempted(),
         violation: world.witness.violation.clone(),
-        recovered: (world.witness.completed - before) * 100 / CALM_JOBS,
+        recovered: (world.witness.completed - before) * 100 / RECOVERY_JOBS,
     }
 }
 
-/// The policy of a plan. In cells a scheduler places tasks at one executor more when its own are full.
+/// Returns the policy of a plan. With cells a scheduler may borrow one executor when its own are full.
 fn policy(plan: &RunPlan) -> Policy {
     let mut policy = Policy::default();
     policy.preemption.on = plan.preempting;
@@ -225,7 +229,7 @@
     policy
 }
 
-/// Makes a task of a job take down each worker which starts it. None has begun yet.
+/// Makes a random task of a job crash each worker that starts it. No task of the job has begun yet.
 fn make_crashing(world: &mut World, number: JobNumber) {
     if let Some(job) = world.callers.jobs.get_mut(&number) {
         let count = job.request.steps[0].count;
@@ -233,23 +237,24 @@
     }
 }
 
-/// Gives a worker a quarter of its room up to all of it.
+/// Changes the capacity of a random worker to between a quarter and all of [`CAPACITY`].
 fn resize(world: &mut World) {
     let (_, executors) = world.size();
     let n = world.rng.random_range(0..executors);
     let capacity = world.rng.random_range(CAPACITY / 4..=CAPACITY);
     let now = world.now;
     world.workers[n].resize(now, capacity);
-    world.print(Node::Executor(n), &format!("room for {capacity}"));
+    world.print(Node::Executor(n), &format!("capacity {capacity}"));
 }
 
-/// Evacuates a zone, or takes it back; one in three times the store turns other schedulers away from then on.
+/// Evacuates a random zone, or ends its evacuation. In a third of the calls the store rejects other
+/// schedulers from then on.
 fn evacuate(world: &mut World) {
     if world.rng.random_bool(0.33) {
         let (schedulers, _) = world.size();
-        let away = (0..schedulers).filter(|_| world.rng.random_bool(0.4));
-        let away = away.collect();
-        world.set_unserved(away);
+        let unserved = (0..schedulers).filter(|_| world.rng.random_bool(0.4));
+        let unserved = unserved.collect();
+        world.set_unserved(unserved);
     }
     let zone = format!("z{}", world.rng.random_range(0..ZONES));
     let evacuated = !world.is_evacuated(&zone);
@@ -260,18 +265,19 @@
     world.set_evacuated(&zone, evacuated);
 }
 
-/// Suspends a process for up to some seconds; one in four times another one together with it.
+/// Suspends a random process for up to five seconds. In a quarter of the calls another one is suspended with
+/// it.
 fn suspend(world: &mut World, counted: bool) {
     let span = world.rng.random_range(100_000..5_000_000);
     let others = world.rng.random_bool(0.25);
     for _ in 0..=u32::from(others) {
-        let node = any_node(world);
+        let node = random_node(world);
         world.print(node, &format!("suspended for {span} us"));
         world.suspend(node, span, counted);
     }
 }
 
-fn hand_in(world: &mut World) -> JobNumber {
+fn submit_job(world: &mut World) -> JobNumber {
     let number = world.callers.new_job(&mut world.rng, &mut world.witness);
     let (schedulers, _) = world.size();
     let at = world.rng.random_range(0..schedulers);
@@ -279,14 +285,14 @@
     number
 }
 
-/// Hands in many jobs at once, so that urgent ones find all workers full.
-fn burst(world: &mut World) {
+/// Submits many jobs at once, so that urgent ones find all workers full.
+fn submit_burst(world: &mut World) {
     for _ in 0..BURST_JOBS {
-        hand_in(world);
+        submit_job(world);
     }
 }
 
-fn any_node(world: &mut World) -> Node {
+fn random_node(world: &mut World) -> Node {
     let (schedulers, executors) = world.size();
     if world.rng.random_bool(0.5) {
         Node::Scheduler(world.rng.random_range(0..schedulers))
@@ -295,8 +301,8 @@
     }
 }
 
-fn fault(world: &mut World) {
-    let node = any_node(world);
+fn inject_fault(world: &mut World) {
+    let node = random_node(world);
     let (_, executors) = world.size();
     let worker = world.rng.random_range(0..executors);
     let kind = world.rng.random_range(0..13);
@@ -305,8 +311,8 @@
         0 | 1 => {
             if world.is_node_up(node) {
                 let silent = world.rng.random_bool(0.5);
-                let away = world.rng.random_range(20_000..3_000_000);
-                world.kill(node, silent, away);
+                let downtime = world.rng.random_range(20_000..3_000_000);
+                world.kill(node, silent, downtime);
             }
         }
         2 => {
@@ -314,7 +320,7 @@
             world.freeze(node, span);
         }
         3 | 4 => {
-            let other = any_node(world);
+            let other = random_node(world);
             world.cut(node, other);
             if world.rng.random_bool(0.6) {
                 world.cut(other, node);
@@ -334,8 +340,8 @@
     }
 }
 
-/// Links two schedulers once more, or breaks one link of a scheduler.
-fn double_or_break(world: &mut World) {
+/// Adds a link between two linked schedulers, or resets one link of a scheduler.
+fn add_or_reset_link(world: &mut World) {
     let (schedulers, _) = world.size();
     let a = Node::Scheduler(world.rng.random_range(0..schedulers));
     let b = Node::Scheduler(world.rng.random_range(0..schedulers));
@@ -346,26 +352,27 @@
     }
 }
 
-/// Loses an executor without anybody hearing of it, and one in three times a scheduler with it, which starts anew soon.
-fn lose_again(world: &mut World) {
+/// Kills an executor without its peers learning of it. In a third of the calls a scheduler is killed with it
+/// and restarted soon.
+fn kill_executor(world: &mut World) {
     let (schedulers, executors) = world.size();
     let n = world.rng.random_range(0..executors);
-    let away = world.rng.random_range(400_000..2_500_000);
+    let downtime = world.rng.random_range(400_000..2_500_000);
     if world.is_node_up(Node::Executor(n)) {
-        world.kill(Node::Executor(n), true, away);
+        world.kill(Node::Executor(n), true, downtime);
     }
     if world.rng.random_bool(0.33) {
         let scheduler = Node::Scheduler(world.rng.random_range(0..schedulers));
-        let away = world.rng.random_range(100_000..900_000);
+        let downtime = world.rng.random_range(100_000..900_000);
         if world.is_node_up(scheduler) {
-            world.kill(scheduler, false, away);
+            world.kill(scheduler, false, downtime);
         }
     }
 }
 
-/// Kills all schedulers, all executors, or everybody. Each comes back by itself. With `workers`, those lose
-/// power at the same moment as everybody.
-fn lose_many(world: &mut World, workers: bool) {
+/// Kills all schedulers, all executors, or all processes; each is restarted later. With `workers`, killing
+/// all processes also cuts the power of all workers.
+fn kill_many(world: &mut World, workers: bool) {
     let (schedulers, executors) = world.size();
     let which = world.rng.random_range(0..3);
     let silent = world.rng.random_bool(0.5);
@@ -382,14 +389,14 @@
             Node::Executor(_) => which == 0,
         };
         if !spared && world.is_node_up(node) {
-            let away = world.rng.random_range(100_000..1_600_000);
-            world.kill(node, silent, away);
+            let downtime = world.rng.random_range(100_000..1_600_000);
+            world.kill(node, silent, downtime);
         }
     }
 }
 
-/// Ends all faults and lets what is left of them pass.
-fn calm(world: &mut World) {
+/// Ends all faults and waits until their effects have passed.
+fn end_faults(world: &mut World) {
     world.heal();
     world.set_unserved(std::collections::BTreeSet::new());
     for zone in (0..ZONES).map(|n| format!("z{n}")) {
--- a/lib/testutils/src/dispatch/witness.rs
+++ b/lib/testutils/src/dispatch/witness.rs
@@ -1,8 +1,8 @@
-//! Checks the guarantees of the dispatch plane.
+//! Checks the invariants of the dispatch plane.
 //!
-//! Takes what workers and callers observe, as starts, crashes and answers, and keeps the first violation: a task
-//! that runs twice at the same time, more tasks than a worker has capacity for, or an answer that contradicts
-//! what the workers did.
+//! Takes what workers and callers observe, as starts, crashes and answers, and keeps the first violation: a
+//! task that runs twice at the same time, more tasks than a worker has capacity for, or an answer that
+//! contradicts what the workers did.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -22,8 +22,8 @@
     pub done: HashSet<u32>,
     /// The number of failed runs per task.
     pub failed: HashMap<u32, u32>,
-    /// The number of worker crashes per task: the task was running there, or had ended there and its end was not
-    /// acknowledged yet.
+    /// The number of worker crashes per task: the task was running there, or had ended there and its end was
+    /// not acknowledged yet.
     pub crashes: HashMap<u32, u32>,
     /// The task that crashes workers, once it has crashed one.
     pub culprit: Option<Culprit>,
@@ -46,7 +46,7 @@
     pub extra_starts: u32,
 }
 
-/// Checks observations against the guarantees and keeps the first violation.
+/// Checks observations against the invariants and keeps the first violation.
 #[derive(Clone, Debug, Default)]
 pub struct InvariantChecker {
     /// The jobs that callers submitted.
@@ -69,14 +69,15 @@
 pub const MAX_ATTEMPTS: u32 = 3;
 /// A task may be given up once this many workers have crashed while it ran there.
 pub const MIN_CRASHES_TO_FAIL: u32 = 2;
-/// A task that has crashed this many workers should not be started again. A few starts may be under way already.
+/// A task that has crashed this many workers should not be started again. A few starts may be under way
+/// already.
 pub const MAX_CRASHES: u32 = 3;
 /// This many starts beyond [`MAX_CRASHES`] are a violation.
 pub const EXCESS_STARTS: u32 = 3;
 
 impl JobHistory {
-    /// Records the start of a task. Returns whether the task crashes workers and has now been started too many
-    /// times.
+    /// Records the start of a task. Returns whether the task crashes workers and has now been started too
+    /// many times.
     fn record_start(&mut self, index: u32) -> bool {
         let is_over_limit = |c: &&mut Culprit| c.index == index && c.crashes >= MAX_CRASHES;
         let Some(culprit) = self.culprit.as_mut().filter(is_over_limit) else {
@@ -93,8 +94,8 @@
         self.violation.get_or_insert(what);
     }
 
-    /// Checks the start of a task. `elsewhere` says whether the task runs at another worker already; `taken` is
-    /// the demand of all tasks at this worker, including the new one.
+    /// Checks the start of a task. `elsewhere` says whether the task runs at another worker already; `taken`
+    /// is the demand of all tasks at this worker, including the new one.
     pub fn check_start(&mut self, task: TaskName, elsewhere: bool, taken: u32, capacity: u32) {
         self.starts += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Records the crash of a worker. `running` are the tasks that ran there or whose ends were not acknowledged yet.
+    /// Records the crash of a worker. `running` are the tasks that ran there or whose ends were not
+    /// acknowledged yet.
     pub fn record_crash<'a>(&mut self, running: impl Iterator<Item = &'a TaskName>) {
         for task in running {
             if let Some(job) = self.jobs.get_mut(&task.job) {
--- a/lib/testutils/src/dispatch/worker.rs
+++ b/lib/testutils/src/dispatch/worker.rs
@@ -1,7 +1,7 @@
 //! A model of a worker as the platform specifies it.
 //!
-//! Handles starts, stops and holds: leases on the worker's own clock, run numbers, fencing tokens, and a list of
-//! ends that are kept until they are acknowledged.
+//! Handles starts, stops and holds: leases on the worker's own clock, run numbers, fencing tokens, and a list
+//! of ends that are kept until they are acknowledged.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -141,7 +141,8 @@
         self.lease_until = self.lease_until.max(until);
     }
 
-    /// Handles a start order. `work_us` is the run time at normal speed. Returns the reply and whether a run began.
+    /// Handles a start order. `work_us` is the run time at normal speed. Returns the reply and whether a run
+    /// began.
     pub fn start(
         &mut self,
         now: u64,
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -1,8 +1,8 @@
 //! A simulated dispatch plane on a virtual clock.
 //!
-//! Runs the state machines of schedulers and executors as shipped, with models of the network, the workers, the store
-//! and the callers around them. [`World::run`] handles the scheduled events in the order of their times and stops at
-//! the first violation that the witness reports.
+//! Runs the state machines of schedulers and executors as shipped, with models of the network, the workers,
+//! the store and the callers around them. [`World::run`] handles the scheduled events in the order of their
+//! times and stops at the first violation of an invariant.
 
 mod evacuations;
 mod links;
@@ -72,8 +72,8 @@
 /// The interval at which a waiting hold checks the worker's lists, in microseconds.
 const POLL_INTERVAL_US: u64 = 1_000;
 
-/// A scheduled event. Where it has an incarnation, after the index of its process, it is ignored once the process has
-/// another one.
+/// A scheduled event. Where it has an incarnation, after the index of its process, it is ignored once the
+/// process has another one.
 #[derive(Debug)]
 enum Event {
     Tick(Node, u64),
@@ -148,7 +148,7 @@
     pub now: u64,
     /// The random number generator of the run.
     pub rng: ChaCha8Rng,
-    /// The checks of the guarantees.
+    /// Checks the invariants.
     pub witness: InvariantChecker,
     /// The callers.
     pub callers: Callers,
@@ -520,9 +520,9 @@
         }
     }
 
-    /// Kills a process and restarts it after `away` microseconds. With `silent` its peers do not learn that the links
-    /// are closed.
-    pub fn kill(&mut self, node: Node, silent: bool, away: u64) {
+    /// Kills a process and restarts it after `downtime` microseconds. With `silent` its peers do not learn that
+    /// the links are closed.
+    pub fn kill(&mut self, node: Node, silent: bool, downtime: u64) {
         match node {
             Node::Scheduler(n) => self.schedulers[n].up = false,
             Node::Executor(n) => self.executors[n].up = false,
@@ -536,7 +536,7 @@
                 self.close(node, link);
             }
         }
-        self.schedule(away, Event::Restart(node));
+        self.schedule(downtime, Event::Restart(node));
     }
 
     fn restart(&mut self, node: Node) {
@@ -574,7 +574,8 @@
         }
     }
 
-    /// Suspends a process with its machine for `span` microseconds. `counted` says whether its clock goes on meanwhile.
+    /// Suspends a process with its machine for `span` microseconds. `counted` says whether its clock goes on
+    /// meanwhile.
     pub fn suspend(&mut self, node: Node, span: u64, counted: bool) {
         self.freeze(node, span);
         if counted {
--- a/lib/testutils/src/dispatch/world/evacuations.rs
+++ b/lib/testutils/src/dispatch/world/evacuations.rs
@@ -1,7 +1,7 @@
 //! Evacuated zones in a simulated world.
 //!
-//! Keeps the store's records of zones, delivers them to the schedulers that the store serves, and checks that no task
-//! is placed in a zone that its scheduler knows, or must know by now, to be evacuated.
+//! Keeps the store's records of zones, delivers them to the schedulers that the store serves, and checks that
+//! no task is placed in a zone that its scheduler knows, or must know by now, to be evacuated.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,7 +13,8 @@
 
 /// The time after which an accepted evacuation must be in force, in microseconds.
 const IN_FORCE_US: u64 = 5_000_000;
-/// The time after which a scheduler that runs and is served by the store must know all zones, in microseconds.
+/// The time after which a scheduler that runs and is served by the store must know all zones, in
+/// microseconds.
 const SERVED_US: u64 = 1_000_000;
 
 /// The store's records of zones.
@@ -42,7 +43,8 @@
 }
 
 impl World {
-    /// Makes the store accept that a zone is evacuated, or no longer so, and tell the schedulers that it serves.
+    /// Makes the store accept that a zone is evacuated, or no longer so, and tell the schedulers that it
+    /// serves.
     pub fn set_evacuated(&mut self, zone: &str, evacuated: bool) {
         self.evacuations.revision += 1;
         let revision = self.evacuations.revision;
@@ -78,8 +80,8 @@
         zones.map(str::to_owned).collect()
     }
 
-    /// Makes the store reject these schedulers and serve all others. Those that it serves again read the roster and
-    /// all zones, because they missed the changes meanwhile.
+    /// Makes the store reject these schedulers and serve all others. Those that it serves again read the
+    /// roster and all zones, because they missed the changes meanwhile.
     pub fn set_unserved(&mut self, schedulers: BTreeSet<usize>) {
         for n in 0..self.schedulers.len() {
             let (before, after) = (self.evacuations.serves(n), !schedulers.contains(&n));
@@ -116,8 +118,8 @@
         }
     }
 
-    /// Checks a message of a scheduler: it must not place tasks in a zone that it knows, or must know by now, to be
-    /// evacuated.
+    /// Checks a message of a scheduler: it must not place tasks in a zone that it knows, or must know by now,
+    /// to be evacuated.
     pub(super) fn check_evacuations(&mut self, n: usize, link: LinkId, body: &Body) {
         let Body::Orders(orders) = body else {
             return;
--- a/lib/testutils/src/dispatch/world/links.rs
+++ b/lib/testutils/src/dispatch/world/links.rs
@@ -1,7 +1,7 @@
 //! The links between the processes of a simulated world.
 //!
-//! Sends and delivers messages, opens and closes links, cuts and heals directions, and tells the state machines of
-//! both ends.
+//! Sends and delivers messages, opens and closes links, cuts and heals directions, and tells the state
+//! machines of both ends.
 
 use prost::Message;
 use rand::Rng;
--- a/lib/testutils/src/dispatch/world/processes.rs
+++ b/lib/testutils/src/dispatch/world/processes.rs
@@ -1,7 +1,7 @@
 //! The life cycle of the processes of a simulated world.
 //!
-//! Creates and starts schedulers and executors, lets them leave, and delivers to them what they read from the store:
-//! the roster, the catalog and saved heartbeats.
+//! Creates and starts schedulers and executors, lets them leave, and delivers to them what they read from the
+//! store: the roster, the catalog and saved heartbeats.
 
 use super::*;
 
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Asks an executor to leave. It is stopped once it is drained, at the latest after [`LEAVE_TIMEOUT_US`], and
-    /// restarted.
+    /// Asks an executor to leave. It is stopped once it is drained, at the latest after [`LEAVE_TIMEOUT_US`],
+    /// and restarted.
     pub fn leave_executor(&mut self, n: usize) {
         let incarnation = self.incarnation(Node::Executor(n));
         self.with_executor(n, incarnation, |e, now| e.leave(now));
@@ -136,8 +136,8 @@
         let running = executor.frozen_until <= self.now;
         let done = running && executor.executor.is_drained(Mono(self.now + executor.skew));
         if done || self.now >= until {
-            let away = self.rng.random_range(50_000..2_000_000);
-            return self.kill(node, false, away);
+            let downtime = self.rng.random_range(50_000..2_000_000);
+            return self.kill(node, false, downtime);
         }
         self.schedule(LEAVE_CHECK_US, Event::CheckLeaving(n, incarnation, until));
     }
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Lets a scheduler read the roster again if it wants to. Only in worlds where schedulers receive it late.
+    /// Lets a scheduler read the roster again if it wants to. Only in worlds where schedulers receive it
+    /// late.
     pub(super) fn read_wanted_roster(&mut self, n: usize, incarnation: u64) {
         let node = &mut self.schedulers[n];
         let wanted = self.unserved_share > 0.0 && node.scheduler.wants_roster();
--- a/lib/testutils/src/dispatch/world/workers.rs
+++ b/lib/testutils/src/dispatch/world/workers.rs
@@ -1,7 +1,7 @@
 //! The workers of a simulated world.
 //!
-//! Delivers orders to the worker models in time or late, returns their replies, ends runs, sends heartbeats, and
-//! crashes and restarts workers. Reports starts, ends and crashes to the witness.
+//! Delivers orders to the worker models in time or late, returns their replies, ends runs, sends heartbeats,
+//! and crashes and restarts workers. Reports starts, ends and crashes to the invariant checker.
 
 use rand::Rng;
 use stackcourse_lib::dispatch::executor::HoldCall;
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Returns whether an order can reach the worker: it is up, and still the incarnation that the order was sent to.
+    /// Returns whether an order can reach the worker: it is up, and still the incarnation that the order was
+    /// sent to.
     fn can_reach(&self, n: usize, order: OrderDelivery) -> bool {
         self.workers[n].up && self.workers[n].life.born == order.born
     }
@@ -294,18 +295,18 @@
     }
 
     pub(super) fn new_worker(&mut self, number: usize) -> WorkerModel {
-        let life = self.new_incarnation();
+        let incarnation = self.new_incarnation();
         if !self.reuses_ids {
-            let id = format!("w{life}");
+            let id = format!("w{incarnation}");
             return WorkerModel::new(WorkerIncarnation { id, born: None }, CAPACITY);
         }
-        // For half of the incarnations the worker's clock was set back, so that a later incarnation has an earlier
-        // start time.
+        // For half of the incarnations the worker's clock was set back, so that a later incarnation has an
+        // earlier start time.
         let id = format!("w-{number}");
-        let born = Some(if life.is_multiple_of(2) {
-            life
+        let born = Some(if incarnation.is_multiple_of(2) {
+            incarnation
         } else {
-            u64::MAX - life
+            u64::MAX - incarnation
         });
         WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock_zero(self.now)
     }
--- a/lib/testutils/src/lib.rs
+++ b/lib/testutils/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test helpers: randomised runs of the state machines, stand-ins for the platform, a cluster of
-//! real processes, and the tools that measure it.
+//! Test helpers: randomised runs of the state machines, stand-ins for the platform, a cluster of real
+//! processes, and the tools that measure it.
 
 pub mod cluster;
 pub mod dispatch;
