--- a/lib/testutils/tests/runner/main.rs
+++ b/lib/testutils/tests/runner/main.rs
@@ -1,4 +1,4 @@
-//! The randomised runs, with fixed seeds.
+//! Tests of the simulations: randomised runs and load runs with fixed seeds.
 
 mod test_catalog_spread;
 mod test_crashing_tasks;
@@ -6,4 +6,4 @@
 mod test_dispatch_run;
 mod test_fleet_cost;
 mod test_random_run;
-mod test_uneven_servers;
+mod test_worker_variation;
--- a/lib/testutils/tests/runner/test_catalog_spread.rs
+++ b/lib/testutils/tests/runner/test_catalog_spread.rs
@@ -1,19 +1,10 @@
-//! Symptom: four seconds after the store had accepted a new configuration, the entries on small
-//! machines still served by the old one; at the same time nine tenths of all jobs failed.
+//! Guards against a large catalog that reaches the entries on small machines late and breaks their links.
 //!
-//! Sequence: the configuration had grown to 250 KB. The entries on large machines had it from the store
-//! within 20 ms and handed it to each peer that was behind. Until that copy had arrived, each
-//! heartbeat of such a peer still named the old version, and each was answered with another whole
-//! copy. The links of the small machines (25 Mbit/s) filled up: the store's answer to them waited
-//! behind the copies, and so did heartbeats, until links broke; new links began with new copies.
-//!
-//! Cause: whole state was sent again on each word of a receiver that was behind, without waiting for
-//! the copy that was on its way, into queues without a bound.
-//!
-//! What settled it: version 8 at 26.63 s at large entries, 26.98 to 27.12 s at small ones, and after
-//! a restart 36.73 s against 37.73 to 38.59 s, while the delay of the small entries' own loop never
-//! passed 300 ms; `send_queue` of one large entry went from 0 to 26.7 MB in 400 ms, in frames to
-//! peers that had sent 6 KB of heartbeats meanwhile.
+//! An entry that has the new catalog sends it to each peer that is behind. If it does so again on each
+//! heartbeat of such a peer, without waiting for the copy on its way, copies of 250 KB fill the links of
+//! small machines (25 Mbit/s). The store's answer and the heartbeats wait behind them, links break, and new
+//! links start with new copies: entries used the old catalog for four seconds, one send queue grew to 26.7 MB
+//! within 400 ms, and nine of ten jobs failed.
 
 use std::time::Duration;
 
@@ -26,13 +17,13 @@
 const SCHEDULERS: usize = 10;
 const LARGE: usize = 4;
 const EXECUTORS: usize = 30;
-/// 200 Mbit/s and 25 Mbit/s, in bytes a second.
+/// The bandwidths of large and small machines, 200 Mbit/s and 25 Mbit/s, in bytes per second.
 const LARGE_LINK: u64 = 25_000_000;
 const SMALL_LINK: u64 = 3_125_000;
-/// A configuration of this many queues takes about 250 KB.
+/// A catalog of this many queues takes about 250 KB.
 const QUEUES: usize = 1500;
-/// The time within which an accepted configuration has to be in force.
-const BOUND: Duration = Duration::from_secs(2);
+/// The time within which all schedulers must use an accepted catalog.
+const MAX_DELAY: Duration = Duration::from_secs(2);
 
 fn catalog(version: u64, queues: usize) -> Catalog {
     let queue = |number: usize| Queue {
@@ -63,11 +54,11 @@
     world
 }
 
-/// Runs until all schedulers have a version; how long that took, if it was within `BOUND`.
+/// Runs until all schedulers use a version, and returns how long that took if it was within [`MAX_DELAY`].
 fn time_until(world: &mut World, version: u64) -> Option<Duration> {
     let begin = world.now;
     let step = Duration::from_millis(10);
-    while world.now - begin < BOUND.as_micros() as u64 {
+    while world.now - begin < MAX_DELAY.as_micros() as u64 {
         if (0..SCHEDULERS).all(|n| world.catalog_version(n) >= version) {
             return Some(Duration::from_micros(world.now - begin));
         }
@@ -76,25 +67,28 @@
     None
 }
 
-/// The links of executors to all schedulers.
-fn linked(world: &World) -> usize {
+/// Returns the number of links between schedulers and executors.
+fn count_links(world: &World) -> usize {
     (0..SCHEDULERS).map(|n| world.linked_executors(n)).sum()
 }
 
 #[test]
-fn test_catalog_spread_of_a_large_version_leaves_links_alone() {
+fn test_catalog_spread_stable_links() {
     for seed in 1..4 {
         let mut world = world(seed);
-        assert_eq!(linked(&world), SCHEDULERS * EXECUTORS);
+        assert_eq!(count_links(&world), SCHEDULERS * EXECUTORS);
         world.accept_catalog(catalog(2, QUEUES), |_| true);
         let took = time_until(&mut world, 2);
-        assert!(took.is_some(), "seed {seed}: not in force within {BOUND:?}");
+        assert!(
+            took.is_some(),
+            "seed {seed}: not in force within {MAX_DELAY:?}"
+        );
         for _ in 0..30 {
             world.run(Duration::from_millis(100));
-            assert_eq!(linked(&world), SCHEDULERS * EXECUTORS, "seed {seed}");
+            assert_eq!(count_links(&world), SCHEDULERS * EXECUTORS, "seed {seed}");
             for n in 0..SCHEDULERS {
                 let wait = world.network.backlog(Node::Scheduler(n), world.now);
-                let text = format!("seed {seed}: {wait} us wait at scheduler {n}");
+                let text = format!("seed {seed}: {wait} us of backlog at scheduler {n}");
                 assert!(wait < 500_000, "{text}");
             }
         }
@@ -102,19 +96,22 @@
 }
 
 #[test]
-fn test_catalog_spread_reaches_those_that_the_store_turns_away() {
+fn test_catalog_spread_unserved_schedulers() {
     for seed in 1..4 {
         let mut world = world(seed);
         world.accept_catalog(catalog(2, QUEUES), |n| n % 3 != 0);
         let took = time_until(&mut world, 2);
-        assert!(took.is_some(), "seed {seed}: not in force within {BOUND:?}");
+        assert!(
+            took.is_some(),
+            "seed {seed}: not in force within {MAX_DELAY:?}"
+        );
         world.run(Duration::from_secs(3));
-        assert_eq!(linked(&world), SCHEDULERS * EXECUTORS, "seed {seed}");
+        assert_eq!(count_links(&world), SCHEDULERS * EXECUTORS, "seed {seed}");
     }
 }
 
 #[test]
-fn test_catalog_spread_of_versions_in_series_is_in_time() {
+fn test_catalog_spread_consecutive_versions() {
     for seed in 1..4 {
         let mut world = world(seed);
         for version in 2..5 {
@@ -123,6 +120,9 @@
         }
         world.accept_catalog(catalog(5, QUEUES), |n| n % 3 != 0);
         let took = time_until(&mut world, 5);
-        assert!(took.is_some(), "seed {seed}: not in force within {BOUND:?}");
+        assert!(
+            took.is_some(),
+            "seed {seed}: not in force within {MAX_DELAY:?}"
+        );
     }
 }
--- a/lib/testutils/tests/runner/test_dispatch_load.rs
+++ b/lib/testutils/tests/runner/test_dispatch_load.rs
@@ -1,4 +1,4 @@
-//! Goodput on the virtual clock. The runs are repeatable: the same seed gives the same figures.
+//! Tests of the goodput on the virtual clock. The runs are repeatable: the same seed gives the same results.
 
 use std::time::Duration;
 
@@ -24,27 +24,31 @@
     }
 }
 
+/// Slow workers cost less goodput when they are detected, and still less when their tasks are moved.
 #[test]
-fn test_dispatch_load_slow_workers_cost_less_when_they_are_told() {
-    let mut blind = Policy::default();
-    blind.health.slow_ratio = 100.0;
+fn test_dispatch_load_slow_workers() {
+    let mut undetected = Policy::default();
+    undetected.health.slow_ratio = 100.0;
     let mut unmoved = Policy::default();
     unmoved.health.move_slow = false;
-    let [told, unmoved, blind] = [Policy::default(), unmoved, blind].map(|policy| {
+    let [moved, unmoved, undetected] = [Policy::default(), unmoved, undetected].map(|policy| {
         let report = load::run(plan(policy));
         assert_eq!(report.violation, None);
         report.goodput()
     });
-    assert!(told > unmoved, "{told} with moves, {unmoved} without");
-    assert!(unmoved > blind, "{unmoved} when told, {blind} when not");
+    assert!(moved > unmoved, "{moved} with moves, {unmoved} without");
+    assert!(
+        unmoved > undetected,
+        "{unmoved} when detected, {undetected} when not"
+    );
 }
 
-/// A configuration of 1,500 queues each second, ten schedulers of which six are on 25 Mbit/s, twenty executors
-/// restarted. While each peer that was behind was sent the whole configuration on each heartbeat, nothing of the
-/// work was done in time meanwhile (0.000), and 0.2 of it in all. The share of one seed spreads by 0.025, so the
-/// mean of six counts.
+/// Guards against schedulers that answer each heartbeat of a peer that is behind with the whole catalog,
+/// which fills the links of small machines: no work is done in time meanwhile (0.000), and 0.2 of it in all.
+/// A catalog of 1,500 queues comes each second, six of ten schedulers have 25 Mbit/s, and twenty executors
+/// are restarted. The goodput of single seeds spreads by 0.025, so the mean of six is checked.
 #[test]
-fn test_dispatch_load_goes_on_while_large_configurations_come() {
+fn test_dispatch_load_large_catalogs() {
     const SEEDS: u64 = 6;
     let mut goodput = 0.0;
     for seed in 1..=SEEDS {
@@ -66,16 +70,22 @@
         };
         let report = load::run(plan);
         assert_eq!(report.violation, None, "seed {seed}");
-        let back = report.recovery_time(0.9);
-        assert!(back <= Duration::from_secs(2), "well again after {back:?}");
+        let recovery_time = report.recovery_time(0.9);
+        assert!(
+            recovery_time <= Duration::from_secs(2),
+            "recovered after {recovery_time:?}"
+        );
         goodput += report.goodput_under_faults() / SEEDS as f64;
     }
-    assert!(goodput > 0.85, "{goodput} of the work in time meanwhile");
+    assert!(
+        goodput > 0.85,
+        "{goodput} of the work in time during the faults"
+    );
 }
 
-/// Fields of a mechanism that is off decide nothing: each job of the run ends as it did.
+/// While preemption is off its other fields have no effect: the reports are equal.
 #[test]
-fn test_dispatch_load_is_the_same_while_preemption_is_off() {
+fn test_dispatch_load_preemption_off() {
     let mut other = Policy::default();
     other.preemption.margin = Duration::from_millis(500);
     other.preemption.stop_time = Duration::from_millis(1);
@@ -91,9 +101,9 @@
     assert_eq!(plain, other);
 }
 
-/// What came of jobs of the kinds of the load over some seeds: the share in time of each, and the work done in time
-/// as a share of the capacity of the whole run.
-fn contend(on: bool, load: f64, bursts: [f64; 3]) -> ([f64; 3], f64) {
+/// Returns the share of the jobs in time for each kind, and the work done in time as a share of the capacity,
+/// both as means over the seeds.
+fn run_contended(on: bool, load: f64, bursts: [f64; 3]) -> ([f64; 3], f64) {
     const SEEDS: u64 = 3;
     let mut policy = Policy::default();
     policy.contention.on = on;
@@ -122,32 +132,34 @@
     (shares, goodput)
 }
 
-/// 2.4 times as many jobs of the middle kind, and 1.8 times as many of it and of the patient one at once: the urgent
-/// kind pays less than without contention, and no kind is served less than half as often as another.
+/// Bursts of the other kinds: 2.4 times as many jobs of the middle kind, or 1.8 times as many of the middle
+/// and the long kind. With contention control at least as many urgent jobs are in time as without it, and no
+/// kind is served less than half as often as the urgent one.
 #[test]
-fn test_dispatch_load_bursts_of_other_queues_leave_the_urgent_one_its_room() {
+fn test_dispatch_load_bursts() {
     for bursts in [[0.0, 0.0, 2.4], [0.0, 1.8, 1.8]] {
-        let [(off, _), (on, _)] = [false, true].map(|on| contend(on, 0.9, bursts));
+        let [(off, _), (on, _)] = [false, true].map(|on| run_contended(on, 0.9, bursts));
         assert!(on[0] >= off[0], "urgent: {on:?} on, {off:?} off");
         let least = on.iter().copied().fold(1.0, f64::min);
         assert!(least >= 0.5 * on[0], "starved: {on:?}");
     }
 }
 
-/// The work done in time stays near its peak above the capacity.
+/// Above the capacity the goodput stays near its peak.
 #[test]
-fn test_dispatch_load_goodput_stays_near_its_peak_above_the_capacity() {
-    let (_, peak) = contend(true, 1.0, [0.0; 3]);
+fn test_dispatch_load_overload() {
+    let (_, peak) = run_contended(true, 1.0, [0.0; 3]);
     for load in [1.1, 1.3, 1.5] {
-        let (_, goodput) = contend(true, load, [0.0; 3]);
+        let (_, goodput) = run_contended(true, load, [0.0; 3]);
         assert!(goodput >= 0.95 * peak, "{goodput} at {load}, {peak} at 1");
     }
 }
 
-/// Twelve small entries in three zones, of which one takes half as many jobs again and another half as many, above the
-/// capacity: callers of one zone are not worse off than those of another once jobs are handed on.
+/// Twelve schedulers above the capacity, of which the first third takes about half as many jobs again and the
+/// last third about half as many. Handoffs of jobs between schedulers at least halve the difference in
+/// goodput.
 #[test]
-fn test_dispatch_load_zones_with_more_callers_are_not_worse_off() {
+fn test_dispatch_load_balance() {
     let spread = |on: bool| {
         let mut policy = Policy::default();
         policy.cells.size = 24;
@@ -169,6 +181,9 @@
         let [first, _, last] = reports.fold([0.0; 3], |sum, r| [0, 1, 2].map(|n| sum[n] + r[n]));
         (last - first) / 3.0
     };
-    let (kept, evened) = (spread(false), spread(true));
-    assert!(evened < kept / 2.0, "{evened} apart, {kept} without");
+    let (unbalanced, balanced) = (spread(false), spread(true));
+    assert!(
+        balanced < unbalanced / 2.0,
+        "{balanced} apart, {unbalanced} without handoffs"
+    );
 }
--- a/lib/testutils/tests/runner/test_dispatch_run.rs
+++ b/lib/testutils/tests/runner/test_dispatch_run.rs
@@ -1,4 +1,4 @@
-//! Randomised runs of the dispatch plane: fixed seeds.
+//! Tests of the invariants in randomised runs of the dispatch plane, with fixed seeds.
 
 use std::time::Duration;
 
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn test_dispatch_run_keeps_every_promise_first_seeds() {
+fn test_dispatch_run_first_seeds() {
     assert_seeds(1..11);
 }
 
 #[test]
-fn test_dispatch_run_keeps_every_promise_second_seeds() {
+fn test_dispatch_run_second_seeds() {
     assert_seeds(101..111);
 }
 
-/// Seeds that broke a promise once.
+/// Seeds that violated an invariant in earlier versions.
 #[test]
-fn test_dispatch_run_keeps_every_promise_seeds_that_failed_before() {
+fn test_dispatch_run_former_failures() {
     for seed in [
         13, 16, 23, 24, 25, 27, 30, 36, 37, 39, 48, 50, 56, 57, 58, 74, 78, 86, 92, 122, 263, 362,
     ] {
@@ -42,9 +42,9 @@
     }
 }
 
-/// Seeds that broke a promise once when many processes were lost together.
+/// Seeds that violated an invariant in earlier versions when many processes were killed at once.
 #[test]
-fn test_dispatch_run_keeps_every_promise_when_many_are_lost() {
+fn test_dispatch_run_mass_kills() {
     for seed in [9, 21, 31, 40, 41, 114, 169, 191, 310, 324] {
         let report = run::run_plan(RunPlan {
             seed,
@@ -57,9 +57,10 @@
     }
 }
 
-/// Guards against jobs that are followed and not taken over, since links of schedulers are doubled and break singly.
+/// Guards against followed jobs that are not taken over because schedulers are linked twice and one link is
+/// reset.
 #[test]
-fn test_dispatch_run_keeps_every_promise_while_links_are_doubled() {
+fn test_dispatch_run_duplicate_links() {
     for seed in 1..13 {
         let report = run::run_plan(RunPlan {
             seed,
@@ -74,9 +75,9 @@
     }
 }
 
-/// Schedulers that place tasks at two of five executors, and at a third when those are full.
+/// Schedulers place tasks at two of five executors, and at a third one when those are full.
 #[test]
-fn test_dispatch_run_keeps_every_promise_in_cells() {
+fn test_dispatch_run_cells() {
     for seed in 1..13 {
         let report = run::run_plan(RunPlan {
             seed,
@@ -90,10 +91,11 @@
     }
 }
 
-/// Tasks that take workers down, among all other faults.
+/// Tasks crash workers, among all other faults.
 #[test]
-fn test_dispatch_run_keeps_every_promise_with_crashing_tasks() {
-    // The witness held two of these for broken: 30 for a start that never arrived, 42 for an end that nobody knew.
+fn test_dispatch_run_crashing_tasks() {
+    // Seeds 30 and 42 guard against false violations, for a start that never arrived and for an end that
+    // nobody knew of.
     for seed in (1..9).chain([30, 42]) {
         let report = run::run_plan(RunPlan {
             seed,
@@ -106,9 +108,9 @@
     }
 }
 
-/// Urgent jobs that stop the runs of others, among all other faults.
+/// Urgent jobs preempt the runs of others, among all other faults.
 #[test]
-fn test_dispatch_run_keeps_every_promise_while_runs_are_preempted() {
+fn test_dispatch_run_preemption() {
     let mut preempted = 0;
     for seed in 1..9 {
         let report = run::run_plan(RunPlan {
@@ -122,12 +124,13 @@
         assert_eq!(report.violation, None, "seed {seed}");
         preempted += report.preempted;
     }
-    assert!(preempted > 0, "no run was stopped for an urgent job");
+    assert!(preempted > 0, "no run was preempted");
 }
 
-/// Workers whose rooms shrink and grow. In seed 48 an executor that was paused for 3.5 s took the old room for the present one.
+/// The capacities of workers change. Seed 48 guards against an executor that is paused for 3.5 s and takes
+/// the old capacity for the current one.
 #[test]
-fn test_dispatch_run_keeps_every_promise_when_rooms_change() {
+fn test_dispatch_run_capacity_changes() {
     for seed in (1..9).chain([48]) {
         let report = run::run_plan(RunPlan {
             seed,
@@ -140,9 +143,9 @@
     }
 }
 
-/// Zones that are evacuated and taken back, among all other faults, while the store turns some schedulers away.
+/// Zones are evacuated and reopened, among all other faults, while the store rejects some schedulers.
 #[test]
-fn test_dispatch_run_keeps_every_promise_when_zones_are_evacuated() {
+fn test_dispatch_run_evacuations() {
     for seed in 1..13 {
         let report = run::run_plan(RunPlan {
             seed,
@@ -157,10 +160,11 @@
     }
 }
 
-/// Schedulers that are asked to leave and hand on what would outlast them, among all other faults.
+/// Schedulers leave and hand off the jobs that would outlast them, among all other faults.
 #[test]
-fn test_dispatch_run_keeps_every_promise_when_schedulers_leave() {
-    // In 1097 and 1160 a job was handed on and begun, the link to the peer broke, and its caller was refused.
+fn test_dispatch_run_leaving_schedulers() {
+    // Seeds 1097 and 1160 guard against a caller that is refused although its job was handed off and has
+    // begun, because the link to the peer breaks.
     for seed in (1..9).chain([1097, 1160]) {
         let report = run::run_plan(RunPlan {
             seed,
@@ -175,9 +179,10 @@
     }
 }
 
-/// An agent that was killed while its worker's room shrank goes by the room that it had left in the store.
+/// Guards against an agent that is killed while its worker's capacity shrinks, and after its restart uses the
+/// old capacity that it saved in the store.
 #[test]
-fn test_dispatch_run_keeps_the_room_of_a_worker_that_is_recalled() {
+fn test_dispatch_run_restored_capacity() {
     let report = run::run_plan(RunPlan {
         seed: 6434,
         span: SPAN,
@@ -189,9 +194,10 @@
     assert_eq!(report.violation, None);
 }
 
-/// Executors that are asked to leave and are started again: once one has said that nothing runs there, claims do not wait for it.
+/// Executors leave and are restarted. Claims do not wait for an executor that has reported that nothing runs
+/// there.
 #[test]
-fn test_dispatch_run_keeps_every_promise_when_executors_leave() {
+fn test_dispatch_run_leaving_executors() {
     for seed in 1..13 {
         let report = run::run_plan(RunPlan {
             seed,
@@ -207,10 +213,11 @@
     }
 }
 
-/// A scheduler that is started again is heard under its name at once, while what its earlier life had begun still runs at an
-/// executor that another one has no link to: in these three seeds a task ran twice at once.
+/// Guards against a task that runs twice at the same time in these three seeds: a restarted scheduler is
+/// heard under its name at once, while a run of its earlier incarnation continues at an executor to which
+/// another scheduler has no link.
 #[test]
-fn test_dispatch_run_tells_lives_of_a_scheduler_apart() {
+fn test_dispatch_run_scheduler_incarnations() {
     let plan = RunPlan {
         span: SPAN,
         departing: true,
@@ -241,11 +248,12 @@
     }
 }
 
-/// Workers that come back under the id that they had, with all counts and the clock begun anew, and heartbeats of the lives
-/// before that arrive late. While their ends and heartbeats were taken for old ones, half of the seeds with tasks
-/// that crash workers never recovered: in 35, 37 and 40 not one of the jobs after all faults was complete.
+/// Guards against ends and heartbeats that are skipped as old ones after a worker restarted under its old id,
+/// with all counts and the clock reset, while heartbeats of earlier incarnations arrive late. Half of the
+/// seeds with tasks that crash workers never recovered then: in 35, 37 and 40 no job completed after all
+/// faults had ended.
 #[test]
-fn test_dispatch_run_recovers_when_workers_come_back_under_their_ids() {
+fn test_dispatch_run_reused_worker_ids() {
     let plain = [10, 15, 29].map(|seed| (seed, false));
     let crashing = [26, 28, 33, 35, 37, 40].map(|seed| (seed, true));
     for (seed, crashing) in plain.into_iter().chain(crashing) {
@@ -271,10 +279,11 @@
     })
 }
 
-/// Suspended machines. Where clocks stand still meanwhile, an executor begins tasks under leases that are over for all
-/// others, and they run twice: this shows that the check sees it.
+/// Machines are suspended. If the clocks stand still meanwhile, an executor starts tasks under leases that
+/// have expired for all other processes, and tasks run twice at the same time: the test first checks that
+/// this is detected.
 #[test]
-fn test_dispatch_run_keeps_every_promise_when_machines_are_suspended() {
+fn test_dispatch_run_suspensions() {
     let runs_twice = |seed| {
         let broken = run_suspended(seed, Suspensions::Uncounted).violation;
         broken.is_some_and(|what| what.ends_with("runs at two workers at the same time"))
@@ -288,6 +297,6 @@
 }
 
 #[test]
-fn test_dispatch_run_is_reproduced_by_its_seed() {
+fn test_dispatch_run_reproducible() {
     assert_eq!(run::run(7, SPAN), run::run(7, SPAN));
 }
--- a/lib/testutils/tests/runner/test_random_run.rs
+++ b/lib/testutils/tests/runner/test_random_run.rs
@@ -1,4 +1,5 @@
-//! Fixed seeds of the randomised runs, and the proof that the checks bite.
+//! Tests of the invariants in randomised runs of the entries, with fixed seeds, and tests that a violation is
+//! detected when a safeguard is missing.
 
 use std::time::Duration;
 
@@ -27,24 +28,24 @@
 }
 
 #[test]
-fn test_random_run_keeps_every_promise_first_seeds() {
+fn test_random_run_first_seeds() {
     assert_seeds(1..7);
 }
 
 #[test]
-fn test_random_run_keeps_every_promise_second_seeds() {
+fn test_random_run_second_seeds() {
     assert_seeds(101..107);
 }
 
 #[test]
-fn test_random_run_keeps_every_promise_third_seeds() {
+fn test_random_run_third_seeds() {
     assert_seeds(201..207);
 }
 
-/// Seeds that broke a promise once. 730 and 10148 ran more tasks than their quota allows: an agent
-/// whose clock was slow had been paused.
+/// Seeds that violated an invariant in earlier versions. 730 and 10148 ran more tasks than their quota
+/// allows, because an agent with a slow clock had been paused.
 #[test]
-fn test_random_run_keeps_every_promise_seeds_that_failed_before() {
+fn test_random_run_former_failures() {
     for seed in [
         8, 18, 94, 1073, 2008, 3003, 4012, 4094, 5014, 6002, 6049, 730, 10148,
     ] {
@@ -53,16 +54,16 @@
 }
 
 #[test]
-fn test_random_run_is_reproduced_by_its_seed() {
+fn test_random_run_reproducible() {
     let (one, two) = (run(5, Broken::Nothing), run(5, Broken::Nothing));
     assert_eq!(one.steps, two.steps);
     assert_eq!(one.outcomes, two.outcomes);
 }
 
-/// Guards against callers that are refused, and tasks that start twice, since boxes' clocks are set
+/// Guards against callers that are refused and tasks that start twice because the clocks of boxes are set
 /// while processes run.
 #[test]
-fn test_random_run_serves_every_caller_while_clocks_are_set() {
+fn test_random_run_clock_changes() {
     for seed in 1..13 {
         let report = random_run::run(RunPlan {
             seed,
@@ -76,9 +77,9 @@
     }
 }
 
-/// Guards against more tasks than a quota allows where an entry could not learn of the new allocator.
+/// Guards against more tasks than a quota allows because an entry could not learn of the new allocator.
 #[test]
-fn test_random_run_keeps_quotas_though_a_holder_does_not_know_the_allocator() {
+fn test_random_run_unknown_allocator() {
     let report = random_run::run(RunPlan {
         seed: 2902,
         span: Duration::from_secs(60),
@@ -88,9 +89,9 @@
     assert_eq!(report.violation, None);
 }
 
-/// Guards against tasks that start twice since a process starts with a wrong clock.
+/// Guards against tasks that start twice because a process starts with a wrong clock.
 #[test]
-fn test_random_run_keeps_every_promise_though_processes_start_with_wrong_clocks() {
+fn test_random_run_wrong_clocks() {
     for seed in 1..13 {
         let report = random_run::run(RunPlan {
             seed,
@@ -102,24 +103,24 @@
     }
 }
 
-fn assert_noticed(broken: Broken, seeds: std::ops::RangeInclusive<u64>) {
-    let noticed = seeds
+fn assert_detected(broken: Broken, seeds: std::ops::RangeInclusive<u64>) {
+    let detected = seeds
         .clone()
         .any(|seed| run(seed, broken).violation.is_some());
-    assert!(noticed, "{broken:?} was not noticed in seeds {seeds:?}");
+    assert!(detected, "{broken:?} was not detected in seeds {seeds:?}");
 }
 
 #[test]
-fn test_random_run_notices_a_missing_fence() {
-    assert_noticed(Broken::Fence, 1201..=1500);
+fn test_random_run_missing_fence() {
+    assert_detected(Broken::Fence, 1201..=1500);
 }
 
 #[test]
-fn test_random_run_notices_a_seal_that_reports_nothing() {
-    assert_noticed(Broken::Seal, 1..=40);
+fn test_random_run_missing_seal_report() {
+    assert_detected(Broken::Seal, 1..=40);
 }
 
 #[test]
-fn test_random_run_notices_a_missing_horizon() {
-    assert_noticed(Broken::Horizon, 1..=40);
+fn test_random_run_missing_horizon() {
+    assert_detected(Broken::Horizon, 1..=40);
 }
--- a/lib/testutils/tests/runner/test_uneven_servers.rs
+++ b/lib/testutils/tests/runner/test_worker_variation.rs
@@ -1,4 +1,4 @@
-//! Workers that are not alike, on the virtual clock.
+//! Tests of load runs with workers that differ in speed and in the distance to data.
 
 use std::time::Duration;
 
@@ -25,32 +25,34 @@
     }
 }
 
-fn play(plan: LoadPlan) -> LoadReport {
+fn run_plan(plan: LoadPlan) -> LoadReport {
     let report = load::run(plan);
     assert_eq!(report.violation, None, "seed {}", plan.seed);
     report
 }
 
-/// With the switch off each answer comes when it came before there was one, and is the same.
+/// With the speed policy off each answer is the same, and comes at the same time, as without the mechanism.
 #[test]
-fn test_uneven_servers_switched_off_change_nothing() {
+fn test_worker_variation_policy_off() {
     let quarter = WorkerVariation::of(&[0.55, 1.2, 1.2, 1.2]);
-    let digests = [1, 2].map(|seed| play(plan(seed, quarter, Policy::default())).digest);
+    let digests = [1, 2].map(|seed| run_plan(plan(seed, quarter, Policy::default())).digest);
     assert_eq!(
         digests,
         [4_336_022_938_636_250_089, 8_263_911_642_410_862_068]
     );
 }
 
+/// Returns a policy that places tasks by the speeds of the workers.
 fn by_speed() -> Policy {
     let mut policy = Policy::default();
     policy.speeds.on = true;
     policy
 }
 
-/// Half of the workers at a third of the others' speed, most of them full. Without the speeds two of five long jobs are late.
+/// Half of the workers have a third of the others' speed, and most are full. Without the speed policy two of
+/// five long jobs are late.
 #[test]
-fn test_uneven_servers_serve_more_where_tasks_go_by_speed() {
+fn test_worker_variation_by_speed() {
     const SEEDS: u64 = 3;
     let half = WorkerVariation::of(&[0.5, 1.5]);
     let [off, on] = [Policy::default(), by_speed()].map(|policy| {
@@ -60,14 +62,15 @@
             slow: 0,
             ..plan(seed, half, policy)
         });
-        plans.map(|plan| play(plan).goodput()).sum::<f64>() / SEEDS as f64
+        plans.map(|plan| run_plan(plan).goodput()).sum::<f64>() / SEEDS as f64
     });
     assert!(on > off + 0.03, "{on} of the work in time, {off} without");
 }
 
-/// Data of 60 % of a queue lies in one rack, a sixth of the workers; elsewhere its tasks take twice as long.
+/// The data of 60 % of the jobs of a queue lies in one rack with a sixth of the workers; elsewhere their
+/// tasks take twice as long.
 #[test]
-fn test_uneven_servers_fewer_jobs_are_late_far_from_their_data() {
+fn test_worker_variation_data_racks() {
     const SEEDS: u64 = 3;
     let mut rack = WorkerVariation::default();
     rack.rack_share = 0.6;
@@ -81,7 +84,7 @@
             slow: 0,
             ..plan(seed, rack, policy)
         });
-        plans.map(|plan| play(plan).kinds[0].late).sum::<u64>()
+        plans.map(|plan| run_plan(plan).kinds[0].late).sum::<u64>()
     });
     assert!(on < off, "{on} jobs late, {off} without");
 }
