--- a/lib/testutils/src/dispatch/run.rs
+++ b/lib/testutils/src/dispatch/run.rs
@@ -94,7 +94,7 @@
     pub crashing: bool,
     /// Whether the capacities of workers change while they run.
     pub resizing: bool,
-    /// Whether zones are evacuated, and the store rejects some schedulers meanwhile.
+    /// Whether zones are evacuated, and the store does not serve some schedulers meanwhile.
     pub evacuating: bool,
     /// Whether schedulers are asked to leave and are restarted.
     pub leaving: bool,
@@ -247,8 +247,8 @@
     world.print(Node::Executor(n), &format!("capacity {capacity}"));
 }
 
-/// Evacuates a random zone, or ends its evacuation. In a third of the calls the store rejects other
-/// schedulers from then on.
+/// Evacuates a random zone, or ends its evacuation. In a third of the calls the store serves other
+/// schedulers than before.
 fn evacuate(world: &mut World) {
     if world.rng.random_bool(0.33) {
         let (schedulers, _) = world.size();
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -72,8 +72,9 @@
 /// The interval at which a waiting hold checks the worker's lists, in microseconds.
 const POLL_INTERVAL_US: u64 = 1_000;
 
-/// A scheduled event. Where it has an incarnation, after the index of its process, it is ignored once the
-/// process has another one.
+/// A scheduled event. The number after a process is its incarnation: events for an earlier incarnation are
+/// ignored. Orders of an earlier incarnation of an executor still reach the worker, but their replies are
+/// ignored.
 #[derive(Debug)]
 enum Event {
     Tick(Node, u64),
@@ -114,7 +115,8 @@
 struct OrderDelivery {
     /// Whether it is delivered late and its sender receives no answer.
     late: bool,
-    /// When the incarnation that it was sent to started. A later incarnation does not receive it.
+    /// The start time of the incarnation that it was sent to. It does not reach an incarnation with another
+    /// one.
     born: Option<u64>,
 }
 
@@ -130,7 +132,7 @@
     frozen_until: u64,
     /// When it receives, or last received, the roster.
     roster_at: u64,
-    /// Since when it has run and been served by the store; `None` while the store rejects it.
+    /// Since when it has run and been served by the store; `None` while the store does not serve it.
     served_since: Option<u64>,
 }
 
@@ -158,7 +160,8 @@
     pub crashes: u64,
     /// The network.
     pub network: Network,
-    /// The share of orders to workers that are delivered late and get no answer.
+    /// The share of orders to workers that are delivered late and get no answer. The same share of holds is
+    /// lost.
     pub late_share: f64,
     /// The share of workers' replies that are lost.
     pub lost_share: f64,
@@ -520,8 +523,8 @@
         }
     }
 
-    /// Kills a process and restarts it after `downtime` microseconds. With `silent` its peers do not learn that
-    /// the links are closed.
+    /// Kills a process and restarts it after `downtime` microseconds. With `silent` its peers do not learn
+    /// before that the links are closed.
     pub fn kill(&mut self, node: Node, silent: bool, downtime: u64) {
         match node {
             Node::Scheduler(n) => self.schedulers[n].up = false,
--- a/lib/testutils/src/dispatch/world/evacuations.rs
+++ b/lib/testutils/src/dispatch/world/evacuations.rs
@@ -23,7 +23,7 @@
     revision: u64,
     /// The evacuated zones: the revision, and when it was accepted.
     zones: BTreeMap<String, (u64, u64)>,
-    /// The schedulers that the store rejects.
+    /// The schedulers that the store does not serve: they receive no zone records.
     unserved: BTreeSet<usize>,
 }
 
@@ -80,8 +80,8 @@
         zones.map(str::to_owned).collect()
     }
 
-    /// Makes the store reject these schedulers and serve all others. Those that it serves again read the
-    /// roster and all zones, because they missed the changes meanwhile.
+    /// Makes the store withhold zone records from these schedulers and serve all others. Those that it serves
+    /// again read the roster and all zones, because they missed the changes meanwhile.
     pub fn set_unserved(&mut self, schedulers: BTreeSet<usize>) {
         for n in 0..self.schedulers.len() {
             let (before, after) = (self.evacuations.serves(n), !schedulers.contains(&n));
--- a/lib/testutils/src/dispatch/world/processes.rs
+++ b/lib/testutils/src/dispatch/world/processes.rs
@@ -142,7 +142,7 @@
         self.schedule(LEAVE_CHECK_US, Event::CheckLeaving(n, incarnation, until));
     }
 
-    /// Delivers the roster and the evacuated zones from the store to a scheduler.
+    /// Delivers the roster from the store to a scheduler, and the evacuated zones if the store serves it.
     pub(super) fn deliver_roster(&mut self, n: usize, incarnation: u64) {
         if self.incarnation(Node::Scheduler(n)) == incarnation {
             let names = (0..self.executors.len()).map(executor_name).collect();
--- a/lib/testutils/src/dispatch/world/workers.rs
+++ b/lib/testutils/src/dispatch/world/workers.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns whether an order can reach the worker: it is up, and still the incarnation that the order was
-    /// sent to.
+    /// Returns whether an order can reach the worker: it is up and has the start time of the incarnation that
+    /// the order was sent to, or neither has one.
     fn can_reach(&self, n: usize, order: OrderDelivery) -> bool {
         self.workers[n].up && self.workers[n].life.born == order.born
     }
@@ -268,7 +268,10 @@
         if !worker.up || worker.life.id != life || there != Some(run.run) {
             return;
         }
-        self.print(Node::Executor(n), &format!("worker: crash under {run:?}"));
+        self.print(
+            Node::Executor(n),
+            &format!("worker: crash caused by {run:?}"),
+        );
         self.crashes += 1;
         self.witness.record_culprit(run.task);
         self.lose_power(n);
--- a/lib/testutils/tests/runner/test_dispatch_run.rs
+++ b/lib/testutils/tests/runner/test_dispatch_run.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Zones are evacuated and reopened, among all other faults, while the store rejects some schedulers.
+/// Zones are evacuated and reopened, among all other faults, while the store does not serve some schedulers.
 #[test]
 fn test_dispatch_run_evacuations() {
     for seed in 1..13 {
