--- a/lib/testutils/src/bin/dispatch-load.rs
+++ b/lib/testutils/src/bin/dispatch-load.rs
@@ -14,10 +14,10 @@
 use stackcourse_lib::findings::Findings;
 use stackcourse_testutils::dispatch::load;
 use stackcourse_testutils::dispatch::load::KindReport;
+use stackcourse_testutils::dispatch::load::LoadFaults;
 use stackcourse_testutils::dispatch::load::LoadPlan;
 use stackcourse_testutils::dispatch::load::LoadReport;
-use stackcourse_testutils::dispatch::load::Trouble;
-use stackcourse_testutils::dispatch::load::Uneven;
+use stackcourse_testutils::dispatch::load::WorkerVariation;
 
 /// The share of the work done in time from which a window counts as recovered.
 const RECOVERED_GOODPUT: f64 = 0.9;
@@ -41,7 +41,7 @@
 }
 
 fn command() -> Command {
-    let swing = "By how many percent the first third of the schedulers gets more jobs; the last third gets as much less";
+    let load_skew = "By how many percent the first third of the schedulers gets more jobs; the last third gets as much less";
     let late = "Percentage of orders that are carried out late";
     let slow = "Workers that are five times slower in the middle half of the run";
     let mbit = "Network limit of two thirds of the schedulers' machines, in Mbit/s; 0 for none";
@@ -49,9 +49,9 @@
     let crashing = "Jobs in a thousand of the middle half with a task that crashes workers";
     let crashing_kind =
         "The kind of the jobs that crash workers, from 1, in the printed order; 0 for all";
-    let wanted =
+    let rack_share =
         "Percentage of the first kind's jobs whose data is in one rack, a sixth of the workers";
-    let remote = "Duration of a task outside its data's rack, in percent";
+    let remote_factor = "Duration of a task outside its data's rack, in percent";
     let restarts = "Executors restarted in the middle half, one every 200 ms";
     Command::new("dispatch-load")
         .about("Simulates the users' mix of jobs at shares of the workers' capacity")
@@ -64,7 +64,7 @@
         .arg(number_arg("seconds", "10", "Virtual seconds of each run"))
         .arg(number_arg("schedulers", "3", "The number of schedulers"))
         .arg(number_arg("workers", "11", "The number of workers"))
-        .arg(number_arg("swing", "0", swing))
+        .arg(number_arg("swing", "0", load_skew))
         .arg(number_arg("seed", "1", "The first seed"))
         .arg(number_arg("seeds", "1", "The number of seeds"))
         .arg(number_arg("late", "0", late))
@@ -86,8 +86,8 @@
                 .default_value("0.8,1.0,1.25")
                 .help("Speeds that the workers have in turn; eight at most"),
         )
-        .arg(number_arg("wanted", "0", wanted))
-        .arg(number_arg("remote", "100", remote))
+        .arg(number_arg("wanted", "0", rack_share))
+        .arg(number_arg("remote", "100", remote_factor))
         .arg(
             Arg::new("set")
                 .long("set")
@@ -132,13 +132,13 @@
     }
 }
 
-fn worker_variation(matches: &ArgMatches) -> Uneven {
+fn worker_variation(matches: &ArgMatches) -> WorkerVariation {
     let list = matches.get_one::<String>("speeds").expect("a default");
     let speeds: Vec<f64> = list.split(',').filter_map(|s| s.parse().ok()).collect();
-    let mut uneven = Uneven::of(&speeds);
-    uneven.wanted = value(matches, "wanted") as f64 / 100.0;
-    uneven.remote = value(matches, "remote") as f64 / 100.0;
-    uneven
+    let mut variation = WorkerVariation::of(&speeds);
+    variation.rack_share = value(matches, "wanted") as f64 / 100.0;
+    variation.remote_factor = value(matches, "remote") as f64 / 100.0;
+    variation
 }
 
 fn load_plans(matches: &ArgMatches, load: f64, policy: Policy) -> impl Iterator<Item = LoadPlan> {
@@ -149,11 +149,11 @@
         span: Duration::from_secs(value(matches, "seconds")),
         schedulers: value(matches, "schedulers") as usize,
         workers: value(matches, "workers") as usize,
-        swing: value(matches, "swing") as f64 / 100.0,
+        load_skew: value(matches, "swing") as f64 / 100.0,
         late: value(matches, "late") as f64 / 100.0,
         slow: value(matches, "slow") as usize,
-        uneven: worker_variation(matches),
-        trouble: Trouble {
+        variation: worker_variation(matches),
+        faults: LoadFaults {
             link_mbit: value(matches, "mbit"),
             queues: value(matches, "queues") as usize,
             restarts: value(matches, "restarts") as usize,
@@ -178,7 +178,7 @@
     bursts
 }
 
-fn print_line(load: f64, reports: &[LoadReport], swing: bool) {
+fn print_line(load: f64, reports: &[LoadReport], load_skew: bool) {
     let count = reports.len() as f64;
     let mean = reports.iter().map(LoadReport::goodput).sum::<f64>() / count;
     let squares = reports.iter().map(|r| (r.goodput() - mean).powi(2));
@@ -195,17 +195,17 @@
         let refused = share(|k| k.refused);
         print!(" {}: {in_time:5.1} {late:5.1} {refused:5.1} ", kind.name);
     }
-    let under_faults: f64 = reports.iter().map(LoadReport::goodput_in_trouble).sum();
+    let under_faults: f64 = reports.iter().map(LoadReport::goodput_under_faults).sum();
     let recovery = reports
         .iter()
-        .map(|r| r.time_until_back(RECOVERED_GOODPUT))
+        .map(|r| r.recovery_time(RECOVERED_GOODPUT))
         .max();
     let recovery = recovery.unwrap_or_default().as_secs_f64();
     print!(
         " middle half: {:5.3}, recovered after {recovery:.1} s ",
         under_faults / count
     );
-    if swing {
+    if load_skew {
         let share = |n: usize| {
             reports
                 .iter()
@@ -216,9 +216,9 @@
         print!(" thirds: {:.3} {:.3} {:.3} ", share(0), share(1), share(2));
     }
     let crashes: u64 = reports.iter().map(|r| r.crashes).sum();
-    let misjudged: u64 = reports.iter().map(|r| r.misjudged).sum();
+    let wrongly_failed: u64 = reports.iter().map(|r| r.wrongly_failed).sum();
     if crashes > 0 {
-        print!(" {crashes} crashes, {misjudged} jobs wrongly failed ");
+        print!(" {crashes} crashes, {wrongly_failed} jobs wrongly failed ");
     }
     let violation = reports.iter().find_map(|r| r.violation.clone());
     println!("{}", violation.unwrap_or_default());
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -24,7 +24,7 @@
 use stackcourse_lib::dispatch::model::JobNumber;
 use stackcourse_lib::dispatch::model::TaskName;
 
-use crate::dispatch::witness::Witness;
+use crate::dispatch::witness::InvariantChecker;
 use crate::dispatch::worker::WorkerModel;
 use crate::standin;
 use crate::standin::StandIn;
@@ -52,7 +52,7 @@
     /// The worker models, by number.
     pub models: Vec<WorkerModel>,
     /// Checks the starts and the responses to callers.
-    pub witness: Witness,
+    pub witness: InvariantChecker,
     /// The service that the workers belong to.
     pub service: String,
     /// The number of crashes that tasks caused.
@@ -75,7 +75,7 @@
     pub fn new(count: usize, service: &str) -> SharedWorkers {
         let mut workers = Workers {
             models: Vec::new(),
-            witness: Witness::default(),
+            witness: InvariantChecker::default(),
             service: service.to_owned(),
             crashes: 0,
             starts: vec![0; count],
@@ -100,7 +100,8 @@
     fn create_incarnation_with_id(&mut self, id: String) -> WorkerModel {
         self.incarnations += 1;
         let born = Some(BORN_BASE_MS + self.now() / 1000);
-        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY).with_clock(self.now() - 1000)
+        WorkerModel::new(WorkerIncarnation { id, born }, CAPACITY)
+            .with_clock_zero(self.now() - 1000)
     }
 
     /// Returns the time on the workers' clock, in microseconds.
@@ -125,13 +126,15 @@
     /// Crashes a worker and starts its next incarnation under the same id.
     pub fn restart(&mut self, number: usize) {
         self.advance();
-        self.witness.crashed(self.models[number].known_there());
+        self.witness
+            .record_crash(self.models[number].unacknowledged_tasks());
         let id = self.models[number].life.id.clone();
         self.models[number] = self.create_incarnation_with_id(id);
     }
 
     fn start_next_incarnation(&mut self, number: usize) {
-        self.witness.crashed(self.models[number].known_there());
+        self.witness
+            .record_crash(self.models[number].unacknowledged_tasks());
         self.models[number] = match self.incarnations.is_multiple_of(2) {
             true => self.create_incarnation_with_id(self.models[number].life.id.clone()),
             false => self.create_incarnation(),
@@ -147,7 +150,7 @@
             let running = self.models[number].running.get(&name.task);
             if running.is_some_and(|r| r.run == name.run) {
                 self.crashes += 1;
-                self.witness.crashed_by(name.task);
+                self.witness.record_culprit(name.task);
                 self.start_next_incarnation(number);
             }
         }
@@ -196,13 +199,13 @@
         let cpu = |t: &TaskName| jobs.get(&t.job).map_or(0, |j| j.cpu);
         let used_cpu = self.models[number].running.keys().map(cpu).sum();
         self.witness
-            .started(task, runs_elsewhere, used_cpu, CAPACITY);
+            .check_start(task, runs_elsewhere, used_cpu, CAPACITY);
         self.starts[number] += 1;
         let now = self.now();
         let since = self.evacuated_since[number].map(|at| now.saturating_sub(at));
         if since.is_some_and(|since| since >= EVACUATION_GRACE_US) {
             let what = format!("{task} was started at worker {number}, whose zone is evacuated");
-            self.witness.break_promise(what);
+            self.witness.report_violation(what);
         }
     }
 }
@@ -246,7 +249,7 @@
             let now = workers.now();
             let service = workers.service.clone();
             let model = &mut workers.models[handle.number];
-            model.beats += 1;
+            model.heartbeats += 1;
             let state = if model.draining { "draining" } else { "ready" };
             let document = json!({
                 "service": service,
@@ -259,7 +262,7 @@
                 "capacity": {"cpu": model.capacity, "memMb": 65_536, "gpu": 0},
                 "labels": ["a", "r1"],
                 "clockMs": model.clock_ms(now),
-                "sequence": model.beats,
+                "sequence": model.heartbeats,
                 "born": model.life.born,
             });
             (model.life.id.clone(), document)
@@ -404,7 +407,7 @@
             let mut workers = handle.workers.lock().unwrap();
             let now = workers.advance();
             let model = &mut workers.models[handle.number];
-            (model.hold(now, &call), model.has_news(call.seen))
+            (model.hold(now, &call), model.has_unseen_ends(call.seen))
         };
         let has_lists = matches!(reply, HoldReply::Lists { .. });
         if has_new_ends || !has_lists || Instant::now() >= end {
