--- a/lib/testutils/src/random_run.rs
+++ b/lib/testutils/src/random_run.rs
@@ -1,4 +1,6 @@
-//! Randomised runs: jobs, resubmissions and faults drawn from a seed, which reproduces the run.
+//! Randomised runs of the simulated [`World`]. Takes a [`RunPlan`], submits and resubmits jobs and injects
+//! faults as drawn from its seed, and returns a [`RunReport`] with the first violated invariant. The same
+//! plan reproduces the same run.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -15,134 +17,138 @@
 use crate::world::QUOTA;
 use crate::world::World;
 
-/// What to run.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunPlan {
-    /// The seed.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How much virtual time passes with faults.
+    /// The virtual time during which faults are injected.
     pub span: Duration,
-    /// Which check is left out.
+    /// The check that the state machines omit.
     pub broken: Broken,
-    /// What happens to the clocks of boxes.
+    /// How the clocks of boxes are disturbed.
     pub clocks: ClockFaults,
 }
 
-/// What happens to the clocks of boxes.
+/// How the clocks of boxes are disturbed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ClockFaults {
-    /// They go right.
+    /// Clocks are not set.
     #[default]
     None,
-    /// They are set ahead and back while processes run, and are right when one starts.
+    /// Clocks are set ahead and back while processes run, and are corrected before a process restarts.
     Running,
-    /// They are set ahead and back at any time.
+    /// Clocks are set ahead and back at any time.
     Always,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct RunReport {
-    /// Inputs given to state machines.
+    /// Number of inputs given to state machines.
     pub steps: u64,
-    /// Tasks started.
+    /// Number of task starts.
     pub starts: u64,
-    /// Answers by outcome's number.
+    /// Number of answers by outcome code; index 0 counts answers without an outcome.
     pub outcomes: [u64; 5],
-    /// The promise that was broken, if any.
+    /// The first violated invariant, if any.
     pub violation: Option<String>,
-    /// Whether jobs were served again after all faults had ended.
+    /// Whether more than half of the probe jobs were completed after all faults had ended. Also true for a
+    /// run that ended with a violation.
     pub recovered: bool,
-    /// Jobs refused for their mint time after all faults had ended, though their callers' clocks
-    /// were right or had been set with that of the entry's box.
+    /// Number of jobs rejected because of the time in their ids after all faults had ended, although their
+    /// callers' clocks were right or had been set together with that of an entry's box.
     pub untimely: u64,
 }
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 4;
-/// The longest pause between two actions of the run, in milliseconds.
-const PACE_MS: u64 = 120;
-/// How often a clock is set, for each action.
-const CLOCK_SET: f64 = 0.02;
-/// How far clocks are set ahead and back at the most; less than the horizon.
-const STEP_AHEAD_MS: i64 = 15_000;
-const STEP_BACK_MS: i64 = 8_000;
+/// Upper bound of the pause between two steps of a run, in milliseconds.
+const MAX_PAUSE_MS: u64 = 120;
+/// Probability that a clock is set in a step.
+const CLOCK_STEP_PROBABILITY: f64 = 0.02;
+/// Upper bounds of the steps by which clocks are set ahead and back. Both are shorter than [`HORIZON`].
+const MAX_STEP_AHEAD_MS: i64 = 15_000;
+const MAX_STEP_BACK_MS: i64 = 8_000;
 
 struct Runner {
     world: World,
-    next: u64,
+    next_request: u64,
+    /// Jobs that may be resubmitted: id, number of tasks, and whether the job is for the service that must
+    /// not repeat tasks.
     recent: Vec<(JobId, u32, bool)>,
-    faults: f64,
+    /// Probability of a fault in a step.
+    fault_rate: f64,
     version: u64,
     clocks: ClockFaults,
     untimely: u64,
 }
 
-/// Runs a plan.
+/// Runs a plan: injects faults for its span, then ends all faults and checks that jobs are served again.
 pub fn run(plan: RunPlan) -> RunReport {
     let mut world = World::new(plan.seed, ENTRIES, AGENTS, plan.broken);
-    let calm = world.rng.random_bool(0.1);
-    let faults = if calm {
+    let is_calm = world.rng.random_bool(0.1);
+    let fault_rate = if is_calm {
         0.0
     } else {
         world.rng.random_range(0.02..0.3)
     };
     if world.rng.random_bool(0.3) {
-        world.duplicates = 0.01;
+        world.duplicate_rate = 0.01;
     }
     let mut runner = Runner {
         world,
-        next: 0,
+        next_request: 0,
         recent: Vec::new(),
-        faults,
+        fault_rate,
         version: 0,
         clocks: plan.clocks,
         untimely: 0,
     };
-    runner.configure();
+    runner.publish_config();
     runner.world.run(Duration::from_secs(4));
     let end = runner.world.now + plan.span.as_micros() as u64;
-    while runner.world.now < end && runner.world.witness.violation().is_none() {
-        runner.act();
-        let pause = runner.world.rng.random_range(1..PACE_MS);
+    while runner.world.now < end && runner.world.checker.violation().is_none() {
+        runner.step();
+        let pause = runner.world.rng.random_range(1..MAX_PAUSE_MS);
         runner.world.run(Duration::from_millis(pause));
     }
-    let recovered = runner.world.witness.violation().is_some() || runner.recover();
+    let recovered = runner.world.checker.violation().is_some() || runner.recover();
     let world = &runner.world;
     RunReport {
         steps: world.steps,
-        starts: world.witness.starts,
-        outcomes: world.witness.outcomes,
-        violation: world.witness.violation().map(ToOwned::to_owned),
+        starts: world.checker.starts,
+        outcomes: world.checker.outcomes,
+        violation: world.checker.violation().map(ToOwned::to_owned),
         recovered,
         untimely: runner.untimely,
     }
 }
 
 impl Runner {
-    fn act(&mut self) {
-        if self.world.rng.random_bool(self.faults) {
-            self.fault();
+    fn step(&mut self) {
+        if self.world.rng.random_bool(self.fault_rate) {
+            self.inject_fault();
         }
         if self.world.rng.random_bool(0.03) {
-            self.mend();
+            self.repair_some();
         }
-        if self.clocks != ClockFaults::None && self.world.rng.random_bool(CLOCK_SET) {
+        if self.clocks != ClockFaults::None && self.world.rng.random_bool(CLOCK_STEP_PROBABILITY) {
             self.set_clock();
         }
         let jobs = self.world.rng.random_range(0..3);
         for _ in 0..jobs {
-            self.job();
+            self.submit_job();
         }
     }
 
-    fn job(&mut self) {
+    fn submit_job(&mut self) {
         let again = !self.recent.is_empty() && self.world.rng.random_bool(0.35);
         let (job, tasks, once) = if again {
             let i = self.world.rng.random_range(0..self.recent.len());
             self.recent[i]
         } else {
-            self.mint()
+            self.create_job()
         };
         let copies = if self.world.rng.random_bool(0.2) {
             2
@@ -155,7 +161,7 @@
         }
     }
 
-    fn mint(&mut self) -> (JobId, u32, bool) {
+    fn create_job(&mut self) -> (JobId, u32, bool) {
         let skew = self.world.rng.random_range(0..2_000);
         let mut ms = self.world.caller_ms() - 500 + skew;
         if self.clocks != ClockFaults::None && self.world.rng.random_bool(0.5) {
@@ -173,7 +179,7 @@
     }
 
     fn send(&mut self, entry: usize, job: JobId, tasks: u32, once: bool) -> bool {
-        self.next += 1;
+        self.next_request += 1;
         let peek = self.world.rng.random_bool(0.05);
         let list: Vec<String> = (0..tasks).map(|t| t.to_string()).collect();
         let body = format!("{{\"tasks\":[{}]}}", list.join(","));
@@ -190,83 +196,84 @@
             left: Duration::from_millis(left),
             peek,
         };
-        self.world.submit(entry, self.next, submission, tasks)
+        self.world
+            .submit(entry, self.next_request, submission, tasks)
     }
 
-    /// Sets the clock of a box, or that of all boxes, ahead or back.
+    /// Sets the clock of one box, or of all boxes, ahead or back, or corrects it.
     fn set_clock(&mut self) {
         let step_ms = match self.world.rng.random_range(0..3) {
             0 => 0,
-            1 => self.world.rng.random_range(0..STEP_AHEAD_MS),
-            _ => -self.world.rng.random_range(0..STEP_BACK_MS),
+            1 => self.world.rng.random_range(0..MAX_STEP_AHEAD_MS),
+            _ => -self.world.rng.random_range(0..MAX_STEP_BACK_MS),
         };
-        let proc = self.any();
+        let proc = self.random_process();
         let all = self.world.rng.random_bool(0.3);
-        for other in 0..self.world.count() {
+        for other in 0..self.world.process_count() {
             if all || other == proc {
                 self.world.set_clock(other, step_ms);
             }
         }
     }
 
-    fn any(&mut self) -> usize {
-        let count = self.world.count();
+    fn random_process(&mut self) -> usize {
+        let count = self.world.process_count();
         self.world.rng.random_range(0..count)
     }
 
-    fn fault(&mut self) {
-        let proc = self.any();
+    fn inject_fault(&mut self) {
+        let proc = self.random_process();
         match self.world.rng.random_range(0..12) {
             0 | 1 if self.world.is_up(proc) => self.world.crash(proc),
             2 | 3 if self.world.is_up(proc) => self.world.pause(proc),
             4 | 5 => {
-                let other = self.any();
+                let other = self.random_process();
                 if other != proc {
                     self.world.set_cut(proc, other, true);
                 }
             }
-            6 => self.world.store_cut[proc] = true,
-            7 => self.world.store_cut.fill(true),
-            8 => self.world.lossy = 0.3,
-            9 if self.may_leave(proc) => self.world.leave(proc),
-            10 => self.configure(),
-            11 => self.leap(),
+            6 => self.world.store_unreachable[proc] = true,
+            7 => self.world.store_unreachable.fill(true),
+            8 => self.world.store_loss = 0.3,
+            9 if self.can_leave(proc) => self.world.leave(proc),
+            10 => self.publish_config(),
+            11 => self.set_leaving_boxes(),
             _ => {}
         }
     }
 
-    /// A process that is paused can't be asked to leave.
-    fn may_leave(&self, proc: usize) -> bool {
+    /// Returns whether a process can be asked to leave: it runs, is not paused and is not leaving already.
+    fn can_leave(&self, proc: usize) -> bool {
         let w = &self.world;
         w.is_up(proc) && !w.is_leaving(proc) && !w.is_paused(proc)
     }
 
-    /// The platform's list calls a random set of boxes leaving.
-    fn leap(&mut self) {
+    /// Lists a random set of agents' boxes as leaving on the platform.
+    fn set_leaving_boxes(&mut self) {
         let mut leaving = HashSet::new();
         for i in 0..AGENTS {
             if self.world.rng.random_bool(0.3) {
                 leaving.insert(format!("w{i}"));
             }
         }
-        self.world.set_boxes(&leaving);
+        self.world.set_leaving_boxes(&leaving);
     }
 
-    /// Ends some of the faults.
-    fn mend(&mut self) {
-        for proc in 0..self.world.count() {
+    /// Ends a random part of the faults.
+    fn repair_some(&mut self) {
+        for proc in 0..self.world.process_count() {
             if self.world.rng.random_bool(0.5) {
-                self.mend_proc(proc);
+                self.repair_process(proc);
             }
         }
         if self.world.rng.random_bool(0.5) {
-            self.mend_ways();
+            self.repair_network();
         }
     }
 
-    fn mend_proc(&mut self, proc: usize) {
+    fn repair_process(&mut self, proc: usize) {
         self.world.resume(proc);
-        let left = self.world.is_leaving(proc) && self.world.drained(proc);
+        let left = self.world.is_leaving(proc) && self.world.is_drained(proc);
         if left && self.world.is_up(proc) {
             self.world.crash(proc);
         }
@@ -278,49 +285,49 @@
         }
     }
 
-    fn mend_ways(&mut self) {
-        self.world.store_cut.fill(false);
-        self.world.lossy = 0.0;
-        for a in 0..self.world.count() {
-            for b in a + 1..self.world.count() {
+    fn repair_network(&mut self) {
+        self.world.store_unreachable.fill(false);
+        self.world.store_loss = 0.0;
+        for a in 0..self.world.process_count() {
+            for b in a + 1..self.world.process_count() {
                 self.world.set_cut(a, b, false);
             }
         }
-        self.world.set_boxes(&HashSet::new());
+        self.world.set_leaving_boxes(&HashSet::new());
     }
 
-    /// Ends all faults and looks whether jobs are served again.
+    /// Ends all faults, submits probe jobs and returns whether more than half of them were completed.
     fn recover(&mut self) -> bool {
         for _ in 0..60 {
-            self.mend_ways();
-            for proc in 0..self.world.count() {
-                self.mend_proc(proc);
+            self.repair_network();
+            for proc in 0..self.world.process_count() {
+                self.repair_process(proc);
             }
             self.world.run(Duration::from_secs(1));
         }
-        let before = self.world.witness.outcomes[1];
-        let untimely = self.world.witness.untimely;
+        let before = self.world.checker.outcomes[1];
+        let untimely = self.world.checker.untimely;
         let mut sent = 0;
         for i in 0..30 {
-            let (job, tasks, _) = self.mint();
+            let (job, tasks, _) = self.create_job();
             let mut ready = self.world.is_up(i % ENTRIES);
             ready &= !self.world.is_paused(i % ENTRIES);
-            if ready && self.send_plain(i % ENTRIES, job, tasks) {
+            if ready && self.send_probe(i % ENTRIES, job, tasks) {
                 sent += 1;
             }
             self.world.run(Duration::from_secs(1));
-            for proc in 0..self.world.count() {
-                self.mend_proc(proc);
+            for proc in 0..self.world.process_count() {
+                self.repair_process(proc);
             }
         }
         self.world.run(Duration::from_secs(20));
-        self.untimely = self.world.witness.untimely - untimely;
-        let done = self.world.witness.outcomes[1] - before;
+        self.untimely = self.world.checker.untimely - untimely;
+        let done = self.world.checker.outcomes[1] - before;
         sent > 0 && done * 2 > sent
     }
 
-    fn send_plain(&mut self, entry: usize, job: JobId, tasks: u32) -> bool {
-        self.next += 1;
+    fn send_probe(&mut self, entry: usize, job: JobId, tasks: u32) -> bool {
+        self.next_request += 1;
         let list: Vec<String> = (0..tasks).map(|t| t.to_string()).collect();
         let body = format!("{{\"tasks\":[{}]}}", list.join(","));
         let submission = Submission {
@@ -331,11 +338,12 @@
             left: Duration::from_secs(15),
             peek: false,
         };
-        self.world.submit(entry, self.next, submission, tasks)
+        self.world
+            .submit(entry, self.next_request, submission, tasks)
     }
 
-    /// Puts the next version in force. Owners may be one entry or all of them.
-    fn configure(&mut self) {
+    /// Applies the next configuration version, with a random limit on the number of owners.
+    fn publish_config(&mut self) {
         self.version += 1;
         let owners = self.world.rng.random_range(0..3);
         let service =
@@ -357,5 +365,5 @@
     }
 }
 
-/// The horizon of the runs, for reports.
+/// How long jobs are remembered in the runs.
 pub const RUN_HORIZON: Duration = HORIZON;
--- a/lib/testutils/src/witness.rs
+++ b/lib/testutils/src/witness.rs
@@ -1,5 +1,6 @@
-//! The witness of a randomised run: it sees every start, every submission and every answer, and
-//! says which promise was broken.
+//! Checks the invariants of the job protocol in a randomised run. Takes every submission, start and
+//! answer in the order in which they occur, and keeps the first violation: a task that starts twice, a
+//! `not_run` job with a started task, or an answer that belongs to another job.
 
 use std::collections::HashMap;
 
@@ -9,79 +10,91 @@
 use stackcourse_lib::outcome::Outcome;
 use stackcourse_lib::outcome::Verdict;
 
-/// What the witness knows of one job.
+/// The events recorded for one job.
 #[derive(Clone, Debug, Default)]
-struct JobFacts {
+struct JobHistory {
+    /// Number of starts by task number.
     starts: HashMap<u32, u32>,
     submissions: u64,
-    /// The number of submissions at the last `not_run` after which no request was open.
-    untouched: Option<u64>,
-    open: u64,
+    /// The value of `submissions` when the job was last answered with `not_run` and no other request for it
+    /// was open. A start is a violation for as long as `submissions` still has this value.
+    not_run_at: Option<u64>,
+    /// Requests without a final answer.
+    open_requests: u64,
 }
 
-/// What was the case when a request was made.
+/// The state of a job at the time of a submission.
 #[derive(Clone, Copy, Debug)]
-pub struct Before {
-    started: bool,
-    alone: bool,
+pub struct SubmissionState {
+    /// Whether a task of the job had started.
+    had_started: bool,
+    /// Whether no other request for the job was open.
+    was_alone: bool,
+    /// Number of submissions, this one included.
     submissions: u64,
 }
 
-/// The witness.
+/// Records what callers and backend servers observe and reports the first broken invariant.
 #[derive(Debug, Default)]
-pub struct Witness {
-    jobs: HashMap<JobId, JobFacts>,
-    /// Answers seen, by outcome's number; 0 for others.
+pub struct InvariantChecker {
+    jobs: HashMap<JobId, JobHistory>,
+    /// Number of answers by outcome code; index 0 counts answers without an outcome.
     pub outcomes: [u64; 5],
-    /// Tasks started.
+    /// Number of task starts.
     pub starts: u64,
-    /// Jobs refused for their mint time.
+    /// Number of answers that reject a job because of the time in its id.
     pub untimely: u64,
     violation: Option<String>,
 }
 
-impl Witness {
-    /// The first promise that was broken, if any.
+impl InvariantChecker {
+    /// Returns a description of the first violation, if any.
     pub fn violation(&self) -> Option<&str> {
         self.violation.as_deref()
     }
 
-    /// Notes that a promise was broken.
-    pub fn accuse(&mut self, what: String) {
+    /// Records a violation unless an earlier one is recorded already.
+    pub fn report_violation(&mut self, what: String) {
         self.violation.get_or_insert(what);
     }
 
-    /// A caller submits a job. Returns what was the case at that moment.
-    pub fn submitted(&mut self, job: JobId) -> Before {
-        let facts = self.jobs.entry(job).or_default();
-        facts.submissions += 1;
-        facts.open += 1;
-        facts.untouched = None;
-        Before {
-            started: !facts.starts.is_empty(),
-            alone: facts.open == 1,
-            submissions: facts.submissions,
+    /// Records a submission of a job and returns the state of the job at that time.
+    pub fn record_submission(&mut self, job: JobId) -> SubmissionState {
+        let history = self.jobs.entry(job).or_default();
+        history.submissions += 1;
+        history.open_requests += 1;
+        history.not_run_at = None;
+        SubmissionState {
+            had_started: !history.starts.is_empty(),
+            was_alone: history.open_requests == 1,
+            submissions: history.submissions,
         }
     }
 
-    /// A back end was handed a task.
-    pub fn started(&mut self, key: TaskKey) {
+    /// Records the start of a task on a backend server and checks that the task may start.
+    pub fn check_start(&mut self, key: TaskKey) {
         self.starts += 1;
-        let facts = self.jobs.entry(key.job).or_default();
-        let count = facts.starts.entry(key.task).or_default();
+        let history = self.jobs.entry(key.job).or_default();
+        let count = history.starts.entry(key.task).or_default();
         *count += 1;
         let twice = *count > 1;
-        let after = facts.untouched == Some(facts.submissions);
+        let after_not_run = history.not_run_at == Some(history.submissions);
         if twice {
-            self.accuse(format!("{key:?} started twice"));
-        } else if after {
-            self.accuse(format!("{key:?} started after `not_run`"));
+            self.report_violation(format!("{key:?} started twice"));
+        } else if after_not_run {
+            self.report_violation(format!("{key:?} started after `not_run`"));
         }
     }
 
-    /// A caller got an answer. Requests whose entry died, or that ended as `unknown`, count as open
-    /// for ever: what they asked may still be under way.
-    pub fn answered(&mut self, job: JobId, tasks: u32, before: Before, verdict: &Verdict) {
+    /// Checks the answer to a request. A request whose entry crashed, or that ended as `unknown`, stays open
+    /// for the rest of the run because its tasks may still start.
+    pub fn check_answer(
+        &mut self,
+        job: JobId,
+        tasks: u32,
+        state: SubmissionState,
+        verdict: &Verdict,
+    ) {
         let outcome = match verdict {
             Verdict::Complete(_) => Some(Outcome::Complete),
             Verdict::Other(refusal) => refusal.outcome,
@@ -91,37 +104,37 @@
             let untimely = matches!(refusal.cause, Cause::Ahead | Cause::Expired);
             self.untimely += u64::from(untimely);
         }
-        let facts = self.jobs.entry(job).or_default();
+        let history = self.jobs.entry(job).or_default();
         if outcome != Some(Outcome::Unknown) {
-            facts.open -= 1;
+            history.open_requests -= 1;
         }
-        let started = !facts.starts.is_empty();
-        let quiet = facts.open == 0;
-        let submissions = facts.submissions;
+        let started = !history.starts.is_empty();
+        let all_closed = history.open_requests == 0;
+        let submissions = history.submissions;
         if outcome == Some(Outcome::NotRun) {
-            if quiet {
-                facts.untouched = Some(facts.submissions);
+            if all_closed {
+                history.not_run_at = Some(history.submissions);
             }
-            // A copy that was under way at the same time may have started it in its own right.
-            let copies = !before.alone || submissions > before.submissions;
-            if before.started || (started && !copies) {
-                self.accuse(format!("{job} was `not_run` but had started"));
+            // A concurrent request for the same job may legitimately have started it.
+            let copies = !state.was_alone || submissions > state.submissions;
+            if state.had_started || (started && !copies) {
+                self.report_violation(format!("{job} was `not_run` but had started"));
             }
         }
         if let Verdict::Complete(body) = verdict
             && *body != expected_answers(job, tasks)
         {
-            self.accuse(format!("{job} got another answer than its own"));
+            self.report_violation(format!("{job} got another answer than its own"));
         }
     }
 }
 
-/// The answer of a back end to a task.
+/// Returns the answer of a backend server to a task, as JSON.
 pub fn task_answer(key: TaskKey) -> String {
     format!("\"{}/{}\"", key.job, key.task)
 }
 
-/// The whole answer to a job.
+/// Returns the complete answer to a job, as a JSON array.
 pub fn expected_answers(job: JobId, tasks: u32) -> bytes::Bytes {
     let answers: Vec<String> = (0..tasks)
         .map(|task| task_answer(TaskKey { job, task }))
--- a/lib/testutils/src/world.rs
+++ b/lib/testutils/src/world.rs
@@ -1,6 +1,7 @@
-//! The world of a randomised run: processes with clocks of their own, links that delay and fail,
-//! and a store that loses answers. Only small fakes at the interfaces; the state machines are the
-//! shipped ones.
+//! A simulation of entries and agents in virtual time, driven by a seeded random number generator. Runs the
+//! production state machines and simulates only what surrounds them: clocks that drift and are set, links
+//! that delay, duplicate and break, and a store whose replies may be lost. Reports every submission, start
+//! and answer to an [`InvariantChecker`].
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -27,137 +28,154 @@
 use stackcourse_lib::store::StoreReply;
 use stackcourse_lib::store::Stored;
 
-use crate::witness::Before;
-use crate::witness::Witness;
+use crate::witness::InvariantChecker;
+use crate::witness::SubmissionState;
 use crate::witness::task_answer;
 
-/// The wall clock at the start of a run, in Unix milliseconds.
+/// Unix time at the start of a run, in milliseconds.
 const EPOCH_MS: u64 = 1_800_000_000_000;
-/// Time between ticks.
+/// Interval between two ticks of a process, in microseconds of true time.
 const TICK_US: u64 = 20_000;
-/// Jobs are forgotten this soon, so that a short run passes the horizon.
+/// How long jobs are remembered. Short, so that jobs pass the horizon within a run.
 pub const HORIZON: Duration = Duration::from_secs(20);
-/// The bound on a team's tasks.
+/// The quota of the only team: the most of its tasks that may run at once.
 pub const QUOTA: usize = 10;
 
-/// A process: entries come first, then agents.
-pub type Proc = usize;
+/// The index of a process; entries come first, then agents.
+pub type ProcessIndex = usize;
 
-/// A state machine.
+/// The state machine that a process runs.
 enum Machine {
     Entry(Box<Entry>),
     Agent(Box<Agent>),
 }
 
-/// A process and its clock.
+/// A process, its clock and its faults.
 struct Process {
+    /// `None` while the process is down.
     machine: Option<Machine>,
-    life: u64,
-    /// Reading of its clock is `offset + true * rate`.
+    /// Counts starts and crashes; events of an earlier generation are ignored.
+    generation: u64,
+    /// Rate of the monotonic clock, relative to true time.
     rate: f64,
+    /// Constant offset of the box's wall clock.
     skew_ms: i64,
-    /// How far the box's clock was set ahead.
+    /// How far the box's wall clock was set ahead.
     step_ms: i64,
-    /// The time of day carried on, less that of its own clock.
-    base_ms: i64,
-    /// When it was started, by its own clock.
+    /// Offset of the wall time that the process keeps itself. It is taken from the box's clock at the start,
+    /// and moves only when the process shifts its clock.
+    wall_offset_ms: i64,
+    /// When the process was started, by its monotonic clock.
     started: u64,
     paused: bool,
+    /// Events that arrived while the process was paused.
     backlog: Vec<Event>,
-    stalled: Vec<Deferred>,
+    /// Actions that the process carries out when it resumes.
+    deferred: Vec<DeferredAction>,
+    /// When the process was asked to leave, in true time.
     leaving: Option<u64>,
 }
 
-/// What a paused process was about to do.
-enum Deferred {
+/// An action that a paused process has yet to carry out.
+enum DeferredAction {
     Entry(entry::Action),
     Agent(agent::Action),
 }
 
-/// A connection.
+/// A connection between two processes. Arrays are indexed by side.
 struct Link {
-    ends: [Proc; 2],
-    lives: [u64; 2],
-    /// Whether each end still believes in it.
+    endpoints: [ProcessIndex; 2],
+    /// The generation of each process when the link was opened.
+    generations: [u64; 2],
+    /// Whether each side still regards the link as open.
     up: [bool; 2],
-    last: [u64; 2],
+    /// When the last message to each side is due; keeps messages in order.
+    last_due: [u64; 2],
 }
 
-/// How a task ends.
+/// How a task ends on its backend server.
 #[derive(Clone, Copy)]
-enum End {
+enum TaskEnd {
     Answered,
     Failed,
     NeverSent,
 }
 
-/// Something that happens at a time.
+/// A scheduled event.
 enum Event {
-    Tick(Proc, u64),
-    Frame(LinkId, usize, Body),
-    Down(LinkId, usize),
-    Apply(Proc, u64, u64, StoreOp, bool),
-    Reply(Proc, u64, u64, StoreReply),
-    Done(Proc, u64, TaskKey, End),
+    /// A tick of a process of the given generation.
+    Tick(ProcessIndex, u64),
+    /// A message arrives at one side of a link.
+    Message(LinkId, usize, Body),
+    /// One side of a link notices that it is closed.
+    LinkDown(LinkId, usize),
+    /// The store carries out the operation with a tag, sent by a process of the given generation, and replies
+    /// if the flag is set.
+    ApplyStoreOp(ProcessIndex, u64, u64, StoreOp, bool),
+    /// The reply to the store operation with a tag arrives.
+    StoreReply(ProcessIndex, u64, u64, StoreReply),
+    /// A task of an agent of the given generation ends.
+    TaskEnd(ProcessIndex, u64, TaskKey, TaskEnd),
+    /// Missing links are opened.
     Connect,
 }
 
-/// A caller's request under way.
-struct Open {
+/// A caller's request that has not been answered.
+struct OpenRequest {
     job: JobId,
     tasks: u32,
-    before: Before,
+    state: SubmissionState,
 }
 
-/// The world.
+/// The simulated processes, their links, the store and the schedule of events.
 pub struct World {
-    /// Random numbers.
+    /// The generator of all random choices of the run.
     pub rng: ChaCha8Rng,
     /// True time, in microseconds.
     pub now: u64,
-    /// Inputs given to state machines so far.
+    /// Number of inputs given to state machines.
     pub steps: u64,
-    /// What was seen.
-    pub witness: Witness,
-    /// How many entries there are; the rest are agents.
+    /// Checks the invariants.
+    pub checker: InvariantChecker,
+    /// Number of entries; the remaining processes are agents.
     pub entries: usize,
     procs: Vec<Process>,
     links: BTreeMap<LinkId, Link>,
-    cut: HashMap<(Proc, Proc), bool>,
+    cuts: HashMap<(ProcessIndex, ProcessIndex), bool>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     next: u64,
     store: HashMap<String, Stored>,
     index: u64,
-    /// Processes that can't reach the store.
-    pub store_cut: Vec<bool>,
-    /// Chance that the store's answer is lost.
-    pub lossy: f64,
-    requests: HashMap<(Proc, u64), Open>,
+    /// For each process, whether it cannot reach the store.
+    pub store_unreachable: Vec<bool>,
+    /// Probability that a reply of the store is lost.
+    pub store_loss: f64,
+    requests: HashMap<(ProcessIndex, u64), OpenRequest>,
     config: (u64, Bytes),
     broken: Broken,
-    running: HashMap<TaskKey, Proc>,
-    /// Chance that a message arrives twice.
-    pub duplicates: f64,
+    running: HashMap<TaskKey, ProcessIndex>,
+    /// Probability that a message arrives twice.
+    pub duplicate_rate: f64,
 }
 
 impl World {
-    /// A world with processes that have not been started.
+    /// Creates a world and starts its processes.
     pub fn new(seed: u64, entries: usize, agents: usize, broken: Broken) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = entries + agents;
         let procs = (0..count)
             .map(|_| Process {
                 machine: None,
-                life: 0,
+                generation: 0,
                 rate: rng.random_range(0.995..1.005),
                 skew_ms: rng.random_range(-200..200),
                 step_ms: 0,
-                base_ms: 0,
+                wall_offset_ms: 0,
                 started: 0,
                 paused: false,
                 backlog: Vec::new(),
-                stalled: Vec::new(),
+                deferred: Vec::new(),
                 leaving: None,
             })
             .collect();
@@ -165,92 +183,93 @@
             rng,
             now: 1_000_000,
             steps: 0,
-            witness: Witness::default(),
+            checker: InvariantChecker::default(),
             entries,
             procs,
             links: BTreeMap::new(),
-            cut: HashMap::new(),
+            cuts: HashMap::new(),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             next: 1,
             store: HashMap::new(),
             index: 0,
-            store_cut: vec![false; count],
-            lossy: 0.0,
+            store_unreachable: vec![false; count],
+            store_loss: 0.0,
             requests: HashMap::new(),
             config: (0, Bytes::new()),
             broken,
             running: HashMap::new(),
-            duplicates: 0.0,
+            duplicate_rate: 0.0,
         };
-        world.at(1, Event::Connect);
+        world.schedule(1, Event::Connect);
         for proc in 0..count {
             world.start(proc);
         }
         world
     }
 
-    fn at(&mut self, delay: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.next += 1;
         self.queue.push(Reverse((self.now + delay, self.next)));
         self.events.insert(self.next, event);
     }
 
-    /// The clocks of a process.
-    fn clock(&self, proc: Proc) -> Now {
+    /// Returns the readings of a process's clocks.
+    fn clock(&self, proc: ProcessIndex) -> Now {
         let p = &self.procs[proc];
         let mono = self.mono(proc);
-        let carried = EPOCH_MS as i64 + (mono / 1000) as i64;
+        let elapsed = EPOCH_MS as i64 + (mono / 1000) as i64;
         Now {
             mono: Mono(mono + 1),
-            wall_ms: (carried + p.base_ms) as u64,
-            box_ms: (carried + p.skew_ms + p.step_ms) as u64,
+            wall_ms: (elapsed + p.wall_offset_ms) as u64,
+            box_ms: (elapsed + p.skew_ms + p.step_ms) as u64,
         }
     }
 
-    /// The monotonic clock of a process, in microseconds.
-    fn mono(&self, proc: Proc) -> u64 {
+    /// Returns the reading of a process's monotonic clock, in microseconds.
+    fn mono(&self, proc: ProcessIndex) -> u64 {
         (self.now as f64 * self.procs[proc].rate) as u64
     }
 
-    /// Sets the clock of a process's box, so far ahead of the true time.
-    pub fn set_clock(&mut self, proc: Proc, step_ms: i64) {
+    /// Sets the wall clock of a process's box ahead by `step_ms`, or back if that is negative; replaces any
+    /// earlier step.
+    pub fn set_clock(&mut self, proc: ProcessIndex, step_ms: i64) {
         self.trace(proc, &format!("clock set, {step_ms} ms ahead"));
         self.procs[proc].step_ms = step_ms;
     }
 
-    /// How far the clock of a process's box was set ahead, in milliseconds.
-    pub fn step_ms(&self, proc: Proc) -> i64 {
+    /// Returns how far the wall clock of a process's box is set ahead, in milliseconds.
+    pub fn step_ms(&self, proc: ProcessIndex) -> i64 {
         self.procs[proc].step_ms
     }
 
-    /// Unix time by the callers' clock, in milliseconds.
+    /// Returns Unix time by the callers' clock, in milliseconds.
     pub fn caller_ms(&self) -> u64 {
         EPOCH_MS + self.now / 1000
     }
 
-    /// How many processes there are.
-    pub fn count(&self) -> usize {
+    /// Returns the number of processes.
+    pub fn process_count(&self) -> usize {
         self.procs.len()
     }
 
-    /// Whether a process runs.
-    pub fn is_up(&self, proc: Proc) -> bool {
+    /// Returns whether a process is running; a paused one counts as running.
+    pub fn is_up(&self, proc: ProcessIndex) -> bool {
         self.procs[proc].machine.is_some()
     }
 
-    /// Whether it is paused.
-    pub fn is_paused(&self, proc: Proc) -> bool {
+    /// Returns whether a process is paused.
+    pub fn is_paused(&self, proc: ProcessIndex) -> bool {
         self.procs[proc].paused
     }
 
-    /// Whether it was asked to leave.
-    pub fn is_leaving(&self, proc: Proc) -> bool {
+    /// Returns whether a process was asked to leave.
+    pub fn is_leaving(&self, proc: ProcessIndex) -> bool {
         self.procs[proc].leaving.is_some()
     }
 
-    /// Starts a process under a new incarnation.
-    pub fn start(&mut self, proc: Proc) {
+    /// Starts a process with a new incarnation.
+    pub fn start(&mut self, proc: ProcessIndex) {
         let incarnation: u64 = self.rng.random();
         let machine = if proc < self.entries {
             let mut setup = EntrySetup::new(&format!("e{proc}"), incarnation);
@@ -275,71 +294,73 @@
         let p = &mut self.procs[proc];
         p.machine = Some(machine);
         p.started = mono;
-        p.base_ms = p.skew_ms + p.step_ms;
-        p.life += 1;
+        p.wall_offset_ms = p.skew_ms + p.step_ms;
+        p.generation += 1;
         p.paused = false;
         p.leaving = None;
-        let life = p.life;
+        let generation = p.generation;
         let jitter = self.rng.random_range(0..TICK_US);
-        self.at(jitter, Event::Tick(proc, life));
+        self.schedule(jitter, Event::Tick(proc, generation));
         if proc < self.entries && self.config.0 > 0 {
-            self.configure(proc);
+            self.apply_config(proc);
         }
     }
 
-    /// Kills a process.
-    pub fn crash(&mut self, proc: Proc) {
+    /// Crashes a process. Its open requests are dropped, and the other side of each link notices after a
+    /// random delay.
+    pub fn crash(&mut self, proc: ProcessIndex) {
         self.trace(proc, "crash");
         let p = &mut self.procs[proc];
         p.machine = None;
-        p.life += 1;
+        p.generation += 1;
         p.paused = false;
         p.backlog.clear();
-        p.stalled.clear();
+        p.deferred.clear();
         self.requests.retain(|(at, _), _| *at != proc);
         let ids: Vec<LinkId> = self.links_of(proc);
         for id in ids {
-            let side = self.side(id, proc);
+            let side = self.side_of(id, proc);
             self.links.get_mut(&id).expect("listed").up[side] = false;
-            let late = if self.rng.random_bool(0.5) {
+            let max_delay = if self.rng.random_bool(0.5) {
                 50_000
             } else {
                 7_000_000
             };
-            let delay = self.rng.random_range(1_000..late);
-            self.at(delay, Event::Down(id, 1 - side));
+            let delay = self.rng.random_range(1_000..max_delay);
+            self.schedule(delay, Event::LinkDown(id, 1 - side));
         }
     }
 
-    /// Pauses a process: nothing is handled, and with some chance what it was about to do at its
-    /// last step is done only when it goes on.
-    pub fn pause(&mut self, proc: Proc) {
+    /// Pauses a process. Events that it would handle, and actions that it still wants to take, wait until it
+    /// resumes.
+    pub fn pause(&mut self, proc: ProcessIndex) {
         self.trace(proc, "pause");
         self.procs[proc].paused = true;
     }
 
-    /// Lets a paused process go on.
-    pub fn resume(&mut self, proc: Proc) {
+    /// Resumes a paused process: carries out its deferred actions, then handles the events that arrived
+    /// meanwhile.
+    pub fn resume(&mut self, proc: ProcessIndex) {
         if !self.procs[proc].paused {
             return;
         }
         self.procs[proc].paused = false;
         self.trace(proc, "resume");
-        let stalled = std::mem::take(&mut self.procs[proc].stalled);
-        for action in stalled {
+        let deferred = std::mem::take(&mut self.procs[proc].deferred);
+        for action in deferred {
             match action {
-                Deferred::Entry(a) => self.do_entry(proc, a),
-                Deferred::Agent(a) => self.do_agent(proc, a),
+                DeferredAction::Entry(a) => self.run_entry_action(proc, a),
+                DeferredAction::Agent(a) => self.run_agent_action(proc, a),
             }
         }
         let backlog = std::mem::take(&mut self.procs[proc].backlog);
         for event in backlog {
-            self.handle(event);
+            self.handle_event(event);
         }
     }
 
-    /// Asks a process to leave.
-    pub fn leave(&mut self, proc: Proc) {
+    /// Asks a process to leave gracefully.
+    pub fn leave(&mut self, proc: ProcessIndex) {
         self.trace(proc, "leave");
         let now = self.clock(proc);
         self.procs[proc].leaving = Some(self.now);
@@ -348,11 +369,11 @@
             Some(Machine::Agent(a)) => a.leave(now),
             None => {}
         }
-        self.flush(proc);
+        self.run_actions(proc);
     }
 
-    /// Whether a leaving process has nothing left to do.
-    pub fn drained(&self, proc: Proc) -> bool {
+    /// Returns whether a leaving process has no work left, or is down.
+    pub fn is_drained(&self, proc: ProcessIndex) -> bool {
         match &self.procs[proc].machine {
             Some(Machine::Entry(e)) => e.is_drained(),
             Some(Machine::Agent(a)) => a.drained(),
@@ -360,43 +381,44 @@
         }
     }
 
-    /// Cuts or heals the way between two processes.
-    pub fn set_cut(&mut self, a: Proc, b: Proc, cut: bool) {
+    /// Cuts or restores the network between two processes. A cut also breaks their links after a random
+    /// delay.
+    pub fn set_cut(&mut self, a: ProcessIndex, b: ProcessIndex, cut: bool) {
         if cut {
             self.trace(a, &format!("cut off from p{b}"));
         }
-        self.cut.insert((a.min(b), a.max(b)), cut);
+        self.cuts.insert((a.min(b), a.max(b)), cut);
         if !cut {
             return;
         }
         let ids: Vec<LinkId> = self.links_of(a);
         for id in ids {
-            if !self.links[&id].ends.contains(&b) {
+            if !self.links[&id].endpoints.contains(&b) {
                 continue;
             }
             for side in 0..2 {
                 let delay = self.rng.random_range(500_000..7_000_000);
-                self.at(delay, Event::Down(id, side));
+                self.schedule(delay, Event::LinkDown(id, side));
             }
         }
     }
 
-    fn is_cut(&self, a: Proc, b: Proc) -> bool {
-        self.cut
+    fn is_cut(&self, a: ProcessIndex, b: ProcessIndex) -> bool {
+        self.cuts
             .get(&(a.min(b), a.max(b)))
             .copied()
             .unwrap_or(false)
     }
 
-    /// Puts a configuration version in force: entries read it after a short while.
+    /// Applies a configuration version at every running entry, and at entries that start later.
     pub fn set_config(&mut self, version: u64, value: Bytes) {
         self.config = (version, value);
         for proc in 0..self.entries {
-            self.configure(proc);
+            self.apply_config(proc);
         }
     }
 
-    fn configure(&mut self, proc: Proc) {
+    fn apply_config(&mut self, proc: ProcessIndex) {
         let now = self.clock(proc);
         let (version, value) = self.config.clone();
         if let Some(Machine::Entry(e)) = &mut self.procs[proc].machine {
@@ -404,11 +426,17 @@
             e.apply_config(now, version, value);
             assert!(e.follower().version() >= before);
         }
-        self.flush(proc);
+        self.run_actions(proc);
     }
 
-    /// A caller sends a job to an entry. Returns false if the entry is down.
-    pub fn submit(&mut self, proc: Proc, id: u64, submission: Submission, tasks: u32) -> bool {
+    /// Submits a job to an entry under the request number `id`. Returns false if the entry is down or paused.
+    pub fn submit(
+        &mut self,
+        proc: ProcessIndex,
+        id: u64,
+        submission: Submission,
+        tasks: u32,
+    ) -> bool {
         let now = self.clock(proc);
         if self.procs[proc].paused {
             return false;
@@ -418,18 +446,18 @@
         };
         let job = submission.job;
         self.steps += 1;
-        let before = self.witness.submitted(job);
-        let open = Open { job, tasks, before };
+        let state = self.checker.record_submission(job);
+        let open = OpenRequest { job, tasks, state };
         self.requests.insert((proc, id), open);
         e.submit(now, id, submission);
-        self.flush(proc);
+        self.run_actions(proc);
         true
     }
 
-    /// Runs the world for a while, or until a promise is broken.
+    /// Advances virtual time by `span`, or until an invariant is violated.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span.as_micros() as u64;
-        while self.witness.violation().is_none() {
+        while self.checker.violation().is_none() {
             let Some(Reverse((at, id))) = self.queue.peek().copied() else {
                 return;
             };
@@ -440,21 +468,23 @@
             self.queue.pop();
             self.now = self.now.max(at);
             if let Some(event) = self.events.remove(&id) {
-                self.handle(event);
+                self.handle_event(event);
             }
         }
     }
 
-    fn handle(&mut self, event: Event) {
-        if let Event::Done(_, _, key, _) = &event {
+    fn handle_event(&mut self, event: Event) {
+        if let Event::TaskEnd(_, _, key, _) = &event {
             self.running.remove(key);
         }
         let owner = match &event {
-            Event::Tick(proc, _) | Event::Reply(proc, ..) | Event::Done(proc, ..) => Some(*proc),
-            Event::Frame(link, side, _) | Event::Down(link, side) => {
-                self.links.get(link).map(|l| l.ends[*side])
+            Event::Tick(proc, _) | Event::StoreReply(proc, ..) | Event::TaskEnd(proc, ..) => {
+                Some(*proc)
             }
-            Event::Apply(..) | Event::Connect => None,
+            Event::Message(link, side, _) | Event::LinkDown(link, side) => {
+                self.links.get(link).map(|l| l.endpoints[*side])
+            }
+            Event::ApplyStoreOp(..) | Event::Connect => None,
         };
         if let Some(proc) = owner
             && self.procs[proc].paused
@@ -462,18 +492,24 @@
             return self.procs[proc].backlog.push(event);
         }
         match event {
-            Event::Tick(proc, life) => self.tick(proc, life),
-            Event::Frame(link, side, body) => self.frame(link, side, body),
-            Event::Down(link, side) => self.down(link, side),
-            Event::Apply(proc, life, tag, op, reply) => self.apply(proc, life, tag, op, reply),
-            Event::Reply(proc, life, tag, reply) => self.reply(proc, life, tag, reply),
-            Event::Done(proc, life, key, end) => self.done(proc, life, key, end),
+            Event::Tick(proc, generation) => self.handle_tick(proc, generation),
+            Event::Message(link, side, body) => self.handle_message(link, side, body),
+            Event::LinkDown(link, side) => self.handle_link_down(link, side),
+            Event::ApplyStoreOp(proc, generation, tag, op, reply) => {
+                self.apply_store_op(proc, generation, tag, op, reply)
+            }
+            Event::StoreReply(proc, generation, tag, reply) => {
+                self.handle_store_reply(proc, generation, tag, reply)
+            }
+            Event::TaskEnd(proc, generation, key, end) => {
+                self.handle_task_end(proc, generation, key, end)
+            }
             Event::Connect => self.connect(),
         }
     }
 
-    fn tick(&mut self, proc: Proc, life: u64) {
-        if self.procs[proc].life != life {
+    fn handle_tick(&mut self, proc: ProcessIndex, generation: u64) {
+        if self.procs[proc].generation != generation {
             return;
         }
         let now = self.clock(proc);
@@ -483,21 +519,21 @@
             Some(Machine::Agent(a)) => a.tick(now),
             None => return,
         }
-        self.flush(proc);
-        self.at(TICK_US, Event::Tick(proc, life));
+        self.run_actions(proc);
+        self.schedule(TICK_US, Event::Tick(proc, generation));
     }
 
-    fn frame(&mut self, id: LinkId, side: usize, body: Body) {
+    fn handle_message(&mut self, id: LinkId, side: usize, body: Body) {
         let Some(link) = self.links.get(&id) else {
             return;
         };
-        let [proc, other] = [link.ends[side], link.ends[1 - side]];
-        if !link.up[side] || self.procs[proc].life != link.lives[side] {
+        let [proc, other] = [link.endpoints[side], link.endpoints[1 - side]];
+        if !link.up[side] || self.procs[proc].generation != link.generations[side] {
             return;
         }
         if self.is_cut(proc, other) {
-            // Under way until the cut heals or the link is given up.
-            return self.at(100_000, Event::Frame(id, side, body));
+            // The message stays in transit until the cut ends or the link is closed.
+            return self.schedule(100_000, Event::Message(id, side, body));
         }
         let now = self.clock(proc);
         self.steps += 1;
@@ -506,20 +542,20 @@
             Some(Machine::Agent(a)) => a.frame(now, id, body),
             None => {}
         }
-        self.flush(proc);
+        self.run_actions(proc);
     }
 
-    fn down(&mut self, id: LinkId, side: usize) {
+    fn handle_link_down(&mut self, id: LinkId, side: usize) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        let was = std::mem::replace(&mut link.up[side], false);
-        let proc = link.ends[side];
-        let alive = self.procs[proc].life == link.lives[side];
+        let was_up = std::mem::replace(&mut link.up[side], false);
+        let proc = link.endpoints[side];
+        let is_current = self.procs[proc].generation == link.generations[side];
         if link.up == [false, false] {
             self.links.remove(&id);
         }
-        if !was || !alive {
+        if !was_up || !is_current {
             return;
         }
         let now = self.clock(proc);
@@ -529,47 +565,53 @@
             Some(Machine::Agent(a)) => a.link_down(id),
             None => {}
         }
-        self.flush(proc);
+        self.run_actions(proc);
     }
 
-    fn links_of(&self, proc: Proc) -> Vec<LinkId> {
-        let mine = self.links.iter().filter(|(_, l)| l.ends.contains(&proc));
+    fn links_of(&self, proc: ProcessIndex) -> Vec<LinkId> {
+        let mine = self
+            .links
+            .iter()
+            .filter(|(_, l)| l.endpoints.contains(&proc));
         mine.map(|(id, _)| *id).collect()
     }
 
-    fn side(&self, id: LinkId, proc: Proc) -> usize {
-        usize::from(self.links[&id].ends[1] == proc)
+    fn side_of(&self, id: LinkId, proc: ProcessIndex) -> usize {
+        usize::from(self.links[&id].endpoints[1] == proc)
     }
 
-    /// Opens the links that are missing.
+    /// Opens the missing links of each entry to other entries and to agents, where both processes run and can
+    /// reach each other.
     fn connect(&mut self) {
         for a in 0..self.entries {
             for b in a + 1..self.procs.len() {
-                let ready = |p: Proc| self.is_up(p) && !self.procs[p].paused;
+                let ready = |p: ProcessIndex| self.is_up(p) && !self.procs[p].paused;
                 let linked = self.links.values().any(|l| {
-                    l.ends == [a, b]
-                        && (0..2).any(|s| l.up[s] && l.lives[s] == self.procs[l.ends[s]].life)
+                    l.endpoints == [a, b]
+                        && (0..2).any(|s| {
+                            l.up[s] && l.generations[s] == self.procs[l.endpoints[s]].generation
+                        })
                 });
                 if ready(a) && ready(b) && !linked && !self.is_cut(a, b) {
-                    self.open(a, b);
+                    self.open_link(a, b);
                 }
             }
         }
         let pause = self.rng.random_range(50_000..400_000);
-        self.at(pause, Event::Connect);
+        self.schedule(pause, Event::Connect);
     }
 
-    fn open(&mut self, a: Proc, b: Proc) {
+    fn open_link(&mut self, a: ProcessIndex, b: ProcessIndex) {
         self.next += 1;
         let id = LinkId(self.next);
         let link = Link {
-            ends: [a, b],
-            lives: [self.procs[a].life, self.procs[b].life],
+            endpoints: [a, b],
+            generations: [self.procs[a].generation, self.procs[b].generation],
             up: [true, true],
-            last: [0, 0],
+            last_due: [0, 0],
         };
         self.links.insert(id, link);
-        let hellos = [self.hello(a), self.hello(b)];
+        let hellos = [self.hello_of(a), self.hello_of(b)];
         for (proc, theirs) in [(a, &hellos[1]), (b, &hellos[0])] {
             let now = self.clock(proc);
             self.steps += 1;
@@ -578,11 +620,11 @@
                 Some(Machine::Agent(g)) => g.link_up(now, id),
                 None => {}
             }
-            self.flush(proc);
+            self.run_actions(proc);
         }
     }
 
-    fn hello(&self, proc: Proc) -> wire::Hello {
+    fn hello_of(&self, proc: ProcessIndex) -> wire::Hello {
         match &self.procs[proc].machine {
             Some(Machine::Entry(e)) => wire::Hello {
                 name: e.name().to_owned(),
@@ -603,67 +645,72 @@
         }
     }
 
-    /// Does what a process wants done. One that is being paused does some of it later.
-    fn flush(&mut self, proc: Proc) {
-        let late = self.rng.random_bool(0.0005);
+    /// Carries out the pending actions of a process. With a small probability the process pauses in between:
+    /// it carries out the remaining actions when it resumes.
+    fn run_actions(&mut self, proc: ProcessIndex) {
+        let stalls = self.rng.random_bool(0.0005);
         let mut stall = false;
-        let actions: Vec<Deferred> = match &mut self.procs[proc].machine {
-            Some(Machine::Entry(e)) => e.take_actions().into_iter().map(Deferred::Entry).collect(),
-            Some(Machine::Agent(a)) => a.actions().into_iter().map(Deferred::Agent).collect(),
+        let actions: Vec<DeferredAction> = match &mut self.procs[proc].machine {
+            Some(Machine::Entry(e)) => e
+                .take_actions()
+                .into_iter()
+                .map(DeferredAction::Entry)
+                .collect(),
+            Some(Machine::Agent(a)) => a.actions().into_iter().map(DeferredAction::Agent).collect(),
             None => return,
         };
         for action in actions {
-            stall |= late && !self.procs[proc].paused && self.rng.random_bool(0.5);
+            stall |= stalls && !self.procs[proc].paused && self.rng.random_bool(0.5);
             if stall || self.procs[proc].paused {
                 self.procs[proc].paused = true;
-                self.procs[proc].stalled.push(action);
+                self.procs[proc].deferred.push(action);
                 continue;
             }
             match action {
-                Deferred::Entry(a) => self.do_entry(proc, a),
-                Deferred::Agent(a) => self.do_agent(proc, a),
+                DeferredAction::Entry(a) => self.run_entry_action(proc, a),
+                DeferredAction::Agent(a) => self.run_agent_action(proc, a),
             }
         }
     }
 
-    fn do_entry(&mut self, proc: Proc, action: entry::Action) {
+    fn run_entry_action(&mut self, proc: ProcessIndex, action: entry::Action) {
         match action {
             entry::Action::Send(link, body) => self.send(proc, link, body),
             entry::Action::Respond(id, verdict) => self.respond(proc, id, &verdict),
             entry::Action::Store(tag, op) => self.call_store(proc, tag, op),
-            entry::Action::ShiftClock(by_ms) => self.procs[proc].base_ms += by_ms,
+            entry::Action::ShiftClock(by_ms) => self.procs[proc].wall_offset_ms += by_ms,
             entry::Action::Log(event) => self.trace(proc, &event.to_string()),
         }
     }
 
-    fn do_agent(&mut self, proc: Proc, action: agent::Action) {
+    fn run_agent_action(&mut self, proc: ProcessIndex, action: agent::Action) {
         match action {
             agent::Action::Send(link, body) => self.send(proc, link, body),
             agent::Action::Run(task) => self.run_task(proc, task),
-            agent::Action::ShiftClock(by_ms) => self.procs[proc].base_ms += by_ms,
+            agent::Action::ShiftClock(by_ms) => self.procs[proc].wall_offset_ms += by_ms,
             agent::Action::Log(event) => self.trace(proc, &event.to_string()),
             agent::Action::Close(link) => {
                 for side in 0..2 {
                     let delay = self.rng.random_range(1..3_000_000);
-                    self.at(delay, Event::Down(link, side));
+                    self.schedule(delay, Event::LinkDown(link, side));
                 }
             }
             agent::Action::Entries(_) => {}
         }
     }
 
-    fn trace(&self, proc: Proc, text: &str) {
+    fn trace(&self, proc: ProcessIndex, text: &str) {
         if std::env::var_os("STACKCOURSE_TRACE").is_some() {
             eprintln!("{:>12} p{proc} {text}", self.now);
         }
     }
 
-    fn send(&mut self, proc: Proc, id: LinkId, body: Body) {
+    fn send(&mut self, proc: ProcessIndex, id: LinkId, body: Body) {
         if !self.links.contains_key(&id) {
             return;
         }
-        let side = 1 - self.side(id, proc);
-        let to = self.links[&id].ends[side];
+        let side = 1 - self.side_of(id, proc);
+        let to = self.links[&id].endpoints[side];
         match &body {
             Body::Start(s) => {
                 let key = JobId::from_wire(s.job);
@@ -705,102 +752,124 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        let due = (now + delay).max(link.last[side] + 1);
-        link.last[side] = due;
-        if self.duplicates > 0.0 && self.rng.random_bool(self.duplicates) {
+        let due = (now + delay).max(link.last_due[side] + 1);
+        link.last_due[side] = due;
+        if self.duplicate_rate > 0.0 && self.rng.random_bool(self.duplicate_rate) {
             let extra = self.rng.random_range(1..2_000_000);
-            self.at(due - now + extra, Event::Frame(id, side, body.clone()));
+            self.schedule(due - now + extra, Event::Message(id, side, body.clone()));
         }
-        self.at(due - now, Event::Frame(id, side, body));
+        self.schedule(due - now, Event::Message(id, side, body));
     }
 
-    fn respond(&mut self, proc: Proc, id: u64, verdict: &Verdict) {
+    fn respond(&mut self, proc: ProcessIndex, id: u64, verdict: &Verdict) {
         let Some(open) = self.requests.remove(&(proc, id)) else {
             let what = format!("request {id} at p{proc} was answered twice");
-            return self.witness.accuse(what);
+            return self.checker.report_violation(what);
         };
         self.trace(proc, &format!("answer {} {verdict:?}", open.job));
-        self.witness
-            .answered(open.job, open.tasks, open.before, verdict);
+        self.checker
+            .check_answer(open.job, open.tasks, open.state, verdict);
     }
 
-    fn run_task(&mut self, proc: Proc, task: agent::RunTask) {
-        let life = self.procs[proc].life;
+    fn run_task(&mut self, proc: ProcessIndex, task: agent::RunTask) {
+        let generation = self.procs[proc].generation;
         let left = self.clock(proc).mono.until(task.until).as_micros() as u64;
         if left == 0 {
-            // The shipped agent looks at its clock once more before it calls the back end.
-            return self.at(0, Event::Done(proc, life, task.key, End::NeverSent));
+            // The production agent checks its clock once more before it calls the backend server.
+            return self.schedule(
+                0,
+                Event::TaskEnd(proc, generation, task.key, TaskEnd::NeverSent),
+            );
         }
         self.trace(proc, &format!("start {:?}", task.key));
         if self.rng.random_bool(0.01) {
-            return self.at(300, Event::Done(proc, life, task.key, End::NeverSent));
-        }
-        self.witness.started(task.key);
-        let late = |at: u64| self.now > at + 3_000_000;
-        if self.procs[proc].leaving.is_some_and(late) {
+            return self.schedule(
+                300,
+                Event::TaskEnd(proc, generation, task.key, TaskEnd::NeverSent),
+            );
+        }
+        self.checker.check_start(task.key);
+        let is_late = |at: u64| self.now > at + 3_000_000;
+        if self.procs[proc].leaving.is_some_and(is_late) {
             let what = format!("{:?} started at a leaving worker", task.key);
-            self.witness.accuse(what);
+            self.checker.report_violation(what);
         }
         self.running.insert(task.key, proc);
         self.trace(proc, &format!("{} running", self.running.len()));
         if self.running.len() > QUOTA {
             let what = format!("{} tasks run under a quota of {QUOTA}", self.running.len());
-            self.witness.accuse(what);
+            self.checker.report_violation(what);
         }
         let end = if self.rng.random_bool(0.01) {
-            End::Failed
+            TaskEnd::Failed
         } else {
-            End::Answered
+            TaskEnd::Answered
         };
         let long = self.rng.random_bool(0.05);
         let span = self
             .rng
             .random_range(20_000..if long { 4_000_000 } else { 400_000 });
-        let end = if span < left { end } else { End::Failed };
-        self.at(span.min(left), Event::Done(proc, life, task.key, end));
+        let end = if span < left { end } else { TaskEnd::Failed };
+        self.schedule(
+            span.min(left),
+            Event::TaskEnd(proc, generation, task.key, end),
+        );
     }
 
-    fn done(&mut self, proc: Proc, life: u64, key: TaskKey, end: End) {
-        if self.procs[proc].life != life {
+    fn handle_task_end(&mut self, proc: ProcessIndex, generation: u64, key: TaskKey, end: TaskEnd) {
+        if self.procs[proc].generation != generation {
             return;
         }
         let now = self.clock(proc);
         self.steps += 1;
         let result = match end {
-            End::Answered => Ok(Bytes::from(task_answer(key))),
-            End::Failed => Err(RunFailure::Failed("broke".to_owned())),
-            End::NeverSent => Err(RunFailure::NeverSent("no connection".to_owned())),
+            TaskEnd::Answered => Ok(Bytes::from(task_answer(key))),
+            TaskEnd::Failed => Err(RunFailure::Failed("broke".to_owned())),
+            TaskEnd::NeverSent => Err(RunFailure::NeverSent("no connection".to_owned())),
         };
         if let Some(Machine::Agent(a)) = &mut self.procs[proc].machine {
             a.done(now, key, result);
         }
-        self.flush(proc);
+        self.run_actions(proc);
     }
 
-    fn call_store(&mut self, proc: Proc, tag: u64, op: StoreOp) {
-        let life = self.procs[proc].life;
-        if self.store_cut[proc] {
-            return self.at(900_000, Event::Reply(proc, life, tag, StoreReply::Lost));
+    fn call_store(&mut self, proc: ProcessIndex, tag: u64, op: StoreOp) {
+        let generation = self.procs[proc].generation;
+        if self.store_unreachable[proc] {
+            return self.schedule(
+                900_000,
+                Event::StoreReply(proc, generation, tag, StoreReply::Lost),
+            );
         }
         let slow = self.rng.random_bool(0.02);
         let delay = self
             .rng
             .random_range(300..if slow { 3_000_000 } else { 4_000 });
-        let lost = self.rng.random_bool(self.lossy.max(0.000_01)) || delay > 900_000;
-        self.at(delay, Event::Apply(proc, life, tag, op, !lost));
+        let lost = self.rng.random_bool(self.store_loss.max(0.000_01)) || delay > 900_000;
+        self.schedule(delay, Event::ApplyStoreOp(proc, generation, tag, op, !lost));
         if lost {
-            self.at(900_000, Event::Reply(proc, life, tag, StoreReply::Lost));
-        }
-    }
-
-    /// The store carries out an operation; its answer may be lost.
-    fn apply(&mut self, proc: Proc, life: u64, tag: u64, op: StoreOp, reply: bool) {
+            self.schedule(
+                900_000,
+                Event::StoreReply(proc, generation, tag, StoreReply::Lost),
+            );
+        }
+    }
+
+    /// Carries out a store operation and, if `reply` is set, sends its result.
+    fn apply_store_op(
+        &mut self,
+        proc: ProcessIndex,
+        generation: u64,
+        tag: u64,
+        op: StoreOp,
+        reply: bool,
+    ) {
         let result = match op {
             StoreOp::Get { key } => StoreReply::Value(self.store.get(&key).cloned()),
             StoreOp::Swap { key, index, value } => {
                 let present = self.store.get(&key).map_or(0, |s| s.index);
-                let fits = present == index;
-                if fits {
+                let is_current = present == index;
+                if is_current {
                     if key == "ownership" {
                         self.trace(
                             proc,
@@ -811,7 +880,7 @@
                     let index = self.index;
                     self.store.insert(key, Stored { value, index });
                 }
-                StoreReply::Swapped(fits)
+                StoreReply::Swapped(is_current)
             }
             StoreOp::Remove { key } => {
                 self.store.remove(&key);
@@ -820,12 +889,18 @@
         };
         if reply {
             let delay = self.rng.random_range(300..2_000);
-            self.at(delay, Event::Reply(proc, life, tag, result));
+            self.schedule(delay, Event::StoreReply(proc, generation, tag, result));
         }
     }
 
-    fn reply(&mut self, proc: Proc, life: u64, tag: u64, reply: StoreReply) {
-        if self.procs[proc].life != life {
+    fn handle_store_reply(
+        &mut self,
+        proc: ProcessIndex,
+        generation: u64,
+        tag: u64,
+        reply: StoreReply,
+    ) {
+        if self.procs[proc].generation != generation {
             return;
         }
         let now = self.clock(proc);
@@ -833,16 +908,16 @@
         if let Some(Machine::Entry(e)) = &mut self.procs[proc].machine {
             e.handle_store_reply(now, tag, reply);
         }
-        self.flush(proc);
+        self.run_actions(proc);
     }
 
-    /// How many requests wait for an answer.
+    /// Returns the number of requests without an answer.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Tells the entries which agents the platform calls leaving.
-    pub fn set_boxes(&mut self, leaving: &std::collections::HashSet<String>) {
+    /// Passes the entries the platform's set of leaving boxes.
+    pub fn set_leaving_boxes(&mut self, leaving: &std::collections::HashSet<String>) {
         for proc in 0..self.entries {
             if let Some(Machine::Entry(e)) = &mut self.procs[proc].machine {
                 e.set_leaving_boxes(leaving);
