--- a/cli/tests/runner/test_cluster.rs
+++ b/cli/tests/runner/test_cluster.rs
@@ -6,12 +6,12 @@
 use serde_json::json;
 use stackcourse_testutils::cluster::Cluster;
 use stackcourse_testutils::cluster::ClusterPlan;
-use stackcourse_testutils::cluster::answers_of;
-use stackcourse_testutils::cluster::body_of;
-use stackcourse_testutils::cluster::new_job;
+use stackcourse_testutils::cluster::job_body;
+use stackcourse_testutils::cluster::new_job_id;
 use stackcourse_testutils::cluster::plain_config;
 use stackcourse_testutils::cluster::read_metric;
-use stackcourse_testutils::stub_backend::Mood;
+use stackcourse_testutils::cluster::stub_answers;
+use stackcourse_testutils::stub_backend::BackendFaults;
 
 fn plan() -> ClusterPlan {
     ClusterPlan::new(env!("CARGO_BIN_EXE_stackcourse"))
@@ -21,53 +21,55 @@
 async fn test_cluster_serves_jobs_at_every_entry() {
     let cluster = Cluster::start(plan()).await;
     for i in 0..3 {
-        let job = new_job();
-        let body = body_of(&[5, 10, 1, 20, 5], 5_000);
+        let job = new_job_id();
+        let body = job_body(&[5, 10, 1, 20, 5], 5_000);
         let reply = cluster
             .put(i, "quote", job, &body)
             .await
             .expect("an answer");
         assert_eq!(reply.outcome(), "complete", "{reply:?}");
-        assert_eq!(reply.body["answers"], answers_of(job, 5));
+        assert_eq!(reply.body["answers"], stub_answers(job, 5));
         for other in 0..3 {
             let again = cluster.put(other, "quote", job, &body).await;
             assert_eq!(again.as_ref(), Some(&reply));
             let known = cluster.get(other, "quote", job).await;
             assert_eq!(known.as_ref(), Some(&reply));
         }
-        assert_eq!(cluster.starts_of(job), [0, 1, 2, 3, 4]);
+        assert_eq!(cluster.started_tasks(job), [0, 1, 2, 3, 4]);
     }
 }
 
 #[actix_rt::test]
 async fn test_cluster_refuses_a_reused_id_with_another_body() {
     let cluster = Cluster::start(plan()).await;
-    let job = new_job();
-    let first = cluster.put(0, "quote", job, &body_of(&[1], 5_000)).await;
+    let job = new_job_id();
+    let first = cluster.put(0, "quote", job, &job_body(&[1], 5_000)).await;
     assert_eq!(first.expect("an answer").status, 200);
-    let other = cluster.put(1, "quote", job, &body_of(&[2], 5_000)).await;
+    let other = cluster.put(1, "quote", job, &job_body(&[2], 5_000)).await;
     assert_eq!(other.expect("an answer").status, 409);
-    assert_eq!(cluster.starts_of(job), [0]);
+    assert_eq!(cluster.started_tasks(job), [0]);
 }
 
 #[actix_rt::test]
 async fn test_cluster_failed_task_fails_the_whole_job() {
     let cluster = Cluster::start(plan()).await;
     for mood in [
-        Mood {
+        BackendFaults {
             fail: true,
-            ..Mood::default()
+            ..BackendFaults::default()
         },
-        Mood {
+        BackendFaults {
             cut: true,
-            ..Mood::default()
+            ..BackendFaults::default()
         },
     ] {
         for agent in &cluster.agents {
-            agent.backend.set_mood(mood);
+            agent.backend.set_faults(mood);
         }
-        let job = new_job();
-        let reply = cluster.put(0, "quote", job, &body_of(&[1, 1], 5_000)).await;
+        let job = new_job_id();
+        let reply = cluster
+            .put(0, "quote", job, &job_body(&[1, 1], 5_000))
+            .await;
         let reply = reply.expect("an answer");
         assert_eq!((reply.status, reply.outcome()), (502, "failed"));
         assert!(reply.body.get("answers").is_none());
@@ -83,8 +85,8 @@
     }});
     let cluster = Cluster::start(plan).await;
     for _ in 0..10 {
-        let job = new_job();
-        let body = body_of(&[1; 8], 5_000);
+        let job = new_job_id();
+        let body = job_body(&[1; 8], 5_000);
         let reply = cluster
             .put(0, "quote", job, &body)
             .await
@@ -95,7 +97,7 @@
     assert!(cluster.agents[1].backend.log().is_empty());
     assert!(cluster.agents[2].backend.log().is_empty());
     let reply = cluster
-        .put(0, "nowhere", new_job(), &body_of(&[1], 500))
+        .put(0, "nowhere", new_job_id(), &job_body(&[1], 500))
         .await;
     let reply = reply.expect("an answer");
     assert_eq!((reply.status, reply.outcome()), (503, "not_run"));
@@ -119,8 +121,8 @@
         let service = if i % 2 == 0 { "quote" } else { "form" };
         let cluster = &cluster;
         async move {
-            let body = body_of(&[40; 4], 20_000);
-            cluster.put(i % 3, service, new_job(), &body).await
+            let body = job_body(&[40; 4], 20_000);
+            cluster.put(i % 3, service, new_job_id(), &body).await
         }
     });
     let replies = futures::future::join_all(jobs).await;
@@ -162,8 +164,8 @@
     let owner = cluster.owner().await;
     let mut process = cluster.entries[owner].process.take().expect("runs");
     let before = takeovers(&cluster, owner).await;
-    let body = body_of(&[300, 600, 900, 1_200], 10_000);
-    let jobs: Vec<_> = (0..6).map(|_| new_job()).collect();
+    let body = job_body(&[300, 600, 900, 1_200], 10_000);
+    let jobs: Vec<_> = (0..6).map(|_| new_job_id()).collect();
     let calls = jobs.iter().enumerate().map(|(i, job)| {
         let at = if i % 2 == 0 { owner } else { (owner + 1) % 3 };
         cluster.put(at, "quote", *job, &body)
@@ -176,14 +178,14 @@
     for (job, reply) in jobs.iter().zip(replies) {
         let reply = reply.expect("no request is cut");
         assert_eq!(reply.outcome(), "complete", "{reply:?}");
-        assert_eq!(reply.body["answers"], answers_of(*job, 4));
-        assert_eq!(cluster.starts_of(*job), [0, 1, 2, 3]);
+        assert_eq!(reply.body["answers"], stub_answers(*job, 4));
+        assert_eq!(cluster.started_tasks(*job), [0, 1, 2, 3]);
     }
     assert!(process.wait(Duration::from_secs(15)), "the entry ends well");
     let after = takeovers(&cluster, owner).await;
     assert_eq!(after, before, "shards were handed over, not taken over");
     let later = cluster
-        .put((owner + 1) % 3, "quote", new_job(), &body)
+        .put((owner + 1) % 3, "quote", new_job_id(), &body)
         .await;
     assert_eq!(later.expect("an answer").status, 200);
 }
@@ -192,8 +194,8 @@
 async fn test_cluster_leaving_agent_finishes_and_gets_nothing_new() {
     let mut cluster = Cluster::start(plan()).await;
     let mut process = cluster.agents[0].process.take().expect("runs");
-    let body = body_of(&[800; 16], 10_000);
-    let call = cluster.put(0, "quote", new_job(), &body);
+    let body = job_body(&[800; 16], 10_000);
+    let call = cluster.put(0, "quote", new_job_id(), &body);
     let leave = async {
         actix_rt::time::sleep(Duration::from_millis(300)).await;
         process.signal(Signal::SIGTERM);
@@ -204,7 +206,7 @@
     let before = cluster.agents[0].backend.log().len();
     for _ in 0..5 {
         let reply = cluster
-            .put(1, "quote", new_job(), &body_of(&[1; 8], 5_000))
+            .put(1, "quote", new_job_id(), &job_body(&[1; 8], 5_000))
             .await;
         assert_eq!(reply.expect("an answer").status, 200);
     }
@@ -221,7 +223,7 @@
     let before = cluster.agents[1].backend.log().len();
     for i in 0..6 {
         let reply = cluster
-            .put(i % 3, "quote", new_job(), &body_of(&[5; 12], 5_000))
+            .put(i % 3, "quote", new_job_id(), &job_body(&[5; 12], 5_000))
             .await;
         assert_eq!(reply.expect("an answer").status, 200);
     }
@@ -237,7 +239,7 @@
     let took = cluster.wait_version(version).await;
     assert!(took < Duration::from_secs(5));
     let reply = cluster
-        .put(2, "extra", new_job(), &body_of(&[1], 5_000))
+        .put(2, "extra", new_job_id(), &job_body(&[1], 5_000))
         .await;
     assert_eq!(reply.expect("an answer").status, 200);
 }
--- a/cli/tests/runner/test_commands.rs
+++ b/cli/tests/runner/test_commands.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 use serde_json::json;
-use stackcourse_testutils::standin::any_port;
+use stackcourse_testutils::stub_server::any_port;
 use stackcourse_testutils::stub_store;
 
 fn run(args: &[&str]) -> Output {
--- a/cli/tests/runner/test_dev_command.rs
+++ b/cli/tests/runner/test_dev_command.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use stackcourse_testutils::cluster::free_address;
-use stackcourse_testutils::cluster::new_job;
+use stackcourse_testutils::cluster::new_job_id;
 use stackcourse_testutils::cluster::put_job;
 
 struct Dev {
@@ -47,7 +47,7 @@
     let dev = start();
     assert!(dev.lines[0].contains("ready at http://"), "{:?}", dev.lines);
     assert!(dev.lines[1].contains("curl"), "{:?}", dev.lines);
-    let job = new_job();
+    let job = new_job_id();
     let body = json!({"tasks": [{"page": 1}, "two", 3], "deadline_ms": 5000});
     let reply = put_job(dev.listen, "echo", job, &body).await;
     let reply = reply.expect("an answer");
@@ -62,7 +62,7 @@
 #[actix_rt::test]
 async fn test_dev_command_refuses_with_problem_documents() {
     let dev = start();
-    let job = new_job();
+    let job = new_job_id();
     let bad = put_job(dev.listen, "echo", job, &json!({"tasks": []})).await;
     let bad = bad.expect("an answer");
     assert_eq!((bad.status, bad.outcome()), (400, "not_run"));
--- a/cli/tests/runner/test_failures.rs
+++ b/cli/tests/runner/test_failures.rs
@@ -11,10 +11,10 @@
 use stackcourse_testutils::cluster::Cluster;
 use stackcourse_testutils::cluster::ClusterPlan;
 use stackcourse_testutils::cluster::Reply;
-use stackcourse_testutils::cluster::answers_of;
-use stackcourse_testutils::cluster::body_of;
-use stackcourse_testutils::cluster::new_job;
+use stackcourse_testutils::cluster::job_body;
+use stackcourse_testutils::cluster::new_job_id;
 use stackcourse_testutils::cluster::put_job;
+use stackcourse_testutils::cluster::stub_answers;
 use stackcourse_testutils::fault_proxy::Fault;
 
 fn plan() -> ClusterPlan {
@@ -24,8 +24,8 @@
 /// What must hold of any answer: complete ones are whole, `not_run` ones did not start.
 fn assert_true(cluster: &Cluster, job: JobId, tasks: u32, reply: &Reply) {
     match reply.outcome() {
-        "complete" => assert_eq!(reply.body["answers"], answers_of(job, tasks)),
-        "not_run" => assert!(cluster.starts_of(job).is_empty(), "{job} had started"),
+        "complete" => assert_eq!(reply.body["answers"], stub_answers(job, tasks)),
+        "not_run" => assert!(cluster.started_tasks(job).is_empty(), "{job} had started"),
         "failed" | "unknown" => assert!(reply.body.get("answers").is_none()),
         other => panic!("outcome {other}: {reply:?}"),
     }
@@ -61,7 +61,7 @@
         }
         actix_rt::time::sleep(Duration::from_millis(200)).await;
     }
-    let starts = cluster.starts_of(job);
+    let starts = cluster.started_tasks(job);
     let wasted = cluster.metric("stackcourse_wasted_total").await;
     panic!("{job} got no end, with starts {starts:?}, wasted {wasted:?}: {last:?}");
 }
@@ -71,8 +71,8 @@
     let mut cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
     let other = (owner + 1) % 3;
-    let body = body_of(&[100, 900, 1_500, 300, 1_200, 700], 20_000);
-    let jobs: Vec<JobId> = (0..6).map(|_| new_job()).collect();
+    let body = job_body(&[100, 900, 1_500, 300, 1_200, 700], 20_000);
+    let jobs: Vec<JobId> = (0..6).map(|_| new_job_id()).collect();
     let calls = send_all(cluster.entries[other].http, &jobs, &body);
     actix_rt::time::sleep(Duration::from_millis(500)).await;
     cluster.kill_entry(owner);
@@ -91,8 +91,8 @@
 async fn test_failures_callers_of_a_killed_owner_resubmit() {
     let mut cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
-    let body = body_of(&[400, 800, 200], 20_000);
-    let job = new_job();
+    let body = job_body(&[400, 800, 200], 20_000);
+    let job = new_job_id();
     let http = cluster.entries[owner].http;
     let call = actix_rt::spawn({
         let body = body.clone();
@@ -103,7 +103,7 @@
     assert_eq!(call.await.expect("no panic"), None);
     let reply = resubmit(&cluster, job, &body).await;
     assert_eq!(reply.outcome(), "complete", "{reply:?}");
-    assert_eq!(cluster.starts_of(job), [0, 1, 2]);
+    assert_eq!(cluster.started_tasks(job), [0, 1, 2]);
 }
 
 #[actix_rt::test]
@@ -111,8 +111,8 @@
     let cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
     let other = (owner + 1) % 3;
-    let body = body_of(&[300; 24], 20_000);
-    let job = new_job();
+    let body = job_body(&[300; 24], 20_000);
+    let job = new_job_id();
     let at_owner = cluster.put(owner, "quote", job, &body);
     let at_other = async {
         actix_rt::time::sleep(Duration::from_millis(200)).await;
@@ -130,14 +130,14 @@
         assert_true(&cluster, job, 24, &late);
     }
     cluster.assert_no_double_start();
-    assert_eq!(cluster.starts_of(job).len(), 24);
+    assert_eq!(cluster.started_tasks(job).len(), 24);
 }
 
 #[actix_rt::test]
 async fn test_failures_killed_agent_ends_its_jobs_and_no_others() {
     let mut cluster = Cluster::start(plan()).await;
-    let body = body_of(&[1_500; 4], 20_000);
-    let jobs: Vec<JobId> = (0..4).map(|_| new_job()).collect();
+    let body = job_body(&[1_500; 4], 20_000);
+    let jobs: Vec<JobId> = (0..4).map(|_| new_job_id()).collect();
     let calls = send_all(cluster.entries[0].http, &jobs, &body);
     actix_rt::time::sleep(Duration::from_millis(500)).await;
     cluster.kill_agent(0);
@@ -153,7 +153,7 @@
     assert!(ends.iter().any(|e| e != "complete"), "{ends:?}");
     cluster.assert_no_double_start();
     let fresh = cluster
-        .put(2, "quote", new_job(), &body_of(&[1; 8], 5_000))
+        .put(2, "quote", new_job_id(), &job_body(&[1; 8], 5_000))
         .await;
     assert_eq!(fresh.expect("an answer").outcome(), "complete");
 }
@@ -163,8 +163,8 @@
     let mut cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
     let other = (owner + 1) % 3;
-    let body = body_of(&[1_000; 6], 20_000);
-    let jobs: Vec<JobId> = (0..4).map(|_| new_job()).collect();
+    let body = job_body(&[1_000; 6], 20_000);
+    let jobs: Vec<JobId> = (0..4).map(|_| new_job_id()).collect();
     let calls = send_all(cluster.entries[other].http, &jobs, &body);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     cluster.kill_entry(owner);
@@ -179,7 +179,7 @@
     // Jobs minted well after the takeover do not depend on the lost agent.
     actix_rt::time::sleep(Duration::from_secs(7)).await;
     let fresh = cluster
-        .put(other, "quote", new_job(), &body_of(&[1; 8], 5_000))
+        .put(other, "quote", new_job_id(), &job_body(&[1; 8], 5_000))
         .await;
     assert_eq!(fresh.expect("an answer").outcome(), "complete");
 }
@@ -194,9 +194,9 @@
     let begun = Instant::now();
     let mut count = 0;
     while begun.elapsed() < Duration::from_secs(60) {
-        let job = new_job();
+        let job = new_job_id();
         let reply = cluster
-            .put(count % 3, "quote", job, &body_of(&[5, 10], 5_000))
+            .put(count % 3, "quote", job, &job_body(&[5, 10], 5_000))
             .await;
         let reply = reply.expect("an answer");
         assert_eq!(
@@ -209,7 +209,7 @@
         actix_rt::time::sleep(Duration::from_millis(200)).await;
     }
     let once = cluster
-        .put(0, "switch", new_job(), &body_of(&[1], 5_000))
+        .put(0, "switch", new_job_id(), &job_body(&[1], 5_000))
         .await;
     let once = once.expect("an answer");
     assert_ne!(
@@ -217,10 +217,10 @@
         "complete",
         "a once-only request needs its claim"
     );
-    cluster.store_proxy.pass(Duration::ZERO);
+    cluster.store_proxy.set_delay(Duration::ZERO);
     cluster.wait_ready().await;
     let once = cluster
-        .put(0, "switch", new_job(), &body_of(&[1], 5_000))
+        .put(0, "switch", new_job_id(), &job_body(&[1], 5_000))
         .await;
     assert_eq!(once.expect("an answer").outcome(), "complete");
     cluster.assert_no_double_start();
@@ -237,14 +237,14 @@
     });
     actix_rt::time::sleep(Duration::from_secs(2)).await;
     cluster.kill_entry(owner);
-    let job = new_job();
-    let body = body_of(&[1, 2], 5_000);
+    let job = new_job_id();
+    let body = job_body(&[1, 2], 5_000);
     let reply = cluster
         .put(other, "quote", job, &body)
         .await
         .expect("an answer");
     assert_true(&cluster, job, 2, &reply);
-    cluster.store_proxy.pass(Duration::ZERO);
+    cluster.store_proxy.set_delay(Duration::ZERO);
     let reply = resubmit(&cluster, job, &body).await;
     assert_eq!(reply.outcome(), "complete", "{reply:?}");
     cluster.assert_no_double_start();
@@ -262,9 +262,9 @@
     cluster.kill_entry(owner);
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     assert!(cluster.store_proxy.swallowed() > 0, "no swap was made");
-    cluster.store_proxy.pass(Duration::ZERO);
-    let job = new_job();
-    let body = body_of(&[1, 2, 3], 10_000);
+    cluster.store_proxy.set_delay(Duration::ZERO);
+    let job = new_job_id();
+    let body = job_body(&[1, 2, 3], 10_000);
     let reply = cluster
         .put(other, "quote", job, &body)
         .await
@@ -277,16 +277,16 @@
 async fn test_failures_resubmission_to_every_entry_at_once() {
     let cluster = Cluster::start(plan()).await;
     for _ in 0..5 {
-        let job = new_job();
-        let body = body_of(&[50, 100, 20], 10_000);
+        let job = new_job_id();
+        let body = job_body(&[50, 100, 20], 10_000);
         let calls = (0..9).map(|i| cluster.put(i % 3, "quote", job, &body));
         let replies = futures::future::join_all(calls).await;
         for reply in replies {
             let reply = reply.expect("an answer");
             assert_eq!(reply.outcome(), "complete", "{reply:?}");
-            assert_eq!(reply.body["answers"], answers_of(job, 3));
+            assert_eq!(reply.body["answers"], stub_answers(job, 3));
         }
-        assert_eq!(cluster.starts_of(job), [0, 1, 2]);
+        assert_eq!(cluster.started_tasks(job), [0, 1, 2]);
     }
 }
 
@@ -300,14 +300,14 @@
         ..Fault::default()
     };
     cluster.entries[owner].proxy.set(stall);
-    let job = new_job();
-    let body = body_of(&[10, 20], 15_000);
+    let job = new_job_id();
+    let body = job_body(&[10, 20], 15_000);
     let reply = cluster
         .put(other, "quote", job, &body)
         .await
         .expect("an answer");
     assert_true(&cluster, job, 2, &reply);
-    cluster.entries[owner].proxy.pass(Duration::ZERO);
+    cluster.entries[owner].proxy.set_delay(Duration::ZERO);
     // Whoever is cut off, the agents or the owner, the job's tasks can be told of once all are back.
     let reply = resubmit(&cluster, job, &body).await;
     assert_eq!(reply.outcome(), "complete", "{reply:?}");
@@ -318,8 +318,8 @@
 #[actix_rt::test]
 async fn test_failures_all_entries_restarted_at_once() {
     let mut cluster = Cluster::start(plan()).await;
-    let job = new_job();
-    let body = body_of(&[5, 5], 10_000);
+    let job = new_job_id();
+    let body = job_body(&[5, 5], 10_000);
     let first = cluster
         .put(0, "quote", job, &body)
         .await
@@ -334,7 +334,7 @@
     cluster.wait_ready().await;
     let again = resubmit(&cluster, job, &body).await;
     assert_eq!(again.body, first.body, "the agents remember the answers");
-    assert_eq!(cluster.starts_of(job), [0, 1]);
+    assert_eq!(cluster.started_tasks(job), [0, 1]);
 }
 
 #[actix_rt::test]
--- a/lib/testutils/src/bin/bench.rs
+++ b/lib/testutils/src/bin/bench.rs
@@ -18,7 +18,7 @@
 use stackcourse_testutils::load::LoadLog;
 use stackcourse_testutils::load::LoadPlan;
 use stackcourse_testutils::load::LoadReport;
-use stackcourse_testutils::stub_backend::Mood;
+use stackcourse_testutils::stub_backend::BackendFaults;
 use stackcourse_testutils::workload;
 use stackcourse_testutils::workload::WorkloadPlan;
 
@@ -86,14 +86,14 @@
 }
 
 fn capacity() -> f64 {
-    f64::from(SLOTS) * WORKERS as f64 / workload::mean_task()
+    f64::from(SLOTS) * WORKERS as f64 / workload::mean_task_seconds()
 }
 
 fn load_of(cluster: &Cluster, seed: u64, share: f64, seconds: f64) -> LoadPlan {
-    let plan = WorkloadPlan::brief(seed, capacity() * share, seconds);
+    let plan = WorkloadPlan::standard(seed, capacity() * share, seconds);
     LoadPlan {
         entries: cluster.entries.iter().map(|e| e.http).collect(),
-        arrivals: workload::draw(&plan),
+        arrivals: workload::sample_arrivals(&plan),
         deadline_ms: plan.deadline_ms,
         client_delay: CLIENT_WAY,
         retry: false,
@@ -115,7 +115,7 @@
     let (mut report, log) = load::run(&plan, slots, WAYS).await;
     let after = cluster.metric("stackcourse_wasted_total").await;
     let starts = cluster.starts();
-    report.violations.extend(log.check(&starts));
+    report.violations.extend(log.find_violations(&starts));
     let mut wasted = 0.0;
     let mut kinds = Vec::new();
     for (kind, count) in &after {
@@ -216,7 +216,7 @@
         plan.deadline_ms = 10_000;
         let m = measure(&cluster, plan).await;
         let warm = Duration::from_secs(3);
-        let during = m.log.work_between(&m.plan, warm, end);
+        let during = m.log.busy_slots_between(&m.plan, warm, end);
         let slots = f64::from(SLOTS) * WORKERS as f64;
         println!("3x load for {seconds} s, then half load for 15 s");
         println!(
@@ -284,27 +284,27 @@
 
 /// One worker five times slower, stalled, or failing, from a moment on.
 fn slow(seed: u64, seconds: f64) {
-    let moods: [(&str, Option<Mood>); 4] = [
+    let moods: [(&str, Option<BackendFaults>); 4] = [
         ("none", None),
         (
             "5x slower",
-            Some(Mood {
+            Some(BackendFaults {
                 slow: 5.0,
-                ..Mood::default()
+                ..BackendFaults::default()
             }),
         ),
         (
             "stalled",
-            Some(Mood {
+            Some(BackendFaults {
                 stall: true,
-                ..Mood::default()
+                ..BackendFaults::default()
             }),
         ),
         (
             "failing",
-            Some(Mood {
+            Some(BackendFaults {
                 fail: true,
-                ..Mood::default()
+                ..BackendFaults::default()
             }),
         ),
     ];
@@ -325,13 +325,13 @@
                         actix_rt::time::sleep(Duration::from_secs_f64(onset)).await;
                         let before = backend.log().len() as f64 / onset;
                         if let Some(mood) = mood {
-                            backend.set_mood(mood);
+                            backend.set_faults(mood);
                         }
                         actix_rt::time::sleep(Duration::from_secs(3)).await;
                         let at3 = backend.log().len();
                         actix_rt::time::sleep(Duration::from_secs_f64(end - onset - 3.0)).await;
                         let after = (backend.log().len() - at3) as f64 / (end - onset - 3.0);
-                        backend.set_mood(Mood::default());
+                        backend.set_faults(BackendFaults::default());
                         let mended = std::time::Instant::now();
                         let mut mark = backend.log().len();
                         let mut back = None;
@@ -452,7 +452,7 @@
     let mut plan = load_of(&cluster, seed, 0.4, 12.0);
     for arrival in &mut plan.arrivals {
         arrival.times = vec![100, 200];
-        arrival.again = false;
+        arrival.resubmit = false;
     }
     plan.entries = (0..3)
         .filter(|i| *i != owner)
@@ -488,7 +488,7 @@
                     at: Duration::from_millis(i * 25),
                     times: vec![10],
                     service: "quote".into(),
-                    again: false,
+                    resubmit: false,
                 })
                 .collect();
             let load = LoadPlan {
--- a/lib/testutils/src/bin/capacity.rs
+++ b/lib/testutils/src/bin/capacity.rs
@@ -247,7 +247,7 @@
                     at: Duration::from_secs_f64(i as f64 * tasks as f64 / rate as f64),
                     times: vec![0; tasks],
                     service: "quote".into(),
-                    again: false,
+                    resubmit: false,
                 })
                 .collect();
             let load = LoadPlan {
@@ -299,7 +299,7 @@
                     at: Duration::from_secs_f64(i as f64 * tasks as f64 / rate as f64),
                     times: vec![0; tasks],
                     service: "quote".into(),
-                    again: false,
+                    resubmit: false,
                 })
                 .collect();
             let load = LoadPlan {
--- a/lib/testutils/src/bin/fault-proxy.rs
+++ b/lib/testutils/src/bin/fault-proxy.rs
@@ -11,7 +11,7 @@
 use clap::value_parser;
 use stackcourse_testutils::fault_proxy::Fault;
 use stackcourse_testutils::fault_proxy::FaultProxy;
-use stackcourse_testutils::standin;
+use stackcourse_testutils::stub_server;
 
 fn main() {
     let address = |name: &'static str, help: &'static str| {
@@ -30,7 +30,7 @@
     let get = |name: &str| *matches.get_one::<SocketAddr>(name).expect("required");
     let proxy = FaultProxy::start(get("listen"), get("to"));
     println!("fault-proxy: ready at {}", proxy.address);
-    let control = standin::run(get("control"), move |listener| {
+    let control = stub_server::run(get("control"), move |listener| {
         let server = HttpServer::new(move || {
             let proxy = web::Data::new(proxy.clone());
             App::new()
--- a/lib/testutils/src/bin/load.rs
+++ b/lib/testutils/src/bin/load.rs
@@ -76,14 +76,14 @@
         std::process::exit(2);
     }
     let services = matches.get_many::<String>("service").expect("defaulted");
-    let mut plan = WorkloadPlan::brief(number("seed") as u64, number("rate"), number("seconds"));
+    let mut plan = WorkloadPlan::standard(number("seed") as u64, number("rate"), number("seconds"));
     plan.tasks = number("tasks").max(1.0);
     plan.again = number("again").clamp(0.0, 1.0);
     plan.deadline_ms = number("deadline-ms") as u64;
     plan.services = services.cloned().collect();
     let load = LoadPlan {
         entries,
-        arrivals: workload::draw(&plan),
+        arrivals: workload::sample_arrivals(&plan),
         deadline_ms: plan.deadline_ms,
         client_delay: Duration::ZERO,
         retry: false,
--- a/lib/testutils/src/bin/random-run.rs
+++ b/lib/testutils/src/bin/random-run.rs
@@ -61,7 +61,7 @@
     let mut starts = 0;
     let mut outcomes = [0; 5];
     let mut stuck = 0;
-    let mut untimely = 0;
+    let mut rejected_mint_times = 0;
     let first = number("first");
     for seed in first..first + number("seeds") {
         let span = Duration::from_secs(number("seconds"));
@@ -80,20 +80,20 @@
             println!("seed {seed}: {what}; {steps} steps so far");
             std::process::exit(1);
         }
-        if report.untimely > 0 {
+        if report.rejected_mint_times > 0 {
             println!(
                 "seed {seed}: {} jobs refused for their mint time",
-                report.untimely
+                report.rejected_mint_times
             );
         }
-        untimely += report.untimely;
+        rejected_mint_times += report.rejected_mint_times;
         if !report.recovered {
             stuck += 1;
             println!("seed {seed}: jobs were not served again after the faults had ended");
         }
     }
     println!("{steps} steps, {starts} starts, no promise broken, {stuck} runs did not recover");
-    println!("{untimely} jobs refused for their mint time after the faults had ended");
+    println!("{rejected_mint_times} jobs refused for their mint time after the faults had ended");
     let [other, complete, failed, not_run, unknown] = outcomes;
     println!(
         "answers: {complete} complete, {failed} failed, {not_run} not_run, {unknown} unknown, \
--- a/lib/testutils/src/cluster.rs
+++ b/lib/testutils/src/cluster.rs
@@ -30,11 +30,11 @@
 use stackcourse_lib::job_id::JobId;
 
 use crate::fault_proxy::FaultProxy;
-use crate::standin::StandIn;
-use crate::standin::any_port;
 use crate::stub_backend;
 use crate::stub_backend::BackendState;
 use crate::stub_backend::StartLine;
+use crate::stub_server::StubServer;
+use crate::stub_server::any_port;
 use crate::stub_store;
 
 /// What a cluster consists of.
@@ -174,7 +174,7 @@
     /// Where its metrics are served.
     pub http: SocketAddr,
     settings: PathBuf,
-    standin: Arc<StandIn>,
+    stub_server: Arc<StubServer>,
 }
 
 /// The cluster.
@@ -182,7 +182,7 @@
     /// The plan it was made by.
     pub plan: ClusterPlan,
     /// The store.
-    pub store: StandIn,
+    pub store: StubServer,
     /// The proxy in front of the store.
     pub store_proxy: FaultProxy,
     /// The entries.
@@ -213,7 +213,7 @@
 }
 
 /// A new job id.
-pub fn new_job() -> JobId {
+pub fn new_job_id() -> JobId {
     JobId::mint(day_time::unix_ms(), &rand::random())
 }
 
@@ -264,7 +264,7 @@
     fn make_entry(&self, i: usize) -> EntryNode {
         let (http, listen) = (free_address(), free_address());
         let proxy = FaultProxy::start(any_port(), listen);
-        proxy.pass(self.plan.delay);
+        proxy.set_delay(self.plan.delay);
         let mut settings = json!({
             "name": format!("e{}", i + 1),
             "zone": format!("z{}", i % 3 + 1),
@@ -285,13 +285,13 @@
 
     fn make_agent(&self, i: usize) -> AgentNode {
         let shared = self.plan.backends > 0 && i >= self.plan.backends;
-        let (backend, standin) = if shared {
+        let (backend, stub_server) = if shared {
             let other = &self.agents[i % self.plan.backends];
-            (other.backend.clone(), other.standin.clone())
+            (other.backend.clone(), other.stub_server.clone())
         } else {
             let backend = BackendState::default();
-            let standin = stub_backend::start(any_port(), backend.clone());
-            (backend, Arc::new(standin))
+            let stub_server = stub_backend::start(any_port(), backend.clone());
+            (backend, Arc::new(stub_server))
         };
         let http = free_address();
         let entries: Vec<String> = self
@@ -305,7 +305,7 @@
             "hall": format!("h{}", i % 3 + 1),
             "room": {"slots": self.plan.slots},
             "entries": entries,
-            "backend": standin.url(),
+            "backend": stub_server.url(),
         });
         if self.plan.agent_http {
             settings["http"] = json!(http.to_string());
@@ -316,7 +316,7 @@
             backend,
             settings: self.write_settings(&format!("w{}", i + 1), &settings),
             http,
-            standin,
+            stub_server,
         }
     }
 
@@ -453,7 +453,7 @@
     }
 
     /// How often each task of a job has started.
-    pub fn starts_of(&self, job: JobId) -> Vec<u32> {
+    pub fn started_tasks(&self, job: JobId) -> Vec<u32> {
         let id = job.to_string();
         let mine = self.starts().into_iter().filter(|s| s.job == id);
         let mut tasks: Vec<u32> = mine.map(|s| s.task).collect();
@@ -563,13 +563,13 @@
 }
 
 /// A job body with tasks of these times in milliseconds.
-pub fn body_of(times: &[u64], deadline_ms: u64) -> Value {
+pub fn job_body(times: &[u64], deadline_ms: u64) -> Value {
     let tasks: Vec<Value> = times.iter().map(|ms| json!({"ms": ms})).collect();
     json!({"tasks": tasks, "deadline_ms": deadline_ms})
 }
 
 /// The answers that the stand-in back end gives to a job of `count` tasks.
-pub fn answers_of(job: JobId, count: u32) -> Value {
+pub fn stub_answers(job: JobId, count: u32) -> Value {
     let answer = |task| json!({"job": job.to_string(), "task": task});
     Value::Array((0..count).map(answer).collect())
 }
--- a/lib/testutils/src/fault_proxy.rs
+++ b/lib/testutils/src/fault_proxy.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-use crate::standin::sleep_until;
+use crate::stub_server::sleep_until;
 
 /// What the proxy does.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,7 +76,7 @@
     }
 
     /// Passes everything on, with a delay one way.
-    pub fn pass(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.set(Fault {
             delay_us: delay.as_micros() as u64,
             ..Fault::default()
--- a/lib/testutils/src/load.rs
+++ b/lib/testutils/src/load.rs
@@ -16,12 +16,12 @@
 use stackcourse_lib::job_id::JobId;
 
 use crate::cluster::Reply;
-use crate::cluster::answers_of;
-use crate::cluster::body_of;
-use crate::cluster::new_job;
+use crate::cluster::job_body;
+use crate::cluster::new_job_id;
 use crate::cluster::put_with;
-use crate::standin::sleep_until;
+use crate::cluster::stub_answers;
 use crate::stub_backend::StartLine;
+use crate::stub_server::sleep_until;
 use crate::workload::Arrival;
 use crate::workload::ideal_queue;
 
@@ -107,8 +107,8 @@
     let mut tasks = Vec::new();
     for (index, arrival) in plan.arrivals.iter().enumerate() {
         sleep_until(begun + arrival.at).await;
-        let job = new_job();
-        let copies = if arrival.again { 2 } else { 1 };
+        let job = new_job_id();
+        let copies = if arrival.resubmit { 2 } else { 1 };
         for copy in 0..copies {
             let entry = plan.entries[(index + copy) % plan.entries.len()];
             let call = send(plan, &client, entry, arrival, job, begun);
@@ -150,7 +150,7 @@
     job: JobId,
     begun: Instant,
 ) -> impl Future<Output = (Duration, Option<Reply>, u32)> + 'static {
-    let body = body_of(&arrival.times, plan.deadline_ms);
+    let body = job_body(&arrival.times, plan.deadline_ms);
     let service = arrival.service.clone();
     let delay = plan.client_delay;
     let due = begun + arrival.at;
@@ -256,7 +256,7 @@
     for call in calls.iter().filter(|c| outcome_of(c) == "complete") {
         let count = plan.arrivals[call.index].times.len() as u32;
         let answers = call.reply.as_ref().map(|r| &r.body["answers"]);
-        if answers != Some(&answers_of(call.job, count)) {
+        if answers != Some(&stub_answers(call.job, count)) {
             wrong.push(format!("{}: another answer than its own", call.job));
         }
     }
@@ -265,7 +265,7 @@
 
 impl LoadLog {
     /// Checks the answers against every start that the back ends logged.
-    pub fn check(&self, starts: &[StartLine]) -> Vec<String> {
+    pub fn find_violations(&self, starts: &[StartLine]) -> Vec<String> {
         let mut count: HashMap<(&str, u32), u32> = HashMap::new();
         for start in starts {
             *count.entry((&start.job, start.task)).or_default() += 1;
@@ -311,7 +311,7 @@
 
     /// Service time of complete jobs that ended within a part of the run, a second of it: how many
     /// slots did work that counted.
-    pub fn work_between(&self, plan: &LoadPlan, from: Duration, to: Duration) -> f64 {
+    pub fn busy_slots_between(&self, plan: &LoadPlan, from: Duration, to: Duration) -> f64 {
         let inside =
             |c: &&Call| c.first && c.ended >= from && c.ended < to && outcome_of(c) == "complete";
         let work = |c: &Call| plan.arrivals[c.index].times.iter().sum::<u64>() as f64 / 1000.0;
--- a/lib/testutils/src/platform/fleet.rs
+++ b/lib/testutils/src/platform/fleet.rs
@@ -33,7 +33,7 @@
 use crate::platform::workers;
 use crate::platform::workers::SharedWorkers;
 use crate::platform::workers::Workers;
-use crate::standin::StandIn;
+use crate::stub_server::StubServer;
 
 const PEER_PORT: u16 = 7720;
 const PROXY_PORT: u16 = 7730;
@@ -170,7 +170,7 @@
     /// How it is divided.
     pub partitions: Partitions,
     dir: PathBuf,
-    _stand_ins: Vec<StandIn>,
+    _stand_ins: Vec<StubServer>,
 }
 
 /// A configuration with one queue for each service named.
--- a/lib/testutils/src/platform/soak.rs
+++ b/lib/testutils/src/platform/soak.rs
@@ -434,7 +434,7 @@
             }
             6 => {
                 let delay = Duration::from_millis(self.rng.random_range(1..60));
-                fleet.proxies[entry].pass(delay);
+                fleet.proxies[entry].set_delay(delay);
                 (format!("proxy {entry} {delay:?}"), Healing::Proxy(entry))
             }
             7 => {
--- a/lib/testutils/src/platform/store.rs
+++ b/lib/testutils/src/platform/store.rs
@@ -16,8 +16,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::standin;
-use crate::standin::StandIn;
+use crate::stub_server;
+use crate::stub_server::StubServer;
 
 /// How often a watch that waits looks for changes.
 const POLL: Duration = Duration::from_millis(5);
@@ -164,8 +164,8 @@
 }
 
 /// Starts the stand-in on a thread of its own.
-pub fn start(listen: SocketAddr, state: PlatformStoreState) -> StandIn {
-    standin::run(listen, move |listener| {
+pub fn start(listen: SocketAddr, state: PlatformStoreState) -> StubServer {
+    stub_server::run(listen, move |listener| {
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(web::Data::new(state.clone()))
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -25,8 +25,8 @@
 
 use crate::dispatch::witness::Witness;
 use crate::dispatch::worker::WorkerModel;
-use crate::standin;
-use crate::standin::StandIn;
+use crate::stub_server;
+use crate::stub_server::StubServer;
 
 /// What each worker has, in thousandths of a core.
 pub const CAPACITY: u32 = 8_000;
@@ -216,9 +216,9 @@
     beats: SocketAddr,
     workers: SharedWorkers,
     number: usize,
-) -> StandIn {
+) -> StubServer {
     let desk = Desk { workers, number };
-    standin::run(listen, move |listener| {
+    stub_server::run(listen, move |listener| {
         let beating = desk.clone();
         actix_rt::spawn(heartbeat(beating, beats, listen));
         let server = HttpServer::new(move || {
--- a/lib/testutils/src/random_run.rs
+++ b/lib/testutils/src/random_run.rs
@@ -58,7 +58,7 @@
     pub recovered: bool,
     /// Number of jobs rejected because of the time in their ids after all faults had ended, although their
     /// callers' clocks were right or had been set together with that of an entry's box.
-    pub untimely: u64,
+    pub rejected_mint_times: u64,
 }
 
 const ENTRIES: usize = 3;
@@ -81,7 +81,7 @@
     fault_rate: f64,
     version: u64,
     clocks: ClockFaults,
-    untimely: u64,
+    rejected_mint_times: u64,
 }
 
 /// Runs a plan: injects faults for its span, then ends all faults and checks that jobs are served again.
@@ -103,7 +103,7 @@
         fault_rate,
         version: 0,
         clocks: plan.clocks,
-        untimely: 0,
+        rejected_mint_times: 0,
     };
     runner.publish_config();
     runner.world.run(Duration::from_secs(4));
@@ -121,7 +121,7 @@
         outcomes: world.checker.outcomes,
         violation: world.checker.violation().map(ToOwned::to_owned),
         recovered,
-        untimely: runner.untimely,
+        rejected_mint_times: runner.rejected_mint_times,
     }
 }
 
@@ -306,7 +306,7 @@
             self.world.run(Duration::from_secs(1));
         }
         let before = self.world.checker.outcomes[1];
-        let untimely = self.world.checker.untimely;
+        let rejected_mint_times = self.world.checker.rejected_mint_times;
         let mut sent = 0;
         for i in 0..30 {
             let (job, tasks, _) = self.create_job();
@@ -321,7 +321,7 @@
             }
         }
         self.world.run(Duration::from_secs(20));
-        self.untimely = self.world.checker.untimely - untimely;
+        self.rejected_mint_times = self.world.checker.rejected_mint_times - rejected_mint_times;
         let done = self.world.checker.outcomes[1] - before;
         sent > 0 && done * 2 > sent
     }
--- a/lib/testutils/src/stub_backend.rs
+++ b/lib/testutils/src/stub_backend.rs
@@ -23,8 +23,8 @@
 use stackcourse_daemon::backend::JOB_HEADER;
 use stackcourse_daemon::backend::TASK_HEADER;
 
-use crate::standin;
-use crate::standin::StandIn;
+use crate::stub_server;
+use crate::stub_server::StubServer;
 
 /// One start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
 
 /// What a backend server does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Mood {
+pub struct BackendFaults {
     /// Tasks take this many times as long.
     pub slow: f64,
     /// Answers with an error at once.
@@ -54,9 +54,9 @@
     pub cut: bool,
 }
 
-impl Default for Mood {
-    fn default() -> Mood {
-        Mood {
+impl Default for BackendFaults {
+    fn default() -> BackendFaults {
+        BackendFaults {
             slow: 1.0,
             fail: false,
             stall: false,
@@ -75,7 +75,7 @@
 #[derive(Clone, Default)]
 pub struct BackendState {
     log: Arc<Mutex<Vec<StartLine>>>,
-    mood: Arc<Mutex<Mood>>,
+    mood: Arc<Mutex<BackendFaults>>,
     running: Arc<AtomicU64>,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Sets the mood.
-    pub fn set_mood(&self, mood: Mood) {
+    pub fn set_faults(&self, mood: BackendFaults) {
         *self.mood.lock().expect("no panic while held") = mood;
     }
 
@@ -97,8 +97,8 @@
 }
 
 /// Starts the stand-in on a thread of its own.
-pub fn start(listen: SocketAddr, state: BackendState) -> StandIn {
-    standin::run(listen, move |listener| {
+pub fn start(listen: SocketAddr, state: BackendState) -> StubServer {
+    stub_server::run(listen, move |listener| {
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(web::Data::new(state.clone()))
@@ -116,8 +116,8 @@
     HttpResponse::Ok().json(state.log())
 }
 
-async fn put_mood(state: web::Data<BackendState>, mood: web::Json<Mood>) -> HttpResponse {
-    state.set_mood(mood.into_inner());
+async fn put_mood(state: web::Data<BackendState>, mood: web::Json<BackendFaults>) -> HttpResponse {
+    state.set_faults(mood.into_inner());
     HttpResponse::Ok().finish()
 }
 
@@ -162,7 +162,7 @@
     }
     let asked: TaskBody = serde_json::from_slice(&body).unwrap_or_default();
     let span = Duration::from_secs_f64((asked.ms * mood.slow / 1000.0).max(0.0));
-    standin::sleep_until(begun + span).await;
+    stub_server::sleep_until(begun + span).await;
     if mood.cut {
         return HttpResponse::Ok().body("{\"job\":");
     }
--- a/lib/testutils/src/standin.rs
+++ b/lib/testutils/src/stub_server.rs
@@ -11,14 +11,14 @@
 use actix_web::dev::ServerHandle;
 
 /// A running stand-in.
-pub struct StandIn {
+pub struct StubServer {
     /// Where it listens.
     pub address: SocketAddr,
     handle: ServerHandle,
     thread: Option<JoinHandle<()>>,
 }
 
-impl StandIn {
+impl StubServer {
     /// Its base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
@@ -32,7 +32,7 @@
     }
 }
 
-impl Drop for StandIn {
+impl Drop for StubServer {
     fn drop(&mut self) {
         drop(self.handle.stop(false));
         if let Some(thread) = self.thread.take() {
@@ -49,7 +49,7 @@
 pub fn run(
     listen: SocketAddr,
     build: impl FnOnce(TcpListener) -> std::io::Result<Server> + Send + 'static,
-) -> StandIn {
+) -> StubServer {
     let listener = TcpListener::bind(listen).expect("the address is free");
     listener.set_nonblocking(true).expect("a socket option");
     let address = listener.local_addr().expect("a bound socket");
@@ -62,7 +62,7 @@
         });
     });
     let handle = receiver.recv().expect("the server starts");
-    StandIn {
+    StubServer {
         address,
         handle,
         thread: Some(thread),
--- a/lib/testutils/src/stub_store.rs
+++ b/lib/testutils/src/stub_store.rs
@@ -21,8 +21,8 @@
 use serde_json::json;
 use stackcourse_daemon::memory_store::MemoryStore;
 
-use crate::standin;
-use crate::standin::StandIn;
+use crate::stub_server;
+use crate::stub_server::StubServer;
 
 /// The longest wait of a blocking query.
 const LONGEST: Duration = Duration::from_secs(60);
@@ -59,13 +59,13 @@
 }
 
 /// Starts the stand-in on a thread of its own.
-pub fn start(listen: SocketAddr) -> StandIn {
+pub fn start(listen: SocketAddr) -> StubServer {
     let state = State {
         store: MemoryStore::default(),
         counters: Arc::default(),
         leaving: Arc::default(),
     };
-    standin::run(listen, move |listener| {
+    stub_server::run(listen, move |listener| {
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(web::Data::new(state.clone()))
--- a/lib/testutils/src/witness.rs
+++ b/lib/testutils/src/witness.rs
@@ -43,7 +43,7 @@
     /// Number of task starts.
     pub starts: u64,
     /// Number of answers that reject a job because of the time in its id.
-    pub untimely: u64,
+    pub rejected_mint_times: u64,
     violation: Option<String>,
 }
 
@@ -101,8 +101,8 @@
         };
         self.outcomes[outcome.map_or(0, |o| o.code() as usize)] += 1;
         if let Verdict::Other(refusal) = verdict {
-            let untimely = matches!(refusal.cause, Cause::Ahead | Cause::Expired);
-            self.untimely += u64::from(untimely);
+            let rejected_mint_times = matches!(refusal.cause, Cause::Ahead | Cause::Expired);
+            self.rejected_mint_times += u64::from(rejected_mint_times);
         }
         let history = self.jobs.entry(job).or_default();
         if outcome != Some(Outcome::Unknown) {
--- a/lib/testutils/src/workload.rs
+++ b/lib/testutils/src/workload.rs
@@ -33,7 +33,7 @@
 
 impl WorkloadPlan {
     /// The brief's mix at a rate of tasks a second.
-    pub fn brief(seed: u64, rate: f64, seconds: f64) -> WorkloadPlan {
+    pub fn standard(seed: u64, rate: f64, seconds: f64) -> WorkloadPlan {
         WorkloadPlan {
             seed,
             rate,
@@ -57,7 +57,7 @@
     /// The service.
     pub service: String,
     /// Whether it is sent twice.
-    pub again: bool,
+    pub resubmit: bool,
 }
 
 impl Arrival {
@@ -77,7 +77,7 @@
 }
 
 /// The mean time of a task of the brief's mix, in seconds, from a large sample.
-pub fn mean_task() -> f64 {
+pub fn mean_task_seconds() -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let count = 200_000;
     let sum: u64 = (0..count).map(|_| task_ms(&mut rng)).sum();
@@ -85,7 +85,7 @@
 }
 
 /// Draws the jobs of a plan, in order of arrival.
-pub fn draw(plan: &WorkloadPlan) -> Vec<Arrival> {
+pub fn sample_arrivals(plan: &WorkloadPlan) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut at = 0.0;
     let mut arrivals = Vec::new();
@@ -104,7 +104,7 @@
             at: Duration::from_secs_f64(at),
             times: (0..count).map(|_| task_ms(&mut rng)).collect(),
             service: plan.services[service].clone(),
-            again: rng.random_bool(plan.again),
+            resubmit: rng.random_bool(plan.again),
         });
     }
 }
--- a/lib/testutils/src/workload/tests.rs
+++ b/lib/testutils/src/workload/tests.rs
@@ -8,7 +8,7 @@
         at: Duration::from_millis(at),
         times: times.to_vec(),
         service: String::new(),
-        again: false,
+        resubmit: false,
     };
     let jobs = [arrival(0, &[100, 50]), arrival(10, &[20])];
     let responses = ideal_queue(&jobs, 2);
@@ -18,8 +18,8 @@
 
 #[test]
 fn test_workload_is_reproduced_by_its_seed() {
-    let plan = WorkloadPlan::brief(3, 100.0, 20.0);
-    let (one, two) = (draw(&plan), draw(&plan));
+    let plan = WorkloadPlan::standard(3, 100.0, 20.0);
+    let (one, two) = (sample_arrivals(&plan), sample_arrivals(&plan));
     assert_eq!(one.len(), two.len());
     let tasks: usize = one.iter().map(|a| a.times.len()).sum();
     let rate = tasks as f64 / plan.seconds;
--- a/lib/testutils/tests/runner/test_random_run.rs
+++ b/lib/testutils/tests/runner/test_random_run.rs
@@ -72,7 +72,10 @@
         });
         assert_eq!(report.violation, None, "seed {seed}");
         assert!(report.recovered, "seed {seed} did not recover");
-        assert_eq!(report.untimely, 0, "seed {seed} refused ids for their time");
+        assert_eq!(
+            report.rejected_mint_times, 0,
+            "seed {seed} refused ids for their time"
+        );
     }
 }
 
