--- a/lib/testutils/src/cluster.rs
+++ b/lib/testutils/src/cluster.rs
@@ -1,5 +1,6 @@
-//! A cluster of real processes: the shipped binary as entries and agents, stand-ins on threads of
-//! this process, and fault proxies between them.
+//! A cluster of real processes for tests and measurements: entries and agents that run the production binary,
+//! stubs of the store and the backend servers on threads of this process, and fault proxies in front of the
+//! entries and the store. Dropping the [`Cluster`] kills all its processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,33 +38,33 @@
 use crate::stub_server::any_port;
 use crate::stub_store;
 
-/// What a cluster consists of.
+/// The parameters of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
     /// The `stackcourse` binary.
     pub binary: PathBuf,
-    /// How many entries.
+    /// Number of entries.
     pub entries: usize,
-    /// How many agents, each with a back end.
+    /// Number of agents.
     pub agents: usize,
-    /// Slots of each backend server.
+    /// Number of slots of each agent.
     pub slots: u32,
-    /// Delay between the processes, one way.
+    /// One-way delay of the links to each entry.
     pub delay: Duration,
-    /// Settings added to each entry's.
+    /// Additional settings of each entry.
     pub entry_settings: Value,
-    /// Settings added to each agent's.
+    /// Additional settings of each agent.
     pub agent_settings: Value,
-    /// The configuration.
+    /// The configuration to apply at the start.
     pub config: Value,
-    /// How many back ends there are; agents share them in turn. 0 for one each.
+    /// Number of backend servers, which agents share round robin; 0 for one per agent.
     pub backends: usize,
-    /// Whether agents serve their metrics.
+    /// Whether agents serve their metrics over HTTP.
     pub agent_http: bool,
 }
 
 impl ClusterPlan {
-    /// Three entries and four agents of four slots, without delay.
+    /// Returns a plan of three entries and four agents with four slots each, without delay.
     pub fn new(binary: impl Into<PathBuf>) -> ClusterPlan {
         ClusterPlan {
             binary: binary.into(),
@@ -80,7 +81,8 @@
     }
 }
 
-/// A configuration with a service `quote`, a once-only service `switch`, and limits.
+/// Returns a configuration with the given limits, a service `quote`, and a service `switch` whose tasks are
+/// never repeated.
 pub fn plain_config(limits: Value) -> Value {
     json!({
         "services": {
@@ -94,7 +96,7 @@
 /// A child process that is killed when it is dropped.
 pub struct Process {
     child: Child,
-    /// Its log.
+    /// The file with its output.
     pub log: PathBuf,
 }
 
@@ -118,23 +120,23 @@
         Process { child, log }
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Kills it without warning.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its end; returns whether it ended well in time.
+    /// Waits for the process to end. Returns whether it exited successfully within `limit`.
     pub fn wait(&mut self, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         while Instant::now() < end {
@@ -158,32 +160,32 @@
 pub struct EntryNode {
     /// The process; `None` while it is down.
     pub process: Option<Process>,
-    /// Where callers reach it.
+    /// The HTTP address for callers.
     pub http: SocketAddr,
-    /// The proxy in front of its links.
+    /// The proxy through which agents and other entries connect to it.
     pub proxy: FaultProxy,
     settings: PathBuf,
 }
 
-/// An agent of the cluster with its back end.
+/// An agent of the cluster with its backend server.
 pub struct AgentNode {
     /// The process; `None` while it is down.
     pub process: Option<Process>,
-    /// The back end's log and mood.
+    /// The log and the faults of the backend server.
     pub backend: BackendState,
-    /// Where its metrics are served.
+    /// The HTTP address of its metrics, if the plan enables them.
     pub http: SocketAddr,
     settings: PathBuf,
     stub_server: Arc<StubServer>,
 }
 
-/// The cluster.
+/// A running cluster.
 pub struct Cluster {
-    /// The plan it was made by.
+    /// The parameters of the cluster.
     pub plan: ClusterPlan,
-    /// The store.
+    /// The stub of the store.
     pub store: StubServer,
-    /// The proxy in front of the store.
+    /// The proxy through which entries reach the store.
     pub store_proxy: FaultProxy,
     /// The entries.
     pub entries: Vec<EntryNode>,
@@ -192,19 +194,20 @@
     dir: PathBuf,
 }
 
-/// Ports below those that the system hands out by itself.
-const PORTS: std::ops::Range<u32> = 10_000..32_000;
+/// The ports of [`free_address`]; they lie below the system's ephemeral ports, which outgoing connections
+/// occupy.
+const PORT_RANGE: std::ops::Range<u32> = 10_000..32_000;
 
-/// A loopback address that was free a moment ago and that no other call in this process got or
-/// gets, so that tests which run at once do not take each other's ports.
+/// Returns a loopback address that is currently free. Each call of this process tries another port, so that
+/// concurrent tests do not take each other's ports.
 pub fn free_address() -> SocketAddr {
-    static FIRST: OnceLock<u32> = OnceLock::new();
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
-    let count = PORTS.end - PORTS.start;
-    let first = *FIRST.get_or_init(|| rand::random_range(0..count));
+    static FIRST_OFFSET: OnceLock<u32> = OnceLock::new();
+    static ADDRESSES_TRIED: AtomicU32 = AtomicU32::new(0);
+    let count = PORT_RANGE.end - PORT_RANGE.start;
+    let first = *FIRST_OFFSET.get_or_init(|| rand::random_range(0..count));
     loop {
-        let place = first + TAKEN.fetch_add(1, Ordering::Relaxed);
-        let port = PORTS.start + place % count;
+        let offset = first + ADDRESSES_TRIED.fetch_add(1, Ordering::Relaxed);
+        let port = PORT_RANGE.start + offset % count;
         let address = SocketAddr::from(([127, 0, 0, 1], port as u16));
         if TcpListener::bind(address).is_ok() {
             return address;
@@ -212,12 +215,12 @@
     }
 }
 
-/// A new job id.
+/// Returns a new job id with the current time.
 pub fn new_job_id() -> JobId {
     JobId::mint(day_time::unix_ms(), &rand::random())
 }
 
-fn merge(base: &mut Value, extra: &Value) {
+fn merge_settings(base: &mut Value, extra: &Value) {
     if let (Value::Object(base), Value::Object(extra)) = (base, extra) {
         for (name, value) in extra {
             base.insert(name.clone(), value.clone());
@@ -226,8 +229,7 @@
 }
 
 impl Cluster {
-    /// Starts a cluster and applies its configuration. It is ready when every entry has the
-    /// configuration and every agent is usable.
+    /// Starts a cluster, applies its configuration and waits until it is ready, see [`Cluster::wait_ready`].
     pub async fn start(plan: ClusterPlan) -> Cluster {
         let dir = std::env::temp_dir().join(format!("stackcourse-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&dir).expect("a directory for settings");
@@ -274,7 +276,7 @@
             "store": format!("http://{}", self.store_proxy.address),
             "linger_ms": 200,
         });
-        merge(&mut settings, &self.plan.entry_settings);
+        merge_settings(&mut settings, &self.plan.entry_settings);
         EntryNode {
             process: None,
             http,
@@ -310,7 +312,7 @@
         if self.plan.agent_http {
             settings["http"] = json!(http.to_string());
         }
-        merge(&mut settings, &self.plan.agent_settings);
+        merge_settings(&mut settings, &self.plan.agent_settings);
         AgentNode {
             process: None,
             backend,
@@ -326,31 +328,31 @@
         path
     }
 
-    /// Starts an entry, also again.
+    /// Starts or restarts an entry.
     pub fn start_entry(&mut self, i: usize) {
         let settings = self.entries[i].settings.clone();
         let process = Process::start(&self.plan.binary, "entry", &settings);
         self.entries[i].process = Some(process);
     }
 
-    /// Starts an agent, also again.
+    /// Starts or restarts an agent.
     pub fn start_agent(&mut self, i: usize) {
         let settings = self.agents[i].settings.clone();
         let process = Process::start(&self.plan.binary, "agent", &settings);
         self.agents[i].process = Some(process);
     }
 
-    /// Kills an entry without warning.
+    /// Kills an entry with SIGKILL.
     pub fn kill_entry(&mut self, i: usize) {
         self.entries[i].process = None;
     }
 
-    /// Kills an agent without warning. Its back end goes on.
+    /// Kills an agent with SIGKILL. Its backend server keeps running.
     pub fn kill_agent(&mut self, i: usize) {
         self.agents[i].process = None;
     }
 
-    /// Applies a configuration through the store itself, not the proxy.
+    /// Writes a configuration to the store directly, bypassing the proxy, and returns its version.
     pub async fn apply(&self, config: &Value) -> Result<u64, ApplyError> {
         let store = ConsulStore::new(&self.store.url());
         let text = config.to_string();
@@ -358,13 +360,13 @@
         Ok(applied.version)
     }
 
-    /// The state of an entry.
+    /// Returns the status of an entry, or `None` if it does not answer.
     pub async fn status(&self, i: usize) -> Option<EntryStatus> {
         fetch_status(&self.entries[i].http.to_string()).await
     }
 
-    /// Waits until every entry that runs knows every agent that runs as usable, and every other
-    /// entry that runs as a peer.
+    /// Waits until every running entry has a configuration and a confirmed right to serve, counts all running
+    /// agents as usable, and is linked to all other running entries.
     pub async fn wait_ready(&self) {
         let agents = self.agents.iter().filter(|a| a.process.is_some()).count();
         let entries = self.entries.iter().filter(|e| e.process.is_some()).count();
@@ -380,11 +382,11 @@
         }
     }
 
-    /// Waits until an entry's state is as asked.
+    /// Waits until the status of an entry passes `test`; `what` describes the condition.
     ///
     /// # Panics
     ///
-    /// When that takes more than 30 s.
+    /// Panics after 30 s.
     pub async fn wait_status(&self, i: usize, what: &str, test: impl Fn(&EntryStatus) -> bool) {
         let end = Instant::now() + Duration::from_secs(30);
         let mut last = None;
@@ -398,10 +400,10 @@
         panic!("entry {} is not {what}: {last:?}", i + 1);
     }
 
-    /// Waits until a configuration version is in force on every node, as the entries that own shards
-    /// know it, and returns how long that took.
+    /// Waits until every entry has applied at least the given configuration version, and every agent as well
+    /// as far as the entries that own shards know. Returns how long that took.
     pub async fn wait_version(&self, version: u64) -> Duration {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for i in 0..self.entries.len() {
             self.wait_status(i, "on the version", |s| {
                 let agents = s.agents.iter().all(|a| a.config >= version);
@@ -409,10 +411,10 @@
             })
             .await;
         }
-        begun.elapsed()
+        started_at.elapsed()
     }
 
-    /// The entry that serves the most shards.
+    /// Returns the entry that serves the most shards, or the first entry if none serves any.
     pub async fn owner(&self) -> usize {
         let mut best = (0, 0);
         for i in 0..self.entries.len() {
@@ -424,12 +426,12 @@
         best.0
     }
 
-    /// Sends a job to an entry; `None` when the connection broke.
+    /// Submits a job to an entry. Returns `None` if the connection broke or the request timed out.
     pub async fn put(&self, i: usize, service: &str, job: JobId, body: &Value) -> Option<Reply> {
         put_job(self.entries[i].http, service, job, body).await
     }
 
-    /// A counter or gauge of all entries, summed by its label.
+    /// Returns the values of a counter or gauge by its first label, summed over all entries.
     pub async fn metric(&self, name: &str) -> BTreeMap<String, f64> {
         let mut sums = BTreeMap::new();
         for entry in &self.entries {
@@ -440,19 +442,21 @@
         sums
     }
 
-    /// Asks an entry for a job.
+    /// Queries an entry for the state of a job. Returns `None` if the connection broke or the request timed
+    /// out.
     pub async fn get(&self, i: usize, service: &str, job: JobId) -> Option<Reply> {
         let url = job_url(self.entries[i].http, service, job);
-        let request = awc::Client::default().get(url).timeout(LONGEST);
+        let request = awc::Client::default().get(url).timeout(REQUEST_TIMEOUT);
         read_reply(request.send().await.ok()?).await
     }
 
-    /// Every start that any back end has logged.
+    /// Returns the starts in the logs of all agents' backend servers. The log of a backend server that
+    /// several agents share is included once for each of them.
     pub fn starts(&self) -> Vec<StartLine> {
         self.agents.iter().flat_map(|a| a.backend.log()).collect()
     }
 
-    /// How often each task of a job has started.
+    /// Returns the tasks of a job that have started, in order; a task that started twice is listed twice.
     pub fn started_tasks(&self, job: JobId) -> Vec<u32> {
         let id = job.to_string();
         let mine = self.starts().into_iter().filter(|s| s.job == id);
@@ -461,7 +465,7 @@
         tasks
     }
 
-    /// Panics if any task has started twice.
+    /// Panics if a task has started twice.
     pub fn assert_no_double_start(&self) {
         let mut all: Vec<(String, u32)> =
             self.starts().into_iter().map(|s| (s.job, s.task)).collect();
@@ -482,10 +486,10 @@
     }
 }
 
-/// The longest a caller of the tests waits.
-const LONGEST: Duration = Duration::from_secs(70);
+/// How long callers wait for an answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(70);
 
-/// What a caller got.
+/// The reply to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// The HTTP status.
@@ -497,14 +501,14 @@
 }
 
 impl Reply {
-    /// The outcome's word, or the state of a job that still runs.
+    /// Returns the name of the outcome, or of the state if the job has not ended.
     pub fn outcome(&self) -> &str {
         let word = self.body["outcome"].as_str();
         word.or(self.body["state"].as_str()).unwrap_or("")
     }
 }
 
-/// A counter or gauge of one process by its label; empty when it does not answer.
+/// Returns the values of a counter or gauge of one process by its first label; empty if it does not answer.
 pub async fn read_metric(http: SocketAddr, name: &str) -> BTreeMap<String, f64> {
     let mut values = BTreeMap::new();
     let url = format!("http://{http}/metrics");
@@ -530,13 +534,13 @@
     format!("http://{http}/v1/services/{service}/jobs/{job}")
 }
 
-/// Sends a job to an entry's HTTP address; `None` when the connection broke.
+/// Submits a job to an entry's HTTP address. Returns `None` if the connection broke or the request timed out.
 pub async fn put_job(http: SocketAddr, service: &str, job: JobId, body: &Value) -> Option<Reply> {
-    put_with(&awc::Client::default(), http, service, job, body).await
+    put_job_with(&awc::Client::default(), http, service, job, body).await
 }
 
-/// The same with a client of the caller's, whose connections are used again.
-pub async fn put_with(
+/// Like [`put_job`], with a client whose connections are reused.
+pub async fn put_job_with(
     client: &awc::Client,
     http: SocketAddr,
     service: &str,
@@ -544,7 +548,7 @@
     body: &Value,
 ) -> Option<Reply> {
     let url = job_url(http, service, job);
-    let request = client.put(url).timeout(LONGEST);
+    let request = client.put(url).timeout(REQUEST_TIMEOUT);
     read_reply(request.send_json(body).await.ok()?).await
 }
 
@@ -562,13 +566,13 @@
     })
 }
 
-/// A job body with tasks of these times in milliseconds.
+/// Returns a job body with tasks of the given durations in milliseconds.
 pub fn job_body(times: &[u64], deadline_ms: u64) -> Value {
     let tasks: Vec<Value> = times.iter().map(|ms| json!({"ms": ms})).collect();
     json!({"tasks": tasks, "deadline_ms": deadline_ms})
 }
 
-/// The answers that the stand-in back end gives to a job of `count` tasks.
+/// Returns the answers of the stub backend server to a job of `count` tasks.
 pub fn stub_answers(job: JobId, count: u32) -> Value {
     let answer = |task| json!({"job": job.to_string(), "task": task});
     Value::Array((0..count).map(answer).collect())
--- a/lib/testutils/src/fault_proxy.rs
+++ b/lib/testutils/src/fault_proxy.rs
@@ -1,4 +1,5 @@
-//! A TCP proxy that delays, stalls, resets, or swallows answers after the request has taken
+//! A TCP proxy that injects faults for tests. It forwards connections to one address and, as the current
+//! [`Fault`] says, delays or stalls them, closes them, or drops the reply to a request that has already taken
 //! effect.
 
 use std::net::SocketAddr;
@@ -18,36 +19,36 @@
 
 use crate::stub_server::sleep_until;
 
-/// What the proxy does.
+/// The faults that the proxy injects; the default forwards everything without delay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Delay of everything, one way, in microseconds.
+    /// One-way delay of all data, in microseconds.
     pub delay_us: u64,
-    /// Nothing is passed on, and connections stay open: half-open.
+    /// Forwards nothing while connections stay open, as if they were half-open.
     pub stall: bool,
-    /// Connections are closed, and new ones too.
+    /// Closes all connections, and each new one.
     pub reset: bool,
-    /// Once a request contains this text, it is passed on and its answer is lost with its
-    /// connection.
+    /// Forwards a request that contains this text, then closes the connection instead of forwarding the
+    /// reply. Empty for none.
     pub swallow: String,
 }
 
-/// A running proxy; clones control the same one.
+/// A handle to a running proxy; clones control the same proxy.
 #[derive(Clone)]
 pub struct FaultProxy {
-    /// Where it listens.
+    /// The address at which the proxy listens.
     pub address: SocketAddr,
     fault: Arc<watch::Sender<Fault>>,
     swallowed: Arc<Mutex<u64>>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy to `to` on a thread of its own.
+    /// Starts a proxy to `to` on its own thread.
     ///
     /// # Panics
     ///
-    /// When the address can't be listened at; the proxy is for tests.
+    /// Panics if it cannot listen at the address.
     pub fn start(listen: SocketAddr, to: SocketAddr) -> FaultProxy {
         let (sender, receiver) = mpsc::channel();
         let fault = Arc::new(watch::Sender::new(Fault::default()));
@@ -59,7 +60,12 @@
                 let listener = listener.expect("the address is free");
                 let _ = sender.send(listener.local_addr().expect("a bound socket"));
                 while let Ok((client, _)) = listener.accept().await {
-                    actix_rt::spawn(carry(client, to, faults.clone(), count.clone()));
+                    actix_rt::spawn(forward_connection(
+                        client,
+                        to,
+                        faults.clone(),
+                        count.clone(),
+                    ));
                 }
             });
         });
@@ -70,12 +76,12 @@
         }
     }
 
-    /// Sets what the proxy does from now on.
+    /// Replaces the faults, for open connections as well.
     pub fn set(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
 
-    /// Passes everything on, with a delay one way.
+    /// Forwards everything with a one-way delay and ends all other faults.
     pub fn set_delay(&self, delay: Duration) {
         self.set(Fault {
             delay_us: delay.as_micros() as u64,
@@ -83,13 +89,14 @@
         });
     }
 
-    /// How many answers were swallowed.
+    /// Returns how many requests matched [`Fault::swallow`].
     pub fn swallowed(&self) -> u64 {
         *self.swallowed.lock().expect("no panic while held")
     }
 }
 
-async fn carry(
+/// Forwards one connection in both directions until either direction ends or a reset is set.
+async fn forward_connection(
     client: TcpStream,
     to: SocketAddr,
     fault: Arc<watch::Sender<Fault>>,
@@ -105,33 +112,36 @@
     let _ = server.set_nodelay(true);
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let doomed = Arc::new(Mutex::new(false));
-    let watch_requests = Some((doomed.clone(), swallowed));
-    let there = pump(
-        client_read,
-        server_write,
+    let drop_replies = Arc::new(Mutex::new(false));
+    let trigger = Some((drop_replies.clone(), swallowed));
+    let requests = forward_bytes(client_read, server_write, fault.clone(), trigger, None);
+    let replies = forward_bytes(
+        server_read,
+        client_write,
         fault.clone(),
-        watch_requests,
         None,
+        Some(drop_replies),
     );
-    let back = pump(server_read, client_write, fault.clone(), None, Some(doomed));
     let mut changes = fault.subscribe();
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = requests => {}
+        () = replies => {}
         _ = changes.wait_for(|f| f.reset) => {}
     }
 }
 
-type Doom = Arc<Mutex<bool>>;
+/// Set once the replies on a connection are to be dropped.
+type DropFlag = Arc<Mutex<bool>>;
 
-/// Carries bytes one way. Chunks are stamped on arrival, so a delay does not limit the rate.
-async fn pump(
+/// Forwards data in one direction. The delay of each chunk counts from its arrival, so that it does not limit
+/// the throughput. A chunk that matches [`Fault::swallow`] sets the flag in `dooms` and increments its
+/// counter; once `doomed` is set, no further chunk is forwarded.
+async fn forward_bytes(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     fault: Arc<watch::Sender<Fault>>,
-    dooms: Option<(Doom, Arc<Mutex<u64>>)>,
-    doomed: Option<Doom>,
+    trigger: Option<(DropFlag, Arc<Mutex<u64>>)>,
+    drop_replies: Option<DropFlag>,
 ) {
     let (sender, mut receiver) = tokio::sync::mpsc::channel(1_024);
     let mut current = fault.subscribe();
@@ -154,16 +164,16 @@
             if now.delay_us > 0 {
                 sleep_until(at + Duration::from_micros(now.delay_us)).await;
             }
-            if let Some((doom, count)) = &dooms
+            if let Some((drop_flag, count)) = &trigger
                 && contains(&chunk, &now.swallow)
             {
-                *doom.lock().expect("no panic while held") = true;
+                *drop_flag.lock().expect("no panic while held") = true;
                 *count.lock().expect("no panic while held") += 1;
             }
-            let lost = doomed
+            let dropped = drop_replies
                 .as_ref()
                 .is_some_and(|d| *d.lock().expect("no panic while held"));
-            if lost || to.write_all(&chunk).await.is_err() {
+            if dropped || to.write_all(&chunk).await.is_err() {
                 break;
             }
         }
--- a/lib/testutils/src/load.rs
+++ b/lib/testutils/src/load.rs
@@ -1,8 +1,9 @@
-//! The load tool: sends a workload to entries at its own pace, checks every answer against its
-//! request and against the back ends' logs, and reports.
+//! Load generator. Sends a workload to entries, checks each answer against its request and against the logs
+//! of the backend servers, and reports outcomes and percentiles.
 //!
-//! Arrivals are open-loop: a job is sent at its drawn time whether or not others have been
-//! answered, and its response time counts from that time, so no wait is left out.
+//! The load is open-loop: each job is sent at its sampled arrival time whether or not earlier jobs have been
+//! answered, and its response time counts from that time. A slow system therefore cannot reduce the load or
+//! hide waiting time.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,84 +19,90 @@
 use crate::cluster::Reply;
 use crate::cluster::job_body;
 use crate::cluster::new_job_id;
-use crate::cluster::put_with;
+use crate::cluster::put_job_with;
 use crate::cluster::stub_answers;
 use crate::stub_backend::StartLine;
 use crate::stub_server::sleep_until;
 use crate::workload::Arrival;
 use crate::workload::ideal_queue;
 
-/// How a load is run.
+/// The parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Where entries serve callers; jobs go to them in turn, as a balancer would.
+    /// The HTTP addresses of the entries; jobs are sent to them round robin, as by a load balancer.
     pub entries: Vec<SocketAddr>,
-    /// The jobs.
+    /// The jobs, in order of arrival.
     pub arrivals: Vec<Arrival>,
     /// The deadline of each job, in milliseconds.
     pub deadline_ms: u64,
-    /// Delay between callers and entries, one way.
+    /// One-way delay between callers and entries.
     pub client_delay: Duration,
-    /// Whether refused callers come back when they are asked to, until their deadline.
+    /// Whether callers retry after the delay that a reply asks for, until their deadline.
     pub retry: bool,
 }
 
-/// What became of one request.
+/// A job as sent by one caller, with its final reply.
 #[derive(Clone, Debug)]
 struct Call {
     job: JobId,
+    /// The index of the job among the arrivals.
     index: usize,
-    first: bool,
-    took: Duration,
-    ended: Duration,
+    /// False for the second copy of a job that is sent twice.
+    is_first: bool,
+    /// Time from the arrival to the final reply.
+    response_time: Duration,
+    /// When the final reply came, from the start of the load.
+    ended_at: Duration,
+    /// `None` if the connection broke or the request timed out.
     reply: Option<Reply>,
-    /// Requests made, the first counted.
+    /// Number of requests sent, retries included.
     requests: u32,
 }
 
-/// What came of a load.
+/// The results of a load. All but `violations` leave out the second copies of jobs that were sent twice.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Jobs sent.
+    /// Number of jobs sent.
     pub jobs: usize,
-    /// Tasks sent.
+    /// Number of tasks sent.
     pub tasks: usize,
-    /// Jobs that ended in each way.
+    /// Number of jobs by outcome.
     pub outcomes: BTreeMap<String, usize>,
-    /// Refusals by problem type.
+    /// Number of rejected jobs by problem type.
     pub refusals: BTreeMap<String, usize>,
-    /// Response over ideal of complete jobs: percentiles.
+    /// Slowdown of complete jobs: the response time divided by that on an idle system.
     pub slowdown: Percentiles,
-    /// The same for the ideal single queue over the same arrivals.
+    /// Slowdown of all jobs in an ideal single queue with the same arrivals.
     pub ideal: Percentiles,
-    /// Response of complete jobs, in milliseconds.
+    /// Response time of complete jobs, in milliseconds.
     pub response_ms: Percentiles,
-    /// Time to a refusal, in milliseconds, less the callers' way.
+    /// Response time of `not_run` jobs without the delay between callers and entries, in milliseconds.
     pub refusal_ms: Percentiles,
-    /// Service time of the tasks of complete jobs over that of all tasks sent.
+    /// Total task duration of complete jobs, divided by that of all jobs.
     pub goodput: f64,
-    /// Service time done for complete jobs each second while jobs arrived, in slots.
+    /// Average number of slots busy with complete jobs: the total task duration of the jobs that were
+    /// completed before the last arrival, divided by the time of that arrival.
     pub busy_slots: f64,
-    /// Requests a job, those of callers that came back included.
+    /// Mean number of requests for each job, retries included.
     pub requests: f64,
-    /// Promises broken.
+    /// Violated guarantees.
     pub violations: Vec<String>,
 }
 
-/// Percentiles of a measure.
+/// Percentiles of a distribution.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Percentiles {
     /// The median.
     pub p50: f64,
-    /// 99 of 100.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 of 1000.
+    /// The 99.9th percentile.
     pub p999: f64,
 }
 
-/// Runs a load and reports. `ways` is the time of the ways there and back on an idle system,
-/// which the ideal includes; `slots` are those of all permitted workers.
-pub async fn run(plan: &LoadPlan, slots: usize, ways: Duration) -> (LoadReport, LoadLog) {
+/// Runs a load and returns its results. `round_trip` is the network delay of a job on an idle system, which
+/// the ideal response time includes; `slots` is the number of slots of all permitted workers.
+pub async fn run(plan: &LoadPlan, slots: usize, round_trip: Duration) -> (LoadReport, LoadLog) {
     let begun = Instant::now();
     let client = awc::Client::builder()
         .connector(
@@ -113,13 +120,13 @@
             let entry = plan.entries[(index + copy) % plan.entries.len()];
             let call = send(plan, &client, entry, arrival, job, begun);
             let call = async move {
-                let (took, reply, requests) = call.await;
+                let (response_time, reply, requests) = call.await;
                 Call {
                     job,
                     index,
-                    first: copy == 0,
-                    took,
-                    ended: begun.elapsed(),
+                    is_first: copy == 0,
+                    response_time,
+                    ended_at: begun.elapsed(),
                     reply,
                     requests,
                 }
@@ -133,15 +140,17 @@
             calls.push(call);
         }
     }
-    let report = report(plan, &calls, slots, ways);
+    let report = build_report(plan, &calls, slots, round_trip);
     (report, LoadLog { calls })
 }
 
-/// The requests of a load, to be checked against the back ends' logs.
+/// The calls of a load, for checks against the logs of the backend servers and for results of parts of the
+/// run.
 pub struct LoadLog {
     calls: Vec<Call>,
 }
 
+/// Sends a job until it has a final reply. Returns its response time, the reply and the number of requests.
 fn send(
     plan: &LoadPlan,
     client: &awc::Client,
@@ -162,16 +171,16 @@
         loop {
             requests += 1;
             sleep_until(Instant::now() + delay).await;
-            let reply = put_with(&client, entry, &service, job, &body).await;
+            let reply = put_job_with(&client, entry, &service, job, &body).await;
             sleep_until(Instant::now() + delay).await;
-            let after = reply
+            let retry_after = reply
                 .as_ref()
                 .and_then(|r| r.body["retry_after_ms"].as_u64());
-            let again = Instant::now() + Duration::from_millis(after.unwrap_or(0));
-            if !retry || after.is_none() || again >= deadline {
+            let retry_at = Instant::now() + Duration::from_millis(retry_after.unwrap_or(0));
+            if !retry || retry_after.is_none() || retry_at >= deadline {
                 return (due.elapsed(), reply, requests);
             }
-            sleep_until(again).await;
+            sleep_until(retry_at).await;
         }
     }
 }
@@ -189,19 +198,19 @@
     }
 }
 
-fn report(plan: &LoadPlan, calls: &[Call], slots: usize, ways: Duration) -> LoadReport {
+fn build_report(plan: &LoadPlan, calls: &[Call], slots: usize, round_trip: Duration) -> LoadReport {
     let ideal = ideal_queue(&plan.arrivals, slots);
-    let slow = |response: Duration, arrival: &Arrival| {
-        response.as_secs_f64() / (arrival.longest() + ways).as_secs_f64()
+    let slowdown = |response: Duration, arrival: &Arrival| {
+        response.as_secs_f64() / (arrival.longest_task() + round_trip).as_secs_f64()
     };
-    let firsts: Vec<&Call> = calls.iter().filter(|c| c.first).collect();
-    let complete: Vec<&&Call> = firsts
+    let first_calls: Vec<&Call> = calls.iter().filter(|c| c.is_first).collect();
+    let complete: Vec<&&Call> = first_calls
         .iter()
         .filter(|c| outcome_of(c) == "complete")
         .collect();
     let mut outcomes = BTreeMap::new();
     let mut refusals = BTreeMap::new();
-    for call in &firsts {
+    for call in &first_calls {
         *outcomes.entry(outcome_of(call)).or_default() += 1;
         let kind = call.reply.as_ref().and_then(|r| r.body["type"].as_str());
         if let Some(kind) = kind {
@@ -210,13 +219,13 @@
         }
     }
     let work = |a: &Arrival| a.times.iter().sum::<u64>() as f64 / 1000.0;
-    let asked: f64 = plan.arrivals.iter().map(work).sum();
-    let done: f64 = complete.iter().map(|c| work(&plan.arrivals[c.index])).sum();
+    let offered_work: f64 = plan.arrivals.iter().map(work).sum();
+    let completed_work: f64 = complete.iter().map(|c| work(&plan.arrivals[c.index])).sum();
     let last = plan.arrivals.last().map_or(Duration::ZERO, |a| a.at);
-    let in_time = complete.iter().filter(|c| c.ended <= last);
-    let in_time: f64 = in_time.map(|c| work(&plan.arrivals[c.index])).sum();
-    let refused = firsts.iter().filter(|c| outcome_of(c) == "not_run");
-    let there = plan.client_delay * 2;
+    let timely_work = complete.iter().filter(|c| c.ended_at <= last);
+    let timely_work: f64 = timely_work.map(|c| work(&plan.arrivals[c.index])).sum();
+    let refused = first_calls.iter().filter(|c| outcome_of(c) == "not_run");
+    let client_round_trip = plan.client_delay * 2;
     LoadReport {
         jobs: plan.arrivals.len(),
         tasks: plan.arrivals.iter().map(|a| a.times.len()).sum(),
@@ -225,21 +234,29 @@
         slowdown: percentiles(
             complete
                 .iter()
-                .map(|c| slow(c.took, &plan.arrivals[c.index])),
+                .map(|c| slowdown(c.response_time, &plan.arrivals[c.index])),
         ),
         ideal: percentiles(
             ideal
                 .iter()
                 .zip(&plan.arrivals)
-                .map(|(response, arrival)| slow(*response + ways, arrival)),
+                .map(|(response, arrival)| slowdown(*response + round_trip, arrival)),
         ),
-        response_ms: percentiles(complete.iter().map(|c| c.took.as_secs_f64() * 1e3)),
-        refusal_ms: percentiles(refused.map(|c| c.took.saturating_sub(there).as_secs_f64() * 1e3)),
-        goodput: done / asked.max(1e-9),
-        busy_slots: in_time / last.as_secs_f64().max(1e-9),
-        requests: firsts.iter().map(|c| f64::from(c.requests)).sum::<f64>()
-            / firsts.len().max(1) as f64,
-        violations: wrong_answers(plan, calls),
+        response_ms: percentiles(complete.iter().map(|c| c.response_time.as_secs_f64() * 1e3)),
+        refusal_ms: percentiles(refused.map(|c| {
+            c.response_time
+                .saturating_sub(client_round_trip)
+                .as_secs_f64()
+                * 1e3
+        })),
+        goodput: completed_work / offered_work.max(1e-9),
+        busy_slots: timely_work / last.as_secs_f64().max(1e-9),
+        requests: first_calls
+            .iter()
+            .map(|c| f64::from(c.requests))
+            .sum::<f64>()
+            / first_calls.len().max(1) as f64,
+        violations: find_wrong_answers(plan, calls),
     }
 }
 
@@ -250,8 +267,8 @@
     }
 }
 
-/// Complete answers that are not the whole answer to their own request.
-fn wrong_answers(plan: &LoadPlan, calls: &[Call]) -> Vec<String> {
+/// Returns a violation for each complete answer that differs from the expected answer to its request.
+fn find_wrong_answers(plan: &LoadPlan, calls: &[Call]) -> Vec<String> {
     let mut wrong = Vec::new();
     for call in calls.iter().filter(|c| outcome_of(c) == "complete") {
         let count = plan.arrivals[call.index].times.len() as u32;
@@ -264,7 +281,9 @@
 }
 
 impl LoadLog {
-    /// Checks the answers against every start that the back ends logged.
+    /// Checks the outcomes against all starts that the backend servers logged. Returns a violation for each
+    /// task that started more than once and for each job that had started although all its calls ended as
+    /// `not_run`.
     pub fn find_violations(&self, starts: &[StartLine]) -> Vec<String> {
         let mut count: HashMap<(&str, u32), u32> = HashMap::new();
         for start in starts {
@@ -281,7 +300,7 @@
             by_job.entry(call.job).or_default().push(call);
         }
         for (job, calls) in by_job {
-            // A copy that was answered otherwise may have started it in its own right.
+            // If another copy has a different outcome, that copy may have started the job.
             let all = calls.iter().all(|c| outcome_of(c) == "not_run");
             if all && started.contains(job.to_string().as_str()) {
                 wrong.push(format!("{job} was `not_run` but had started"));
@@ -290,36 +309,37 @@
         wrong
     }
 
-    /// Slowdown percentiles of the complete jobs that arrived within a part of the run.
+    /// Returns the slowdown percentiles of the complete jobs that arrived from `from` until `to`.
     pub fn slowdown_between(
         &self,
         plan: &LoadPlan,
-        ways: Duration,
+        round_trip: Duration,
         from: Duration,
         to: Duration,
     ) -> Percentiles {
-        let inside = |c: &&Call| {
+        let is_included = |c: &&Call| {
             let at = plan.arrivals[c.index].at;
-            c.first && at >= from && at < to && outcome_of(c) == "complete"
+            c.is_first && at >= from && at < to && outcome_of(c) == "complete"
         };
-        let slow = |c: &Call| {
-            let ideal = plan.arrivals[c.index].longest() + ways;
-            c.took.as_secs_f64() / ideal.as_secs_f64()
+        let slowdown = |c: &Call| {
+            let ideal = plan.arrivals[c.index].longest_task() + round_trip;
+            c.response_time.as_secs_f64() / ideal.as_secs_f64()
         };
-        percentiles(self.calls.iter().filter(inside).map(slow))
+        percentiles(self.calls.iter().filter(is_included).map(slowdown))
     }
 
-    /// Service time of complete jobs that ended within a part of the run, a second of it: how many
-    /// slots did work that counted.
+    /// Returns the average number of slots busy with complete jobs: the total task duration of the jobs that
+    /// were completed from `from` until `to`, divided by that time.
     pub fn busy_slots_between(&self, plan: &LoadPlan, from: Duration, to: Duration) -> f64 {
-        let inside =
-            |c: &&Call| c.first && c.ended >= from && c.ended < to && outcome_of(c) == "complete";
+        let is_included = |c: &&Call| {
+            c.is_first && c.ended_at >= from && c.ended_at < to && outcome_of(c) == "complete"
+        };
         let work = |c: &Call| plan.arrivals[c.index].times.iter().sum::<u64>() as f64 / 1000.0;
-        let sum: f64 = self.calls.iter().filter(inside).map(work).sum();
+        let sum: f64 = self.calls.iter().filter(is_included).map(work).sum();
         sum / (to - from).as_secs_f64()
     }
 
-    /// How many first requests that arrived within a part of the run ended in each way.
+    /// Returns the number of jobs by outcome that arrived from `from` until `to`.
     pub fn outcomes_between(
         &self,
         plan: &LoadPlan,
@@ -327,7 +347,7 @@
         to: Duration,
     ) -> BTreeMap<String, usize> {
         let mut outcomes = BTreeMap::new();
-        for call in self.calls.iter().filter(|c| c.first) {
+        for call in self.calls.iter().filter(|c| c.is_first) {
             let at = plan.arrivals[call.index].at;
             if at >= from && at < to {
                 *outcomes.entry(outcome_of(call)).or_default() += 1;
--- a/lib/testutils/src/stub_backend.rs
+++ b/lib/testutils/src/stub_backend.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a backend server. Each task says how long it takes, as `{"ms": N}`; a log of
-//! each start is the witness of what ran.
+//! A stub of a backend server. The body of each task sets how long it takes, as `{"ms": N}`. The stub logs
+//! every start, so that tests can check which tasks ran and how often, and injects [`BackendFaults`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,31 +26,31 @@
 use crate::stub_server;
 use crate::stub_server::StubServer;
 
-/// One start.
+/// The start of a task, as logged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartLine {
-    /// The job.
+    /// The job id.
     pub job: String,
-    /// The task.
+    /// The task number; `u32::MAX` if the request had none.
     pub task: u32,
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// When, in microseconds since the Unix epoch.
+    /// When the task started, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// How many tasks ran here then, this one counted.
+    /// Number of tasks that were running at the time, this one included.
     pub running: u64,
 }
 
-/// What a backend server does wrong.
+/// The faults of a backend server; the default has none.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendFaults {
-    /// Tasks take this many times as long.
+    /// Factor by which tasks take longer.
     pub slow: f64,
-    /// Answers with an error at once.
+    /// Answers with an error immediately.
     pub fail: bool,
-    /// Does not answer at all.
+    /// Never answers.
     pub stall: bool,
-    /// Breaks its answer off in the middle.
+    /// Answers with truncated JSON.
     pub cut: bool,
 }
 
@@ -71,32 +71,32 @@
     ms: f64,
 }
 
-/// A log and the present mood; clones share them.
+/// The log and the current faults of a backend server; clones share them.
 #[derive(Clone, Default)]
 pub struct BackendState {
     log: Arc<Mutex<Vec<StartLine>>>,
-    mood: Arc<Mutex<BackendFaults>>,
+    faults: Arc<Mutex<BackendFaults>>,
     running: Arc<AtomicU64>,
 }
 
 impl BackendState {
-    /// The starts so far.
+    /// Returns the logged starts.
     pub fn log(&self) -> Vec<StartLine> {
         self.log.lock().expect("no panic while held").clone()
     }
 
-    /// Sets the mood.
-    pub fn set_faults(&self, mood: BackendFaults) {
-        *self.mood.lock().expect("no panic while held") = mood;
+    /// Replaces the faults.
+    pub fn set_faults(&self, faults: BackendFaults) {
+        *self.faults.lock().expect("no panic while held") = faults;
     }
 
-    /// Forgets the starts so far.
+    /// Clears the log.
     pub fn clear(&self) {
         self.log.lock().expect("no panic while held").clear();
     }
 }
 
-/// Starts the stand-in on a thread of its own.
+/// Starts the stub on its own thread.
 pub fn start(listen: SocketAddr, state: BackendState) -> StubServer {
     stub_server::run(listen, move |listener| {
         let server = HttpServer::new(move || {
@@ -104,7 +104,7 @@
                 .app_data(web::Data::new(state.clone()))
                 .app_data(web::PayloadConfig::new(8 << 20))
                 .route("/stub/log", web::get().to(get_log))
-                .route("/stub/mood", web::put().to(put_mood))
+                .route("/stub/mood", web::put().to(put_faults))
                 .route("/{service}", web::post().to(task))
         });
         let server = server.workers(1).disable_signals();
@@ -116,29 +116,33 @@
     HttpResponse::Ok().json(state.log())
 }
 
-async fn put_mood(state: web::Data<BackendState>, mood: web::Json<BackendFaults>) -> HttpResponse {
-    state.set_faults(mood.into_inner());
+async fn put_faults(
+    state: web::Data<BackendState>,
+    faults: web::Json<BackendFaults>,
+) -> HttpResponse {
+    state.set_faults(faults.into_inner());
     HttpResponse::Ok().finish()
 }
 
-/// Counts a task as running for as long as it is held.
-struct Running(Arc<AtomicU64>);
+/// Counts a task as running until it is dropped, also when the request is cancelled.
+struct RunningGuard(Arc<AtomicU64>);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
+/// Runs a task: logs its start, waits for its time and answers with its job and task number.
 async fn task(
     state: web::Data<BackendState>,
     service: web::Path<String>,
     request: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let running = state.running.fetch_add(1, Ordering::Relaxed) + 1;
-    let _running = Running(state.running.clone());
+    let _running = RunningGuard(state.running.clone());
     let header = |name: &str| {
         let value = request.headers().get(name);
         value.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned()
@@ -153,17 +157,17 @@
     };
     let answer = json!({"job": line.job, "task": line.task});
     state.log.lock().expect("no panic while held").push(line);
-    let mood = *state.mood.lock().expect("no panic while held");
-    if mood.fail {
+    let faults = *state.faults.lock().expect("no panic while held");
+    if faults.fail {
         return HttpResponse::InternalServerError().body("broken");
     }
-    if mood.stall {
+    if faults.stall {
         std::future::pending::<()>().await;
     }
-    let asked: TaskBody = serde_json::from_slice(&body).unwrap_or_default();
-    let span = Duration::from_secs_f64((asked.ms * mood.slow / 1000.0).max(0.0));
-    stub_server::sleep_until(begun + span).await;
-    if mood.cut {
+    let request_body: TaskBody = serde_json::from_slice(&body).unwrap_or_default();
+    let duration = Duration::from_secs_f64((request_body.ms * faults.slow / 1000.0).max(0.0));
+    stub_server::sleep_until(started_at + duration).await;
+    if faults.cut {
         return HttpResponse::Ok().body("{\"job\":");
     }
     HttpResponse::Ok().json(answer)
--- a/lib/testutils/src/stub_server.rs
+++ b/lib/testutils/src/stub_server.rs
@@ -1,4 +1,5 @@
-//! What the stand-ins share: each runs on a thread of its own and ends when it is dropped.
+//! Runs the HTTP servers of the stubs: each on its own thread until its [`StubServer`] is dropped. Also has
+//! helpers for addresses and precise sleeps.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -10,21 +11,21 @@
 use actix_web::dev::Server;
 use actix_web::dev::ServerHandle;
 
-/// A running stand-in.
+/// A handle to a running stub; stops it when dropped.
 pub struct StubServer {
-    /// Where it listens.
+    /// The address at which the server listens.
     pub address: SocketAddr,
     handle: ServerHandle,
     thread: Option<JoinHandle<()>>,
 }
 
 impl StubServer {
-    /// Its base URL.
+    /// Returns the base URL of the server.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Waits for its end.
+    /// Blocks until the server ends.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -41,11 +42,11 @@
     }
 }
 
-/// Runs an HTTP server on a thread of its own.
+/// Runs the HTTP server that `build` returns on its own thread.
 ///
 /// # Panics
 ///
-/// When the address can't be listened at; stand-ins are for tests.
+/// Panics if it cannot listen at the address.
 pub fn run(
     listen: SocketAddr,
     build: impl FnOnce(TcpListener) -> std::io::Result<Server> + Send + 'static,
@@ -69,20 +70,20 @@
     }
 }
 
-/// A loopback address whose port the system chooses.
+/// Returns a loopback address with port 0, so that the system chooses a port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// How coarse the runtime's timer is.
-const TIMER: Duration = Duration::from_micros(1_500);
+/// How long before its deadline [`sleep_until`] stops relying on the runtime's timer, whose resolution is 1
+/// ms.
+const TIMER_MARGIN: Duration = Duration::from_micros(1_500);
 
-/// Sleeps until a moment, more precisely than the runtime's timer of a millisecond: the rest is
-/// spent yielding.
+/// Sleeps until `due`, more precisely than the runtime's timer allows: yields in a loop shortly before `due`.
 pub async fn sleep_until(due: Instant) {
     let left = due.saturating_duration_since(Instant::now());
-    if left > TIMER {
-        tokio::time::sleep(left - TIMER).await;
+    if left > TIMER_MARGIN {
+        tokio::time::sleep(left - TIMER_MARGIN).await;
     }
     while Instant::now() < due {
         tokio::task::yield_now().await;
--- a/lib/testutils/src/stub_store.rs
+++ b/lib/testutils/src/stub_store.rs
@@ -1,5 +1,6 @@
-//! A stand-in for the platform's store and list of boxes, over Consul's published HTTP API: key
-//! and value with check-and-set and blocking queries, and the health of services.
+//! A stub of the platform's store and of its list of boxes, with Consul's HTTP API: keys and values with
+//! check-and-set and blocking queries, and the health of services. Tests set the leaving boxes and read the
+//! number of calls under `/stub`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,17 +25,17 @@
 use crate::stub_server;
 use crate::stub_server::StubServer;
 
-/// The longest wait of a blocking query.
-const LONGEST: Duration = Duration::from_secs(60);
-/// The largest value.
-const MAX_VALUE: usize = 1024 * 1024;
+/// Upper bound of the wait of a blocking query.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// The maximum size of a value.
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// Calls that were made, a waiting query counted as one.
+/// Number of calls. A blocking query counts as one read.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct StoreCalls {
-    /// Reads, with waiting queries.
+    /// Reads, blocking queries included.
     pub reads: u64,
-    /// Writes.
+    /// Writes and deletions.
     pub writes: u64,
 }
 
@@ -58,7 +59,7 @@
     cas: Option<u64>,
 }
 
-/// Starts the stand-in on a thread of its own.
+/// Starts the stub on its own thread.
 pub fn start(listen: SocketAddr) -> StubServer {
     let state = State {
         store: MemoryStore::default(),
@@ -69,22 +70,23 @@
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(web::Data::new(state.clone()))
-                .app_data(web::PayloadConfig::new(MAX_VALUE))
+                .app_data(web::PayloadConfig::new(MAX_VALUE_BYTES))
                 .route("/v1/kv/{key:.*}", web::get().to(get))
                 .route("/v1/kv/{key:.*}", web::put().to(put))
                 .route("/v1/kv/{key:.*}", web::delete().to(delete))
                 .route("/v1/health/service/{name}", web::get().to(health))
-                .route("/stub/leaving", web::put().to(set_leaving))
-                .route("/stub/calls", web::get().to(calls))
+                .route("/stub/leaving", web::put().to(put_leaving))
+                .route("/stub/calls", web::get().to(get_calls))
         });
         Ok(server.workers(1).disable_signals().listen(listener)?.run())
     })
 }
 
-fn wait_of(query: &Query) -> Duration {
+/// Returns how long a blocking query waits at most: the given number of seconds, or 60 s by default.
+fn requested_wait(query: &Query) -> Duration {
     let text = query.wait.as_deref().unwrap_or("60s");
     let seconds = text.trim_end_matches('s').parse().unwrap_or(60);
-    Duration::from_secs(seconds).min(LONGEST)
+    Duration::from_secs(seconds).min(MAX_WAIT)
 }
 
 async fn get(
@@ -94,7 +96,7 @@
 ) -> HttpResponse {
     state.counters.reads.fetch_add(1, Ordering::Relaxed);
     if let Some(seen) = query.index.filter(|i| *i > 0) {
-        wait_for(&state.store, &key, seen, wait_of(&query)).await;
+        wait_for_change(&state.store, &key, seen, requested_wait(&query)).await;
     }
     let (value, index) = state.store.read(&key);
     match value {
@@ -112,8 +114,8 @@
     response
 }
 
-/// Waits until the key has changed since `seen`.
-async fn wait_for(store: &MemoryStore, key: &str, seen: u64, wait: Duration) {
+/// Waits until the key has a value with an index above `seen`, or until `wait` has passed.
+async fn wait_for_change(store: &MemoryStore, key: &str, seen: u64, wait: Duration) {
     let end = tokio::time::Instant::now() + wait;
     loop {
         let (value, index) = store.read(key);
@@ -146,12 +148,13 @@
     HttpResponse::Ok().body("true")
 }
 
+/// Lists the leaving boxes as nodes in maintenance. A blocking query returns once the list changes.
 async fn health(state: web::Data<State>, query: web::Query<Query>) -> HttpResponse {
     state.counters.reads.fetch_add(1, Ordering::Relaxed);
     let before = state.leaving.lock().expect("no panic while held").clone();
-    let end = tokio::time::Instant::now() + wait_of(&query);
-    let waits = query.index.is_some_and(|i| i > 0);
-    while waits && tokio::time::Instant::now() < end {
+    let end = tokio::time::Instant::now() + requested_wait(&query);
+    let is_blocking = query.index.is_some_and(|i| i > 0);
+    while is_blocking && tokio::time::Instant::now() < end {
         if *state.leaving.lock().expect("no panic while held") != before {
             break;
         }
@@ -170,12 +173,12 @@
     with_index(HttpResponse::Ok(), 1).json(list)
 }
 
-async fn set_leaving(state: web::Data<State>, names: web::Json<Vec<String>>) -> HttpResponse {
+async fn put_leaving(state: web::Data<State>, names: web::Json<Vec<String>>) -> HttpResponse {
     *state.leaving.lock().expect("no panic while held") = names.into_inner();
     HttpResponse::Ok().finish()
 }
 
-async fn calls(state: web::Data<State>) -> HttpResponse {
+async fn get_calls(state: web::Data<State>) -> HttpResponse {
     HttpResponse::Ok().json(StoreCalls {
         reads: state.counters.reads.load(Ordering::Relaxed),
         writes: state.counters.writes.load(Ordering::Relaxed),
--- a/lib/testutils/src/workload.rs
+++ b/lib/testutils/src/workload.rs
@@ -1,5 +1,5 @@
-//! Workloads: arrivals, job sizes and service times drawn from a seed, and what an ideal system
-//! would make of them.
+//! Random workloads. Samples arrival times, job sizes and task durations from a seed, so that the same plan
+//! gives the same jobs, and computes the response times of an ideal queue for comparison.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,29 +10,30 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-/// What a workload is drawn from.
+/// The parameters of a workload.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkloadPlan {
-    /// The seed.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Mean arrivals of tasks, a second.
+    /// Mean number of tasks that arrive per second.
     pub rate: f64,
-    /// How long jobs arrive.
+    /// How long jobs arrive, in seconds.
     pub seconds: f64,
-    /// The mean number of tasks of a job.
+    /// Mean number of tasks of a job, before the limit `most` applies.
     pub tasks: f64,
-    /// The most tasks of a job.
+    /// Maximum number of tasks of a job.
     pub most: usize,
     /// The deadline of each job, in milliseconds.
     pub deadline_ms: u64,
-    /// The share of jobs that are sent again to another entry while they run.
+    /// The fraction of jobs that are sent twice at the same time, to different entries.
     pub again: f64,
-    /// Services, drawn evenly.
+    /// The services of the jobs, with equal probability.
     pub services: Vec<String>,
 }
 
 impl WorkloadPlan {
-    /// The brief's mix at a rate of tasks a second.
+    /// Returns the standard workload with a mean of `rate` tasks per second: jobs of about three tasks, 2 %
+    /// of them sent twice.
     pub fn standard(seed: u64, rate: f64, seconds: f64) -> WorkloadPlan {
         WorkloadPlan {
             seed,
@@ -47,28 +48,30 @@
     }
 }
 
-/// One job to come.
+/// A job to be sent.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, from the start.
+    /// The arrival time, from the start of the run.
     pub at: Duration,
-    /// The time of each task, in milliseconds.
+    /// The duration of each task, in milliseconds.
     pub times: Vec<u64>,
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Whether it is sent twice.
+    /// Whether the job is sent twice at the same time, to different entries.
     pub resubmit: bool,
 }
 
 impl Arrival {
-    /// The time of its longest task: what it takes on an idle system, without the ways.
-    pub fn longest(&self) -> Duration {
+    /// Returns the duration of the longest task, which is the response time on an idle system without network
+    /// delays.
+    pub fn longest_task(&self) -> Duration {
         Duration::from_millis(self.times.iter().copied().max().unwrap_or(0))
     }
 }
 
-/// A task's time by the brief: most from 50 ms to a second, a few of several seconds.
-fn task_ms(rng: &mut ChaCha8Rng) -> u64 {
+/// Samples the duration of a task: log-uniform from 50 ms to 1 s, and for 3 % of tasks uniform from 1 s to 5
+/// s.
+fn sample_task_ms(rng: &mut ChaCha8Rng) -> u64 {
     if rng.random_bool(0.03) {
         return rng.random_range(1_000..5_000);
     }
@@ -76,15 +79,16 @@
     log.exp() as u64
 }
 
-/// The mean time of a task of the brief's mix, in seconds, from a large sample.
+/// Returns the mean duration of a task of the standard workload, in seconds, estimated from a large sample.
 pub fn mean_task_seconds() -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let count = 200_000;
-    let sum: u64 = (0..count).map(|_| task_ms(&mut rng)).sum();
+    let sum: u64 = (0..count).map(|_| sample_task_ms(&mut rng)).sum();
     sum as f64 / count as f64 / 1000.0
 }
 
-/// Draws the jobs of a plan, in order of arrival.
+/// Samples the jobs of a plan, in order of arrival. Arrivals are a Poisson process; the number of tasks is
+/// geometric, up to the limit.
 pub fn sample_arrivals(plan: &WorkloadPlan) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut at = 0.0;
@@ -102,14 +106,14 @@
         let service = rng.random_range(0..plan.services.len());
         arrivals.push(Arrival {
             at: Duration::from_secs_f64(at),
-            times: (0..count).map(|_| task_ms(&mut rng)).collect(),
+            times: (0..count).map(|_| sample_task_ms(&mut rng)).collect(),
             service: plan.services[service].clone(),
             resubmit: rng.random_bool(plan.again),
         });
     }
 }
 
-/// The response of each job in an ideal single queue over `slots` slots, first come first served.
+/// Returns the response time of each job in a single FIFO queue for `slots` slots, without any delays.
 pub fn ideal_queue(arrivals: &[Arrival], slots: usize) -> Vec<Duration> {
     let mut free: BinaryHeap<Reverse<Duration>> =
         (0..slots).map(|_| Reverse(Duration::ZERO)).collect();
--- a/lib/testutils/src/workload/tests.rs
+++ b/lib/testutils/src/workload/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn test_ideal_queue_waits_only_when_all_slots_are_taken() {
+fn test_ideal_queue_busy_slots() {
     let arrival = |at, times: &[u64]| Arrival {
         at: Duration::from_millis(at),
         times: times.to_vec(),
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn test_workload_is_reproduced_by_its_seed() {
+fn test_sample_arrivals_same_seed() {
     let plan = WorkloadPlan::standard(3, 100.0, 20.0);
     let (one, two) = (sample_arrivals(&plan), sample_arrivals(&plan));
     assert_eq!(one.len(), two.len());
