--- a/cli/tests/runner/test_failures.rs
+++ b/cli/tests/runner/test_failures.rs
@@ -11,10 +11,10 @@
 use stackcourse_testutils::cluster::Cluster;
 use stackcourse_testutils::cluster::ClusterPlan;
 use stackcourse_testutils::cluster::Reply;
-use stackcourse_testutils::cluster::answers_of;
-use stackcourse_testutils::cluster::body_of;
-use stackcourse_testutils::cluster::new_job;
+use stackcourse_testutils::cluster::job_body;
+use stackcourse_testutils::cluster::new_job_id;
 use stackcourse_testutils::cluster::put_job;
+use stackcourse_testutils::cluster::stub_answers;
 use stackcourse_testutils::fault_proxy::Fault;
 
 fn plan() -> ClusterPlan {
@@ -24,8 +24,8 @@
 /// Asserts that an outcome is true: a `complete` job has all answers, a `not_run` job has started no task.
 fn assert_true(cluster: &Cluster, job: JobId, tasks: u32, reply: &Reply) {
     match reply.outcome() {
-        "complete" => assert_eq!(reply.body["answers"], answers_of(job, tasks)),
-        "not_run" => assert!(cluster.starts_of(job).is_empty(), "{job} has started"),
+        "complete" => assert_eq!(reply.body["answers"], stub_answers(job, tasks)),
+        "not_run" => assert!(cluster.started_tasks(job).is_empty(), "{job} has started"),
         "failed" | "unknown" => assert!(reply.body.get("answers").is_none()),
         other => panic!("outcome {other}: {reply:?}"),
     }
@@ -61,7 +61,7 @@
         }
         actix_rt::time::sleep(Duration::from_millis(200)).await;
     }
-    let starts = cluster.starts_of(job);
+    let starts = cluster.started_tasks(job);
     let wasted = cluster.metric("stackcourse_wasted_total").await;
     panic!(
         "{job} has no outcome after 30 s; starts {starts:?}, wasted {wasted:?}, last reply {last:?}"
@@ -75,8 +75,8 @@
     let mut cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
     let other = (owner + 1) % 3;
-    let body = body_of(&[100, 900, 1_500, 300, 1_200, 700], 20_000);
-    let jobs: Vec<JobId> = (0..6).map(|_| new_job()).collect();
+    let body = job_body(&[100, 900, 1_500, 300, 1_200, 700], 20_000);
+    let jobs: Vec<JobId> = (0..6).map(|_| new_job_id()).collect();
     let calls = send_all(cluster.entries[other].http, &jobs, &body);
     actix_rt::time::sleep(Duration::from_millis(500)).await;
     cluster.kill_entry(owner);
@@ -97,8 +97,8 @@
 async fn test_failures_owner_killed_resubmission() {
     let mut cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
-    let body = body_of(&[400, 800, 200], 20_000);
-    let job = new_job();
+    let body = job_body(&[400, 800, 200], 20_000);
+    let job = new_job_id();
     let http = cluster.entries[owner].http;
     let call = actix_rt::spawn({
         let body = body.clone();
@@ -109,7 +109,7 @@
     assert_eq!(call.await.expect("no panic"), None);
     let reply = resubmit(&cluster, job, &body).await;
     assert_eq!(reply.outcome(), "complete", "{reply:?}");
-    assert_eq!(cluster.starts_of(job), [0, 1, 2]);
+    assert_eq!(cluster.started_tasks(job), [0, 1, 2]);
 }
 
 /// Guards against double starts by an owner that was paused while another entry took its shards over.
@@ -118,8 +118,8 @@
     let cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
     let other = (owner + 1) % 3;
-    let body = body_of(&[300; 24], 20_000);
-    let job = new_job();
+    let body = job_body(&[300; 24], 20_000);
+    let job = new_job_id();
     let at_owner = cluster.put(owner, "quote", job, &body);
     let at_other = async {
         actix_rt::time::sleep(Duration::from_millis(200)).await;
@@ -137,7 +137,7 @@
         assert_true(&cluster, job, 24, &late);
     }
     cluster.assert_no_double_start();
-    assert_eq!(cluster.starts_of(job).len(), 24);
+    assert_eq!(cluster.started_tasks(job).len(), 24);
 }
 
 /// The loss of an agent must end the jobs with tasks there, with an outcome that stays the same, and no
@@ -145,8 +145,8 @@
 #[actix_rt::test]
 async fn test_failures_agent_killed() {
     let mut cluster = Cluster::start(plan()).await;
-    let body = body_of(&[1_500; 4], 20_000);
-    let jobs: Vec<JobId> = (0..4).map(|_| new_job()).collect();
+    let body = job_body(&[1_500; 4], 20_000);
+    let jobs: Vec<JobId> = (0..4).map(|_| new_job_id()).collect();
     let calls = send_all(cluster.entries[0].http, &jobs, &body);
     actix_rt::time::sleep(Duration::from_millis(500)).await;
     cluster.kill_agent(0);
@@ -162,7 +162,7 @@
     assert!(ends.iter().any(|e| e != "complete"), "{ends:?}");
     cluster.assert_no_double_start();
     let fresh = cluster
-        .put(2, "quote", new_job(), &body_of(&[1; 8], 5_000))
+        .put(2, "quote", new_job_id(), &job_body(&[1; 8], 5_000))
         .await;
     assert_eq!(fresh.expect("an answer").outcome(), "complete");
 }
@@ -174,8 +174,8 @@
     let mut cluster = Cluster::start(plan()).await;
     let owner = cluster.owner().await;
     let other = (owner + 1) % 3;
-    let body = body_of(&[1_000; 6], 20_000);
-    let jobs: Vec<JobId> = (0..4).map(|_| new_job()).collect();
+    let body = job_body(&[1_000; 6], 20_000);
+    let jobs: Vec<JobId> = (0..4).map(|_| new_job_id()).collect();
     let calls = send_all(cluster.entries[other].http, &jobs, &body);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     cluster.kill_entry(owner);
@@ -190,7 +190,7 @@
     // Jobs with ids created well after the takeover don't depend on the lost agent.
     actix_rt::time::sleep(Duration::from_secs(7)).await;
     let fresh = cluster
-        .put(other, "quote", new_job(), &body_of(&[1; 8], 5_000))
+        .put(other, "quote", new_job_id(), &job_body(&[1; 8], 5_000))
         .await;
     assert_eq!(fresh.expect("an answer").outcome(), "complete");
 }
@@ -207,9 +207,9 @@
     let begun = Instant::now();
     let mut count = 0;
     while begun.elapsed() < Duration::from_secs(60) {
-        let job = new_job();
+        let job = new_job_id();
         let reply = cluster
-            .put(count % 3, "quote", job, &body_of(&[5, 10], 5_000))
+            .put(count % 3, "quote", job, &job_body(&[5, 10], 5_000))
             .await;
         let reply = reply.expect("an answer");
         assert_eq!(
@@ -222,7 +222,7 @@
         actix_rt::time::sleep(Duration::from_millis(200)).await;
     }
     let once = cluster
-        .put(0, "switch", new_job(), &body_of(&[1], 5_000))
+        .put(0, "switch", new_job_id(), &job_body(&[1], 5_000))
         .await;
     let once = once.expect("an answer");
     assert_ne!(
@@ -230,10 +230,10 @@
         "complete",
         "a once-only job needs its claim"
     );
-    cluster.store_proxy.pass(Duration::ZERO);
+    cluster.store_proxy.set_delay(Duration::ZERO);
     cluster.wait_ready().await;
     let once = cluster
-        .put(0, "switch", new_job(), &body_of(&[1], 5_000))
+        .put(0, "switch", new_job_id(), &job_body(&[1], 5_000))
         .await;
     assert_eq!(once.expect("an answer").outcome(), "complete");
     cluster.assert_no_double_start();
@@ -251,14 +251,14 @@
     });
     actix_rt::time::sleep(Duration::from_secs(2)).await;
     cluster.kill_entry(owner);
-    let job = new_job();
-    let body = body_of(&[1, 2], 5_000);
+    let job = new_job_id();
+    let body = job_body(&[1, 2], 5_000);
     let reply = cluster
         .put(other, "quote", job, &body)
         .await
         .expect("an answer");
     assert_true(&cluster, job, 2, &reply);
-    cluster.store_proxy.pass(Duration::ZERO);
+    cluster.store_proxy.set_delay(Duration::ZERO);
     let reply = resubmit(&cluster, job, &body).await;
     assert_eq!(reply.outcome(), "complete", "{reply:?}");
     cluster.assert_no_double_start();
@@ -280,9 +280,9 @@
         cluster.store_proxy.swallowed() > 0,
         "no compare-and-swap was sent"
     );
-    cluster.store_proxy.pass(Duration::ZERO);
-    let job = new_job();
-    let body = body_of(&[1, 2, 3], 10_000);
+    cluster.store_proxy.set_delay(Duration::ZERO);
+    let job = new_job_id();
+    let body = job_body(&[1, 2, 3], 10_000);
     let reply = cluster
         .put(other, "quote", job, &body)
         .await
@@ -297,16 +297,16 @@
 async fn test_failures_concurrent_resubmission() {
     let cluster = Cluster::start(plan()).await;
     for _ in 0..5 {
-        let job = new_job();
-        let body = body_of(&[50, 100, 20], 10_000);
+        let job = new_job_id();
+        let body = job_body(&[50, 100, 20], 10_000);
         let calls = (0..9).map(|i| cluster.put(i % 3, "quote", job, &body));
         let replies = futures::future::join_all(calls).await;
         for reply in replies {
             let reply = reply.expect("an answer");
             assert_eq!(reply.outcome(), "complete", "{reply:?}");
-            assert_eq!(reply.body["answers"], answers_of(job, 3));
+            assert_eq!(reply.body["answers"], stub_answers(job, 3));
         }
-        assert_eq!(cluster.starts_of(job), [0, 1, 2]);
+        assert_eq!(cluster.started_tasks(job), [0, 1, 2]);
     }
 }
 
@@ -321,14 +321,14 @@
         ..Fault::default()
     };
     cluster.entries[owner].proxy.set(stall);
-    let job = new_job();
-    let body = body_of(&[10, 20], 15_000);
+    let job = new_job_id();
+    let body = job_body(&[10, 20], 15_000);
     let reply = cluster
         .put(other, "quote", job, &body)
         .await
         .expect("an answer");
     assert_true(&cluster, job, 2, &reply);
-    cluster.entries[owner].proxy.pass(Duration::ZERO);
+    cluster.entries[owner].proxy.set_delay(Duration::ZERO);
     // With all links restored the outcome of the job's tasks can be determined again.
     let reply = resubmit(&cluster, job, &body).await;
     assert_eq!(reply.outcome(), "complete", "{reply:?}");
@@ -340,8 +340,8 @@
 #[actix_rt::test]
 async fn test_failures_all_entries_restarted() {
     let mut cluster = Cluster::start(plan()).await;
-    let job = new_job();
-    let body = body_of(&[5, 5], 10_000);
+    let job = new_job_id();
+    let body = job_body(&[5, 5], 10_000);
     let first = cluster
         .put(0, "quote", job, &body)
         .await
@@ -356,7 +356,7 @@
     cluster.wait_ready().await;
     let again = resubmit(&cluster, job, &body).await;
     assert_eq!(again.body, first.body, "the agents remember the answers");
-    assert_eq!(cluster.starts_of(job), [0, 1]);
+    assert_eq!(cluster.started_tasks(job), [0, 1]);
 }
 
 /// Guards against lost updates: of concurrent applies on the same base version one must succeed.
--- a/lib/testutils/src/bin/bench.rs
+++ b/lib/testutils/src/bin/bench.rs
@@ -17,7 +17,7 @@
 use stackcourse_testutils::load::LoadLog;
 use stackcourse_testutils::load::LoadPlan;
 use stackcourse_testutils::load::LoadReport;
-use stackcourse_testutils::stub_backend::Mood;
+use stackcourse_testutils::stub_backend::BackendFaults;
 use stackcourse_testutils::workload;
 use stackcourse_testutils::workload::WorkloadPlan;
 
@@ -88,15 +88,15 @@
 
 /// Returns the capacity of all workers, in tasks per second.
 fn capacity() -> f64 {
-    f64::from(SLOTS) * WORKERS as f64 / workload::mean_task()
+    f64::from(SLOTS) * WORKERS as f64 / workload::mean_task_seconds()
 }
 
 /// Returns a load of a share of the capacity, over all entries.
 fn load_at(cluster: &Cluster, seed: u64, share: f64, seconds: f64) -> LoadPlan {
-    let plan = WorkloadPlan::brief(seed, capacity() * share, seconds);
+    let plan = WorkloadPlan::standard(seed, capacity() * share, seconds);
     LoadPlan {
         entries: cluster.entries.iter().map(|e| e.http).collect(),
-        arrivals: workload::draw(&plan),
+        arrivals: workload::sample_arrivals(&plan),
         deadline_ms: plan.deadline_ms,
         client_delay: CLIENT_DELAY,
         retry: false,
@@ -118,7 +118,7 @@
     let (mut report, log) = load::run(&plan, slots, JOB_DELAY).await;
     let after = cluster.metric("stackcourse_wasted_total").await;
     let starts = cluster.starts();
-    report.violations.extend(log.check(&starts));
+    report.violations.extend(log.find_violations(&starts));
     let mut wasted = 0.0;
     let mut kinds = Vec::new();
     for (kind, count) in &after {
@@ -219,7 +219,7 @@
         plan.deadline_ms = 10_000;
         let m = measure(&cluster, plan).await;
         let warm_up = Duration::from_secs(3);
-        let during = m.log.work_between(&m.plan, warm_up, end);
+        let during = m.log.busy_slots_between(&m.plan, warm_up, end);
         let slots = f64::from(SLOTS) * WORKERS as f64;
         println!("3x load for {seconds} s, then half load for 15 s");
         println!(
@@ -288,27 +288,27 @@
 /// Measures the effect of one worker that is five times slower, stalled, or failing, and the time until it
 /// gets its tasks back after that ends.
 fn slow(seed: u64, seconds: f64) {
-    let cases: [(&str, Option<Mood>); 4] = [
+    let cases: [(&str, Option<BackendFaults>); 4] = [
         ("none", None),
         (
             "5x slower",
-            Some(Mood {
+            Some(BackendFaults {
                 slow: 5.0,
-                ..Mood::default()
+                ..BackendFaults::default()
             }),
         ),
         (
             "stalled",
-            Some(Mood {
+            Some(BackendFaults {
                 stall: true,
-                ..Mood::default()
+                ..BackendFaults::default()
             }),
         ),
         (
             "failing",
-            Some(Mood {
+            Some(BackendFaults {
                 fail: true,
-                ..Mood::default()
+                ..BackendFaults::default()
             }),
         ),
     ];
@@ -329,14 +329,14 @@
                         actix_rt::time::sleep(Duration::from_secs_f64(fault_at)).await;
                         let before = backend.log().len() as f64 / fault_at;
                         if let Some(mood) = mood {
-                            backend.set_mood(mood);
+                            backend.set_faults(mood);
                         }
                         actix_rt::time::sleep(Duration::from_secs(3)).await;
                         let count_at_3s = backend.log().len();
                         actix_rt::time::sleep(Duration::from_secs_f64(end - fault_at - 3.0)).await;
                         let after =
                             (backend.log().len() - count_at_3s) as f64 / (end - fault_at - 3.0);
-                        backend.set_mood(Mood::default());
+                        backend.set_faults(BackendFaults::default());
                         let repaired = std::time::Instant::now();
                         let mut last_count = backend.log().len();
                         let mut recovery = None;
@@ -457,7 +457,7 @@
     let mut plan = load_at(&cluster, seed, 0.4, 12.0);
     for arrival in &mut plan.arrivals {
         arrival.times = vec![100, 200];
-        arrival.again = false;
+        arrival.resubmit = false;
     }
     plan.entries = (0..3)
         .filter(|i| *i != owner)
@@ -494,7 +494,7 @@
                     at: Duration::from_millis(i * 25),
                     times: vec![10],
                     service: "quote".into(),
-                    again: false,
+                    resubmit: false,
                 })
                 .collect();
             let load = LoadPlan {
--- a/lib/testutils/src/bin/capacity.rs
+++ b/lib/testutils/src/bin/capacity.rs
@@ -252,7 +252,7 @@
                     at: Duration::from_secs_f64(i as f64 * tasks as f64 / rate as f64),
                     times: vec![0; tasks],
                     service: "quote".into(),
-                    again: false,
+                    resubmit: false,
                 })
                 .collect();
             let load = LoadPlan {
@@ -304,7 +304,7 @@
                     at: Duration::from_secs_f64(i as f64 * tasks as f64 / rate as f64),
                     times: vec![0; tasks],
                     service: "quote".into(),
-                    again: false,
+                    resubmit: false,
                 })
                 .collect();
             let load = LoadPlan {
--- a/lib/testutils/src/platform/fleet.rs
+++ b/lib/testutils/src/platform/fleet.rs
@@ -34,7 +34,7 @@
 use crate::platform::workers;
 use crate::platform::workers::SharedWorkers;
 use crate::platform::workers::Workers;
-use crate::standin::StandIn;
+use crate::stub_server::StubServer;
 
 const PEER_PORT: u16 = 7720;
 const PROXY_PORT: u16 = 7730;
@@ -171,7 +171,7 @@
     /// The assignment of entries, agents and jobs to partitions.
     pub partitions: Partitions,
     dir: PathBuf,
-    _stand_ins: Vec<StandIn>,
+    _stand_ins: Vec<StubServer>,
 }
 
 /// Returns a configuration with one queue for each of the services.
--- a/lib/testutils/src/platform/soak.rs
+++ b/lib/testutils/src/platform/soak.rs
@@ -451,7 +451,7 @@
             }
             6 => {
                 let delay = Duration::from_millis(self.rng.random_range(1..60));
-                fleet.proxies[entry].pass(delay);
+                fleet.proxies[entry].set_delay(delay);
                 (
                     format!("links of entry {entry} delayed by {delay:?}"),
                     Repair::ClearProxyFault(entry),
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -26,8 +26,8 @@
 
 use crate::dispatch::witness::InvariantChecker;
 use crate::dispatch::worker::WorkerModel;
-use crate::standin;
-use crate::standin::StandIn;
+use crate::stub_server;
+use crate::stub_server::StubServer;
 
 /// The CPU capacity of each worker, in thousandths of a core.
 pub const CAPACITY: u32 = 8_000;
@@ -222,9 +222,9 @@
     heartbeat_address: SocketAddr,
     workers: SharedWorkers,
     number: usize,
-) -> StandIn {
+) -> StubServer {
     let handle = WorkerHandle { workers, number };
-    standin::run(listen, move |listener| {
+    stub_server::run(listen, move |listener| {
         let sender = handle.clone();
         actix_rt::spawn(send_heartbeats(sender, heartbeat_address, listen));
         let server = HttpServer::new(move || {
