--- a/cli/src/commands/platform.rs
+++ b/cli/src/commands/platform.rs
@@ -21,7 +21,7 @@
     let entry = Command::new("entry").about("Accepts jobs from callers and schedules their tasks");
     let agent = Command::new("agent").about("Sends orders to the worker beside it");
     Command::new("platform")
-        .about("Runs a role on the users' platform; STACKCOURSE_NODE_FILE names the settings file")
+        .about("Runs a role on the users' platform; the environment names the settings file")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(entry)
