--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -157,8 +157,8 @@
             a.zone,
             a.used,
             a.slots,
-            if a.usable { "" } else { " not usable" },
-            if a.sick { " on trial" } else { "" }
+            if a.available { "" } else { " not usable" },
+            if a.unhealthy { " on trial" } else { "" }
         );
     }
 }
--- a/lib/daemon/src/agent_actor.rs
+++ b/lib/daemon/src/agent_actor.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// Asks for the addresses of all known entries and the link_names of the linked ones.
+/// Asks for the addresses of all known entries and the names of the linked ones.
 #[derive(Message)]
 #[rtype(result = "KnownEntries")]
 pub struct GetEntries;
@@ -156,7 +156,7 @@
 pub struct KnownEntries {
     /// The addresses of the known entries.
     pub addresses: Vec<SocketAddr>,
-    /// The link_names of the linked entries.
+    /// The names of the linked entries.
     pub linked: HashSet<String>,
 }
 
--- a/lib/daemon/src/api.rs
+++ b/lib/daemon/src/api.rs
@@ -112,12 +112,12 @@
     let job = submission.job;
     let (answer, receiver) = oneshot::channel();
     let sent = state.entry.send(Submit { submission, answer }).await;
-    let verdict = match sent {
+    let reply = match sent {
         Ok(()) => receiver.await.ok(),
         Err(_) => None,
     };
-    match verdict {
-        Some(verdict) => problem::job_response(job, verdict),
+    match reply {
+        Some(reply) => problem::job_response(job, reply),
         None => {
             let detail = "the entry stopped before the job ended";
             let refusal = Refusal::new(Outcome::Unknown, Cause::NoOwner, detail);
--- a/lib/daemon/src/dev.rs
+++ b/lib/daemon/src/dev.rs
@@ -61,7 +61,7 @@
 impl DevHandle {
     /// Waits until the entry serves shards and has a usable agent, or until the entry stops.
     pub async fn wait_until_ready(&self) {
-        let is_serving = |s: &EntryStatus| s.served > 0 && s.agents.iter().any(|a| a.usable);
+        let is_serving = |s: &EntryStatus| s.served > 0 && s.agents.iter().any(|a| a.available);
         while let Ok(status) = self.entry.entry.send(GetStatus).await {
             if is_serving(&status) {
                 return;
--- a/lib/daemon/src/entry_actor.rs
+++ b/lib/daemon/src/entry_actor.rs
@@ -64,9 +64,9 @@
                         sender.send(body);
                     }
                 }
-                Action::Respond(id, verdict) => {
+                Action::Respond(id, reply) => {
                     if let Some(caller) = self.callers.remove(&id) {
-                        let _ = caller.send(verdict);
+                        let _ = caller.send(reply);
                     }
                 }
                 Action::Store(tag, op) => {
--- a/lib/daemon/src/metrics.rs
+++ b/lib/daemon/src/metrics.rs
@@ -119,7 +119,7 @@
         ("leaving", i64::from(entry.is_leaving())),
     ];
     metrics.add_gauges("state", "What the entry holds now.", "of", &gauges);
-    let shares = entry.held_shares();
+    let shares = entry.used_shares();
     let held: Vec<(&str, i64)> = shares.iter().map(|(n, s)| (&**n, i64::from(*s))).collect();
     metrics.add_gauges("share", "Shares of quotas held now.", "name", &held);
     metrics.add_clocks(entry.clock_offsets_ms());
--- a/lib/daemon/src/problem.rs
+++ b/lib/daemon/src/problem.rs
@@ -15,8 +15,8 @@
 const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
 
 /// Returns the response for the reply to a job: the answers, "still running", or a problem document.
-pub fn job_response(job: JobId, verdict: JobReply) -> HttpResponse {
-    match verdict {
+pub fn job_response(job: JobId, reply: JobReply) -> HttpResponse {
+    match reply {
         JobReply::Complete(answers) => complete_response(job, &answers),
         JobReply::Other(refusal) if refusal.cause == Cause::Running => running_response(job),
         JobReply::Other(refusal) => problem_response(Some(job), &refusal),
--- a/lib/daemon/src/status.rs
+++ b/lib/daemon/src/status.rs
@@ -48,9 +48,11 @@
     /// The configuration version in force at the agent.
     pub config: u64,
     /// Whether it is linked and enrolled, and not leaving.
-    pub usable: bool,
+    #[serde(rename = "usable")]
+    pub available: bool,
     /// Whether it is unhealthy and gets trial tasks only.
-    pub sick: bool,
+    #[serde(rename = "sick")]
+    pub unhealthy: bool,
     /// The number of slots in use.
     pub used: u32,
     /// The number of slots in total.
@@ -60,7 +62,7 @@
 impl EntryStatus {
     /// Returns the current status of an entry.
     pub fn from_entry(entry: &Entry, now: Now) -> EntryStatus {
-        let right = match entry.standing(now) {
+        let right = match entry.right_state(now) {
             RightState::Confirmed => "confirmed",
             RightState::Promised => "promised",
             RightState::Expired => "lapsed",
@@ -75,8 +77,8 @@
                 zone: w.zone.clone(),
                 hall: w.hall.clone(),
                 config: w.config,
-                usable: w.is_available(),
-                sick: w.health.is_unhealthy(),
+                available: w.is_available(),
+                unhealthy: w.health.is_unhealthy(),
                 used: w.used().slots,
                 slots: w.room.slots,
             })
--- a/lib/examples/load_estimate.rs
+++ b/lib/examples/load_estimate.rs
@@ -13,7 +13,7 @@
 fn main() {
     let mut admission = Admission::default();
     for _ in 0..500 {
-        admission.ended(Duration::from_millis(400));
+        admission.record_duration(Duration::from_millis(400));
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for waiting in [0, 100, 200, 400] {
--- a/lib/examples/ownership_record.rs
+++ b/lib/examples/ownership_record.rs
@@ -22,7 +22,7 @@
     }
     // Entry 1 dies: its shards get new owners and higher epochs, and remember whom they were cut
     // from, because the new owners have to wait out its right.
-    record.cut(1, 1_800_000_000_000);
+    record.remove_member(1, 1_800_000_000_000);
     record.assign_unowned(&[2, 3], 0);
     for incarnation in 2..=3 {
         println!(
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -57,7 +57,7 @@
 
 impl Admission {
     /// Records the duration of a task that has ended.
-    pub fn ended(&mut self, took: Duration) {
+    pub fn record_duration(&mut self, took: Duration) {
         self.mean += (took.as_secs_f64() - self.mean) * MEAN_WEIGHT;
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// Returns the estimated wait of a task that arrives now.
-    pub fn wait(&self, crowd: &QueueLoad) -> Duration {
+    pub fn expected_wait(&self, load: &QueueLoad) -> Duration {
         let estimate = |tasks: usize, slots: usize| self.mean * tasks as f64 / slots.max(1) as f64;
-        let all = estimate(crowd.waiting, crowd.slots);
-        let team = crowd
+        let all = estimate(load.waiting, load.slots);
+        let team = load
             .team_quota
-            .map_or(0.0, |quota| estimate(crowd.team_waiting, quota));
+            .map_or(0.0, |quota| estimate(load.team_waiting, quota));
         Duration::from_secs_f64(all.max(team))
     }
 
@@ -83,12 +83,12 @@
     /// Returns the cause of the refusal and the estimated wait.
     pub fn admit(
         &self,
-        crowd: &QueueLoad,
+        load: &QueueLoad,
         tasks: usize,
         left: Duration,
     ) -> Result<(), (Cause, Duration)> {
-        let wait = self.wait(crowd);
-        if crowd.waiting + tasks > crowd.queue.max(tasks) || wait > crowd.longest {
+        let wait = self.expected_wait(load);
+        if load.waiting + tasks > load.queue.max(tasks) || wait > load.longest {
             return Err((Cause::QueueFull, wait));
         }
         if wait + self.mean() > left {
@@ -135,7 +135,7 @@
 
 impl RetryBudget {
     /// Adds the tokens for a task that was started.
-    pub fn started(&mut self) {
+    pub fn record_start(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_START).min(MAX_TOKENS);
     }
 
--- a/lib/src/admission/tests.rs
+++ b/lib/src/admission/tests.rs
@@ -30,7 +30,7 @@
     let mut tight = crowd(0);
     tight.team_waiting = 10;
     tight.team_quota = Some(2);
-    let wait = Admission::default().wait(&tight);
+    let wait = Admission::default().expected_wait(&tight);
     assert_eq!(wait, Duration::from_millis(1_500));
 }
 
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -5,28 +5,28 @@
 //!
 //! - `requests`: routes callers' requests to the owner of their job,
 //! - `submit`: decides on a job at its owner; `claims`: writes the claim of a once-only job,
-//! - `placing`: sends tasks to workers and handles their answers; `account`: tracks which task is
-//!   where; `ending`: ends jobs; `watching`: watches the workers' health,
-//! - `record`: reads the ownership record; `changing`: changes it; `sealing`: takes shards over,
-//! - `handing`: hands shards over to another entry,
+//! - `placement`: sends tasks to workers and handles their answers; `account`: tracks which task is
+//!   where; `ends`: ends jobs; `worker_health`: marks workers as unhealthy or recovered,
+//! - `record`: reads the ownership record; `record_changes`: changes it,
+//! - `takeover`: takes shards over; `handover`: hands shards over to another entry,
 //! - `links`: exchanges heartbeats, grants and promises with agents and peers; `clocks`: compares
 //!   the time of day,
 //! - `shares`: holds and gives out shares of quotas.
 
 mod account;
-mod changing;
 mod claims;
 mod clocks;
-mod ending;
-mod handing;
+mod ends;
+mod handover;
 mod links;
-mod placing;
+mod placement;
 mod record;
+mod record_changes;
 mod requests;
-mod sealing;
 mod shares;
 mod submit;
-mod watching;
+mod takeover;
+mod worker_health;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -202,7 +202,7 @@
     config: u64,
     /// Since when its configuration has been older than this entry's.
     behind_since: Option<Mono>,
-    /// Since when it has known an ownership record at least as new as this entry's.
+    /// Since when its heartbeats have named an ownership record at least as new as this entry's.
     current_since: Option<Mono>,
     /// When it began to ask for promises without a break, and when it last asked.
     ask_span: Option<(Mono, Mono)>,
@@ -327,9 +327,9 @@
     leads: Leads,
     clocks: ClockCheck,
     steps: StepWatch,
-    holdings: OwnedShards,
-    incoming: BTreeMap<ShardId, handing::Incoming>,
-    outgoing: BTreeMap<ShardId, handing::Outgoing>,
+    owned_shards: OwnedShards,
+    incoming: BTreeMap<ShardId, handover::Incoming>,
+    outgoing: BTreeMap<ShardId, handover::Outgoing>,
     table: JobTable,
     recent_refusals: HashMap<JobId, submit::RecentRefusal>,
     placed: BTreeMap<TaskKey, Placed>,
@@ -411,7 +411,7 @@
             leads: Leads::new(setup.horizon),
             clocks: ClockCheck::new(setup.skew),
             steps: StepWatch::default(),
-            holdings: OwnedShards::default(),
+            owned_shards: OwnedShards::default(),
             incoming: BTreeMap::new(),
             outgoing: BTreeMap::new(),
             table: JobTable::default(),
@@ -450,7 +450,7 @@
         }
     }
 
-    /// Disables one check, for randomised test runs.
+    /// Disables one check, so that randomised runs can prove that they detect its absence.
     pub fn break_for_test(&mut self, broken: DisabledCheck) {
         self.skip_horizon = broken == DisabledCheck::Horizon;
     }
@@ -482,7 +482,7 @@
 
     /// Returns the number of shards owned, and of those served.
     pub fn shard_counts(&self) -> (usize, usize) {
-        self.holdings.counts()
+        self.owned_shards.counts()
     }
 
     /// Returns the number of jobs held, their bytes, and the number of tasks waiting.
@@ -502,8 +502,8 @@
         self.placed.values().filter(of).count()
     }
 
-    /// Returns what this entry's right to act rests on.
-    pub fn standing(&self, now: Now) -> RightState {
+    /// Returns the state of this entry's right to act.
+    pub fn right_state(&self, now: Now) -> RightState {
         self.tenure.right_state(now.mono)
     }
 
@@ -545,7 +545,7 @@
             .read
             .as_ref()
             .is_some_and(|r| r.record.member(self.incarnation).is_some());
-        let owns = self.holdings.counts().0 > 0;
+        let owns = self.owned_shards.counts().0 > 0;
         self.leaving && self.requests.is_empty() && !member && !owns
     }
 
@@ -663,7 +663,7 @@
             return;
         };
         let kind = match (before, after) {
-            (_, RightState::Expired) => Kind::RightLapsed,
+            (_, RightState::Expired) => Kind::RightExpired,
             (_, RightState::Promised) => Kind::RightExtended,
             (_, RightState::Confirmed) => Kind::RightRestored,
         };
@@ -684,7 +684,7 @@
         self.update_worker_health(now);
         self.remove_lost_agents(now);
         self.expire_jobs(now);
-        self.holdings.forget();
+        self.owned_shards.drop_finished_rounds();
         self.rebalance_shards(now);
         self.recall_overdue(now);
         self.release_orphans(now);
@@ -712,9 +712,9 @@
         self.actions.push(Action::Send(link, body));
     }
 
-    fn store(&mut self, errand: PendingOp, op: StoreOp) {
+    fn store(&mut self, pending: PendingOp, op: StoreOp) {
         self.next_tag += 1;
-        self.pending_ops.insert(self.next_tag, errand);
+        self.pending_ops.insert(self.next_tag, pending);
         self.actions.push(Action::Store(self.next_tag, op));
     }
 
--- a/lib/src/entry/account.rs
+++ b/lib/src/entry/account.rs
@@ -172,7 +172,7 @@
     }
 
     pub(super) fn record_duration(&mut self, service: &Arc<str>, took: Duration) {
-        self.admission.ended(took);
+        self.admission.record_duration(took);
         let before = self.expected_time(service);
         let after = before + (took.as_secs_f64() - before) * EXPECTED_WEIGHT;
         self.expected_times.insert(service.clone(), after);
--- a/lib/src/entry/ending.rs
+++ b/lib/src/entry/ends.rs
@@ -89,7 +89,7 @@
         let any_failed = job.tasks.iter().any(|t| failed(&t.state));
         if all_answered || any_failed {
             let detail = "a task may have run, and its agent can't be reached";
-            let cause = if job.lost() && !self.is_accounted_for(job.shard, job.id) {
+            let cause = if job.has_lost_task() && !self.is_accounted_for(job.shard, job.id) {
                 Cause::Unreadable
             } else {
                 Cause::WorkerLost
@@ -111,39 +111,39 @@
         let Some(job) = self.table.get(key) else {
             return;
         };
-        if job.ended.is_some() || self.holdings.handing(job.shard) {
+        if job.ended.is_some() || self.owned_shards.is_handing_over(job.shard) {
             return;
         }
         let deadline = job.deadline;
-        let mut verdict = job.verdict(cause, detail);
-        if let JobReply::Other(refusal) = &mut verdict {
+        let mut reply = job.reply(cause, detail);
+        if let JobReply::Other(refusal) = &mut reply {
             if refusal.outcome == Some(Outcome::NotRun) {
                 refusal.outcome = Some(self.unstarted_outcome(now));
                 refusal.retry_ms = retry_ms;
             }
             if refusal.outcome == Some(Outcome::NotRun) {
-                assert!(!job.ran() && !job.outstanding() && !job.lost());
+                assert!(!job.has_run() && !job.has_outstanding_task() && !job.has_lost_task());
             }
         }
-        let outcome = match &verdict {
+        let outcome = match &reply {
             JobReply::Complete(_) => Outcome::Complete,
             JobReply::Other(refusal) => refusal.outcome.unwrap_or(Outcome::Unknown),
         };
         self.counts.outcomes[outcome.code() as usize] += 1;
         self.deadlines.remove(&(deadline, key));
-        let kept = verdict.clone();
-        let again = now.mono + Duration::from_millis(retry_ms);
+        let kept = reply.clone();
+        let retry_at = now.mono + Duration::from_millis(retry_ms);
         let waiters = self.table.update(key, |job| {
             // The outcome of an unknown job may still become known, so its answers are kept.
             if outcome != Outcome::Unknown {
                 job.drop_bodies(&kept);
             }
             job.ended = Some(kept);
-            job.again = again;
+            job.retry_at = retry_at;
             std::mem::take(&mut job.waiters)
         });
         for waiter in waiters.unwrap_or_default() {
-            self.answer_waiter(waiter, verdict.clone());
+            self.answer_waiter(waiter, reply.clone());
         }
     }
 
@@ -161,13 +161,13 @@
             if job.ended.is_some() {
                 continue;
             }
-            if self.holdings.handing(job.shard) {
+            if self.owned_shards.is_handing_over(job.shard) {
                 // The next owner decides, or this entry if the handover is aborted.
                 self.deadlines.insert((now.mono + LATE_ANSWER_GRACE, key));
                 continue;
             }
             let last = job.deadline + LATE_ANSWER_GRACE;
-            if job.outstanding() && now.mono < last {
+            if job.has_outstanding_task() && now.mono < last {
                 self.deadlines.insert((last, key));
                 continue;
             }
--- a/lib/src/entry/handing.rs
+++ b/lib/src/entry/handover.rs
@@ -68,7 +68,7 @@
         let owners = self.follower.config().limits.owners as usize;
         let mut moved = 0;
         for (shard, to) in read.record.plan_moves(&live, owners) {
-            if self.holdings.active(shard) && to != self.incarnation {
+            if self.owned_shards.is_active(shard) && to != self.incarnation {
                 self.start_handover(now, shard, to);
                 moved += 1;
             }
@@ -90,24 +90,24 @@
         if open || !self.requests.is_empty() {
             return;
         }
-        let shards: Vec<ShardId> = self.holdings.iter().map(|(s, _)| *s).collect();
+        let shards: Vec<ShardId> = self.owned_shards.iter().map(|(s, _)| *s).collect();
         for shard in shards {
-            if self.holdings.active(shard) {
-                self.holdings.set_phase(shard, Phase::HandedOver(0));
+            if self.owned_shards.is_active(shard) {
+                self.owned_shards.set_phase(shard, Phase::HandedOver(0));
             }
         }
     }
 
     /// Suspends a shard and sends its job records to the next owner.
     fn start_handover(&mut self, now: Now, shard: ShardId, to: u64) {
-        let Some(held) = self.holdings.get(shard).cloned() else {
+        let Some(held) = self.owned_shards.get(shard).cloned() else {
             return;
         };
         let peer = self.peers.iter().find(|(_, p)| p.incarnation == to);
         let Some(link) = peer.map(|(l, _)| *l) else {
             return;
         };
-        self.holdings.set_phase(shard, Phase::HandingOver(to));
+        self.owned_shards.set_phase(shard, Phase::HandingOver(to));
         self.next_tag += 1;
         let round = self.next_tag;
         let since = now.mono;
@@ -234,7 +234,7 @@
     pub(super) fn on_handed(&mut self, _now: Now, _link: LinkId, handed: wire::Handed) {
         let shard = ShardId(handed.shard);
         let expected = self.outgoing.get(&shard).map(|o| o.round);
-        let Some(held) = self.holdings.get(shard) else {
+        let Some(held) = self.owned_shards.get(shard) else {
             return;
         };
         let Phase::HandingOver(to) = held.phase else {
@@ -242,14 +242,14 @@
         };
         if expected == Some(handed.round) {
             self.plan_due = Mono(0);
-            self.holdings.set_phase(shard, Phase::HandedOver(to));
+            self.owned_shards.set_phase(shard, Phase::HandedOver(to));
         }
     }
 
     /// Assigns the shards whose records have been confirmed to their next owners in `next`.
     pub(super) fn apply_handovers(&mut self, next: &mut OwnershipRecord) {
         let handed: Vec<(ShardId, Epoch, u64)> = self
-            .holdings
+            .owned_shards
             .iter()
             .filter_map(|(s, h)| match h.phase {
                 Phase::HandedOver(to) => Some((*s, h.epoch, to)),
@@ -280,7 +280,7 @@
             .collect();
         for shard in late {
             self.outgoing.remove(&shard);
-            self.holdings.set_phase(shard, Phase::Active);
+            self.owned_shards.set_phase(shard, Phase::Active);
             self.resume_shard(now, shard);
         }
     }
@@ -312,7 +312,7 @@
         let Some(incoming) = self.incoming.remove(&shard) else {
             return false;
         };
-        self.holdings
+        self.owned_shards
             .accept_handover(shard, epoch, incoming.clear_ms);
         let count = incoming.records.len();
         for record in incoming.records {
@@ -339,7 +339,7 @@
             team: self.names.get(&record.team),
             service: self.names.get(&record.service),
         };
-        let ended = verdict_from_record(&record);
+        let ended = reply_from_record(&record);
         let tasks: Vec<Task> = record
             .tasks
             .iter()
@@ -357,7 +357,7 @@
             deadline,
             waiters: Vec::new(),
             ended,
-            again: Mono(0),
+            retry_at: Mono(0),
             arrived: now.mono,
             submitted,
             claimed: record.claimed,
@@ -418,7 +418,7 @@
     }
 }
 
-fn verdict_from_record(record: &wire::Record) -> Option<JobReply> {
+fn reply_from_record(record: &wire::Record) -> Option<JobReply> {
     let outcome = Outcome::from_code(record.outcome)?;
     if outcome == Outcome::Complete {
         let body = record.tasks.first().map(|t| t.body.clone());
--- a/lib/src/entry/links.rs
+++ b/lib/src/entry/links.rs
@@ -101,7 +101,7 @@
         let Some(link) = self.fleet.get(agent).and_then(|w| w.link) else {
             return;
         };
-        let Some(epoch) = self.holdings.get(shard).map(|h| h.epoch) else {
+        let Some(epoch) = self.owned_shards.get(shard).map(|h| h.epoch) else {
             return;
         };
         self.count_wasted("recall");
@@ -161,7 +161,7 @@
             proven: self.clocks.is_proven(),
         };
         self.send(link, Body::Grant(grant));
-        self.resend_lagging_part(key);
+        self.resend_outdated_part(key);
     }
 
     /// Returns the addresses of all members, or nothing if those of this record were already sent on
@@ -224,7 +224,7 @@
 
     /// Sends the part to an agent whose configuration is out of date. If this version was sent before,
     /// it now goes out whole, in case the agent lacks the version that was referred to.
-    fn resend_lagging_part(&mut self, key: AgentKey) {
+    fn resend_outdated_part(&mut self, key: AgentKey) {
         let version = self.follower.version();
         let behind = self.fleet.get(key).is_some_and(|w| w.config < version);
         if !behind {
@@ -245,7 +245,7 @@
     /// Returns whether this entry owns shards. An entry without shards is on standby: agents renew with
     /// it less often, and it leaves configuration parts to the owners.
     pub(super) fn is_owner(&self) -> bool {
-        self.holdings.counts().0 > 0
+        self.owned_shards.counts().0 > 0
     }
 
     pub(super) fn peer_up(&mut self, now: Now, link: LinkId, hello: &wire::Hello) {
--- a/lib/src/entry/placing.rs
+++ b/lib/src/entry/placement.rs
@@ -76,13 +76,13 @@
             return PlaceResult::Skipped;
         }
         let permitted = self.permitted(&lane.service, service);
-        let scene = PlacementRequest {
+        let request = PlacementRequest {
             now: now.mono,
             fleet: &self.fleet,
             permitted: &permitted,
             need: service.task_room(),
         };
-        let Some(agent) = self.placer.pick(&scene, &mut self.rng) else {
+        let Some(agent) = self.placer.pick(&request, &mut self.rng) else {
             return PlaceResult::NoRoom;
         };
         let site_permits = self
@@ -109,7 +109,7 @@
                 let waiting = |t: &Task| t.state == TaskState::Queued;
                 let waits = job.tasks.get(task.task as usize).is_some_and(waiting);
                 let open = job.ended.is_none() && now.mono < job.deadline;
-                let served = self.holdings.active(job.shard);
+                let served = self.owned_shards.is_active(job.shard);
                 if waits && open && served && job.lane == *lane {
                     return Some((task, key));
                 }
@@ -124,11 +124,12 @@
         let Some(shard) = self.table.get(key).map(|j| j.shard) else {
             return;
         };
-        let Some(epoch) = self.holdings.get(shard).map(|h| h.epoch) else {
+        let Some(epoch) = self.owned_shards.get(shard).map(|h| h.epoch) else {
             return;
         };
         assert!(
-            self.tenure.right_state(now.mono) != RightState::Expired && self.holdings.active(shard),
+            self.tenure.right_state(now.mono) != RightState::Expired
+                && self.owned_shards.is_active(shard),
             "invariant: only the owner with the right to act starts tasks"
         );
         let Some((renew, renewed)) = self.fleet.get(agent).and_then(|w| w.last_request) else {
@@ -178,7 +179,7 @@
         let Some((start, placed)) = built else {
             return;
         };
-        self.retries.started();
+        self.retries.record_start();
         self.counts.starts += 1;
         let arrived = self.table.get(key).map_or(now.mono, |j| j.arrived);
         self.counts.queue_time_us += micros(now.mono.since(arrived));
--- a/lib/src/entry/record.rs
+++ b/lib/src/entry/record.rs
@@ -7,7 +7,7 @@
 use super::Entry;
 use super::PendingOp;
 use super::ReadRecord;
-use super::changing::CHANGE_INTERVAL;
+use super::record_changes::CHANGE_INTERVAL;
 use crate::event::Kind;
 use crate::ownership::OwnershipRecord;
 use crate::ownership::RECORD_KEY;
@@ -22,10 +22,10 @@
     /// Handles the result of a store operation.
     pub fn handle_store_reply(&mut self, now: Now, tag: u64, reply: StoreReply) {
         self.observe_time(now);
-        let Some(errand) = self.pending_ops.remove(&tag) else {
+        let Some(pending) = self.pending_ops.remove(&tag) else {
             return;
         };
-        match errand {
+        match pending {
             PendingOp::ReadRecord { sent } => self.on_record_read(now, sent, reply),
             PendingOp::ReadRoster { sent } => self.on_roster_read(now, sent, reply),
             PendingOp::WriteRoster => self.on_roster_written(now, reply),
@@ -169,7 +169,7 @@
             self.update_members(now, &record);
             self.update_neighbours(now);
             self.apply_roster(now, &roster);
-            self.compare_holdings(now, &record, &roster);
+            self.compare_owned_shards(now, &record, &roster);
             self.drop_allocators();
             self.reroute(now);
             self.send_heartbeats(now);
@@ -216,10 +216,10 @@
 
     /// Compares the shards that the record assigns to this entry with those it holds: releases the
     /// ones that are gone, and receives or takes over the new ones.
-    fn compare_holdings(&mut self, now: Now, record: &OwnershipRecord, roster: &Roster) {
+    fn compare_owned_shards(&mut self, now: Now, record: &OwnershipRecord, roster: &Roster) {
         let owned = record.owned(self.incarnation);
         let gone: Vec<ShardId> = self
-            .holdings
+            .owned_shards
             .iter()
             .filter(|(s, h)| !owned.contains(&(**s, h.epoch)))
             .map(|(s, _)| *s)
@@ -231,7 +231,7 @@
         let mut claims = Vec::new();
         let mut handed = Vec::new();
         for (shard, epoch) in owned {
-            if self.holdings.get(shard).is_some() {
+            if self.owned_shards.get(shard).is_some() {
                 continue;
             }
             if self.receive_shard(now, shard, epoch) {
@@ -255,11 +255,11 @@
 
     /// Releases a shard that another entry owns now, and redirects the waiters of its jobs.
     fn release_shard(&mut self, now: Now, shard: ShardId) {
-        let was = self.holdings.get(shard).map(|h| h.phase);
+        let was = self.owned_shards.get(shard).map(|h| h.phase);
         if matches!(was, Some(Phase::HandedOver(_))) {
             self.counts.handovers += 1;
         }
-        self.holdings.release(shard);
+        self.owned_shards.release(shard);
         self.outgoing.remove(&shard);
         self.untrack_shard(now, shard);
         self.recent_refusals.retain(|_, r| r.shard != shard);
--- a/lib/src/entry/changing.rs
+++ b/lib/src/entry/record_changes.rs
@@ -149,7 +149,7 @@
         }
         self.apply_handovers(next);
         self.enrol_agents(now, roster);
-        let mut revokes_right = self.cut_silent_members(now, next);
+        let mut revokes_right = self.remove_silent_members(now, next);
         revokes_right |= self.remove_silent_agents(now, roster);
         let live = self.live_members(now, next);
         let owners = self.follower.config().limits.owners as usize;
@@ -202,7 +202,7 @@
     }
 
     /// Returns the bounds on what agents that are removed now may have started.
-    fn parting(&self, now: Now) -> StartBounds {
+    fn start_bounds(&self, now: Now) -> StartBounds {
         let lease_ms = millis(self.setup.tenure.lease) * 2;
         StartBounds {
             until_ms: now.wall_ms + lease_ms,
@@ -212,12 +212,12 @@
 
     /// Returns whether this entry knows every owner's lead and every owner sees its changes.
     fn sees_all_owners(&self, now: Now) -> bool {
-        self.is_known_to_all() || self.remaining_ride(now).is_zero()
+        self.is_known_to_all() || self.remaining_extension(now).is_zero()
     }
 
     /// Enrols the linked agents that are not in the roster.
     fn enrol_agents(&mut self, now: Now, roster: &mut Roster) {
-        let parting = self.parting(now);
+        let start_bounds = self.start_bounds(now);
         let sees_all = self.sees_all_owners(now);
         let mut names = Vec::new();
         for (_, worker) in self.fleet.iter() {
@@ -234,7 +234,7 @@
                 slots: worker.room.slots,
                 born_ms: worker.started_ms(now),
             };
-            if roster.enrol(agent, parting) {
+            if roster.enrol(agent, start_bounds) {
                 names.push(worker.name.to_string());
             }
         }
@@ -245,7 +245,7 @@
 
     /// Removes silent members, which leaves their shards without an owner. It waits while a promise to
     /// a peer forbids takeovers.
-    fn cut_silent_members(&mut self, now: Now, next: &mut OwnershipRecord) -> bool {
+    fn remove_silent_members(&mut self, now: Now, next: &mut OwnershipRecord) -> bool {
         if now.mono < self.promised_until {
             return false;
         }
@@ -260,7 +260,7 @@
             .collect();
         for (incarnation, name) in &silent {
             self.log(Kind::TakeoverStarted, name.clone());
-            next.cut(*incarnation, now.wall_ms);
+            next.remove_member(*incarnation, now.wall_ms);
         }
         !silent.is_empty()
     }
@@ -324,9 +324,9 @@
                 now.mono >= heard.max(listed(inc)) + timeout
             })
             .collect();
-        let parting = self.parting(now);
+        let start_bounds = self.start_bounds(now);
         for incarnation in &silent {
-            roster.remove(*incarnation, parting);
+            roster.remove(*incarnation, start_bounds);
         }
         if !silent.is_empty() {
             self.log(Kind::AgentGone, format!("{} agents", silent.len()));
--- a/lib/src/entry/requests.rs
+++ b/lib/src/entry/requests.rs
@@ -117,14 +117,16 @@
             return;
         }
         let Some(shard) = self.shard_of(request.submission.job) else {
-            return self.give_up_if_hopeless(now, id, false);
+            return self.end_if_store_unavailable(now, id, false);
         };
-        if self.holdings.active(shard) && self.tenure.right_state(now.mono) != RightState::Expired {
+        if self.owned_shards.is_active(shard)
+            && self.tenure.right_state(now.mono) != RightState::Expired
+        {
             return self.route_locally(now, id);
         }
         match self.owner_link(now, shard) {
             Some(link) => self.forward_to(now, id, link),
-            None => self.give_up_if_hopeless(now, id, true),
+            None => self.end_if_store_unavailable(now, id, true),
         }
     }
 
@@ -173,10 +175,10 @@
 
     /// Ends a request at once if the store is unavailable, because then no entry can take the job over.
     /// Whether the job ran is unknown here.
-    fn give_up_if_hopeless(&mut self, now: Now, id: u64, known: bool) {
+    fn end_if_store_unavailable(&mut self, now: Now, id: u64, known: bool) {
         let age = self.last_read.map(|at| now.mono.since(at));
-        let away = age.is_some_and(|age| age > STORE_TIMEOUT);
-        if away || (!known && self.has_store_never_answered(now)) {
+        let unavailable = age.is_some_and(|age| age > STORE_TIMEOUT);
+        if unavailable || (!known && self.has_store_never_answered(now)) {
             self.end_without_owner(
                 id,
                 "the store does not answer, so no entry can take the job over",
@@ -194,22 +196,22 @@
     }
 
     /// Answers a caller.
-    fn respond(&mut self, id: u64, verdict: JobReply) {
+    fn respond(&mut self, id: u64, reply: JobReply) {
         if self.requests.remove(&id).is_none() {
             return;
         }
-        if let JobReply::Other(refusal) = &verdict {
+        if let JobReply::Other(refusal) = &reply {
             self.count_refusal(refusal.cause);
         }
-        self.actions.push(super::Action::Respond(id, verdict));
+        self.actions.push(super::Action::Respond(id, reply));
     }
 
     /// Answers a waiter: a caller of this entry, or a peer that forwarded a request.
-    pub(super) fn answer_waiter(&mut self, waiter: Waiter, verdict: JobReply) {
+    pub(super) fn answer_waiter(&mut self, waiter: Waiter, reply: JobReply) {
         match waiter {
-            Waiter::Local(id) => self.respond(id, verdict),
+            Waiter::Local(id) => self.respond(id, reply),
             Waiter::Peer(link, request) => {
-                let reply = reply_from_verdict(request, verdict);
+                let reply = reply_to_wire(request, reply);
                 self.send(link, Body::Reply(reply));
             }
         }
@@ -267,7 +269,7 @@
             peek: forward.peek,
         };
         let shard = self.shard_of(job);
-        match shard.and_then(|s| Some((s, self.holdings.get(s)?.phase))) {
+        match shard.and_then(|s| Some((s, self.owned_shards.get(s)?.phase))) {
             Some((_, Phase::Active))
                 if self.tenure.right_state(now.mono) != RightState::Expired =>
             {
@@ -305,7 +307,7 @@
                 }
                 continue;
             }
-            match self.holdings.get(held.shard).map(|h| h.phase) {
+            match self.owned_shards.get(held.shard).map(|h| h.phase) {
                 Some(Phase::Sealing) => self.held_requests.push(held),
                 Some(Phase::Active) if self.tenure.right_state(now.mono) != RightState::Expired => {
                     let mut submission = held.submission;
@@ -350,19 +352,19 @@
             self.read_due = now.mono;
             return;
         }
-        let verdict = verdict_from_reply(reply);
-        self.respond(id, verdict);
+        let reply = reply_from_wire(reply);
+        self.respond(id, reply);
     }
 
     /// Parks the requests at a peer whose link went down, so that they are routed again.
     pub(super) fn park_requests_at(&mut self, now: Now, link: LinkId) {
-        let stranded: Vec<u64> = self
+        let affected: Vec<u64> = self
             .requests
             .iter()
             .filter(|(_, r)| r.route == Route::Link(link))
             .map(|(id, _)| *id)
             .collect();
-        for id in stranded {
+        for id in affected {
             self.park_request(now, id);
         }
     }
@@ -417,12 +419,12 @@
 
     /// Ends the requests that have waited too long.
     pub(super) fn end_late_requests(&mut self, now: Now) {
-        let over: Vec<(u64, &'static str)> = self
+        let late: Vec<(u64, &'static str)> = self
             .requests
             .iter()
             .filter_map(|(id, r)| Some((*id, self.timeout_detail(now, r)?)))
             .collect();
-        for (id, detail) in over {
+        for (id, detail) in late {
             self.end_without_owner(id, detail);
         }
     }
@@ -446,8 +448,8 @@
     }
 }
 
-fn reply_from_verdict(request: u64, verdict: JobReply) -> wire::Reply {
-    match verdict {
+fn reply_to_wire(request: u64, reply: JobReply) -> wire::Reply {
+    match reply {
         JobReply::Complete(body) => wire::Reply {
             request,
             outcome: Outcome::Complete.code(),
@@ -465,7 +467,7 @@
     }
 }
 
-fn verdict_from_reply(reply: wire::Reply) -> JobReply {
+fn reply_from_wire(reply: wire::Reply) -> JobReply {
     let outcome = Outcome::from_code(reply.outcome);
     if outcome == Some(Outcome::Complete) {
         return JobReply::Complete(reply.body);
--- a/lib/src/entry/shares.rs
+++ b/lib/src/entry/shares.rs
@@ -13,7 +13,8 @@
 use crate::quota::ShareAsk;
 use crate::tenure::RightState;
 
-/// How much more than it needs now a holder asks for, so that the next tasks can start at once.
+/// The number of slots that a holder requests beyond its current need, so that the next tasks can start
+/// at once.
 const SHARE_SLACK: u32 = 4;
 
 impl Entry {
@@ -27,7 +28,7 @@
         if self.quota(&name).is_none() {
             return true;
         }
-        self.shares.entry(name).or_default().open(now.mono)
+        self.shares.entry(name).or_default().is_open(now.mono)
     }
 
     pub(super) fn take_share(&mut self, lane: &LaneName) {
@@ -84,7 +85,7 @@
             .shares
             .iter()
             .filter(|(name, share)| {
-                self.quota(name).is_some() && share.due(now.mono, self.waiting_for(name))
+                self.quota(name).is_some() && share.is_due(now.mono, self.waiting_for(name))
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -143,7 +144,7 @@
             return false;
         };
         let shard = ShardId::of_name(name, read.record.count());
-        self.holdings.active(shard)
+        self.owned_shards.is_active(shard)
     }
 
     fn allocator_link(&self, name: &str) -> Option<LinkId> {
@@ -221,15 +222,15 @@
             return;
         };
         let count = read.record.count();
-        let holdings = &self.holdings;
+        let owned_shards = &self.owned_shards;
         self.allocators
-            .retain(|name| holdings.get(ShardId::of_name(name, count)).is_some());
+            .retain(|name| owned_shards.get(ShardId::of_name(name, count)).is_some());
     }
 }
 
 impl Entry {
-    /// Returns the number of tasks that count against each quota name here.
-    pub fn held_shares(&self) -> Vec<(Arc<str>, u32)> {
+    /// Returns, by quota name, the number of this entry's tasks that count against the quota.
+    pub fn used_shares(&self) -> Vec<(Arc<str>, u32)> {
         let held = |(n, s): (&Arc<str>, &crate::quota::Share)| (n.clone(), s.used());
         self.shares.iter().map(held).collect()
     }
--- a/lib/src/entry/submit.rs
+++ b/lib/src/entry/submit.rs
@@ -53,8 +53,8 @@
     /// Decides on a request for a job that this entry owns.
     pub(super) fn decide_request(&mut self, now: Now, waiter: Waiter, submission: Submission) {
         if submission.peek {
-            let verdict = self.look_up(now, submission.job);
-            return self.answer_waiter(waiter, verdict);
+            let reply = self.look_up(now, submission.job);
+            return self.answer_waiter(waiter, reply);
         }
         let digest = body_digest(&submission.service, &submission.body);
         if let Some(key) = self.table.find(submission.job)
@@ -86,7 +86,7 @@
         };
         let retry_at = now.mono + Duration::from_millis(refusal.retry_ms);
         if let Some(key) = self.table.find(s.job) {
-            self.table.update(key, |job| job.again = retry_at);
+            self.table.update(key, |job| job.retry_at = retry_at);
             return;
         }
         let refused = RecentRefusal {
@@ -116,7 +116,7 @@
         let known = self.table.find(job).and_then(|k| self.table.get(k));
         if let Some(job) = known {
             if job.is_resolved() {
-                return job.verdict(
+                return job.reply(
                     Cause::WorkerLost,
                     "submit the job again to run its remaining tasks",
                 );
@@ -160,18 +160,18 @@
         }
         match &job.ended {
             Some(JobReply::Other(r)) if r.outcome == Some(Outcome::NotRun) => {
-                let wait_ms = millis(now.mono.until(job.again));
+                let wait_ms = millis(now.mono.until(job.retry_at));
                 if wait_ms == 0 {
                     return false;
                 }
-                let again = r.clone().retry(wait_ms);
-                self.answer_waiter(waiter, JobReply::Other(again));
+                let refusal = r.clone().retry(wait_ms);
+                self.answer_waiter(waiter, JobReply::Other(refusal));
                 true
             }
             Some(_) if job.is_resolved() => false,
-            Some(verdict) => {
-                let verdict = verdict.clone();
-                self.answer_waiter(waiter, verdict);
+            Some(reply) => {
+                let reply = reply.clone();
+                self.answer_waiter(waiter, reply);
                 true
             }
             None if job.submitted => {
@@ -189,7 +189,7 @@
 
     /// Returns whether this entry knows every task of a job that may have started.
     pub(super) fn is_accounted_for(&self, shard: ShardId, job: JobId) -> bool {
-        let Some(held) = self.holdings.get(shard) else {
+        let Some(held) = self.owned_shards.get(shard) else {
             return false;
         };
         held.clear_ms == 0 || job.minted_ms() > held.clear_ms
@@ -276,7 +276,8 @@
     /// started.
     fn refusal_outcome(&self, now: Now, shard: ShardId, job: JobId) -> Outcome {
         let known = self.table.find(job).and_then(|k| self.table.get(k));
-        let touched = known.is_some_and(|j| j.ran() || j.outstanding() || j.lost());
+        let touched =
+            known.is_some_and(|j| j.has_run() || j.has_outstanding_task() || j.has_lost_task());
         if touched || !self.is_accounted_for(shard, job) {
             return Outcome::Unknown;
         }
@@ -320,7 +321,7 @@
             return Err((Cause::Memory, detail.into(), NO_WORKER_RETRY_MS));
         }
         let running = self.placed.len().saturating_sub(slots);
-        let crowd = QueueLoad {
+        let load = QueueLoad {
             waiting: self.lanes.len() + running,
             slots,
             team_waiting: self.lanes.waiting(&lane.team),
@@ -335,9 +336,9 @@
             let detail = format!("team `{}` has no quota", lane.team);
             return Err((Cause::QueueFull, detail, 0));
         }
-        let admitted = self.admission.admit(&crowd, tasks, left);
+        let admitted = self.admission.admit(&load, tasks, left);
         admitted.map_err(|(cause, wait)| {
-            let waiting = crowd.waiting;
+            let waiting = load.waiting;
             let detail = format!(
                 "{waiting} tasks are ahead; the expected wait is {} ms",
                 millis(wait)
@@ -360,7 +361,7 @@
             return;
         };
         self.deadlines.insert((job.deadline, key));
-        if job.lost() || job.tasks.iter().all(|t| t.state != TaskState::Queued) {
+        if job.has_lost_task() || job.tasks.iter().all(|t| t.state != TaskState::Queued) {
             return self.end_if_decided(now, key);
         }
         if repeat == Repeat::Never && !job.claimed {
@@ -439,7 +440,7 @@
         deadline: checked.deadline,
         waiters: vec![waiter],
         ended: None,
-        again: Mono(0),
+        retry_at: Mono(0),
         submitted: true,
         claimed: false,
         claiming: false,
--- a/lib/src/entry/sealing.rs
+++ b/lib/src/entry/takeover.rs
@@ -33,26 +33,28 @@
         record: &OwnershipRecord,
         roster: &Roster,
     ) {
-        let cuts: BTreeSet<u64> = claims
+        let former_owners: BTreeSet<u64> = claims
             .iter()
-            .flat_map(|(s, _)| record.slot(*s).cut.iter().map(|c| c.owner))
+            .flat_map(|(s, _)| record.slot(*s).former_owners.iter().map(|c| c.owner))
             .collect();
         let lease = self.setup.tenure.lease;
-        let expiry = if cuts.is_empty() {
+        let expiry = if former_owners.is_empty() {
             Duration::ZERO
         } else {
             lease + lease / 20
         };
-        let known = cuts.iter().all(|inc| self.acknowledged_by.contains(inc));
-        let latest_expiry = if cuts.is_empty() {
+        let known = former_owners
+            .iter()
+            .all(|inc| self.acknowledged_by.contains(inc));
+        let latest_expiry = if former_owners.is_empty() {
             SEAL_WAIT
         } else if known {
             expiry
         } else {
-            self.remaining_ride(now)
+            self.remaining_extension(now)
         };
         let agents = roster.agents.iter().map(|a| a.incarnation).collect();
-        let opening = RoundStart {
+        let start = RoundStart {
             claims,
             agents,
             expiry,
@@ -60,7 +62,7 @@
             known,
             gone_ms: roster.clear_ms(self.clock_allowance_ms()),
         };
-        let id = self.holdings.open(now.mono, opening);
+        let id = self.owned_shards.open_round(now.mono, start);
         let keys: Vec<AgentKey> = self.fleet.iter().map(|(k, _)| k).collect();
         for key in keys {
             self.send_seal(key, id);
@@ -68,7 +70,7 @@
     }
 
     /// Returns how long an owner that does not know this entry may still act on promises of its peers.
-    pub(super) fn remaining_ride(&self, now: Now) -> Duration {
+    pub(super) fn remaining_extension(&self, now: Now) -> Duration {
         let max_extension = self.setup.tenure.max_extension;
         let joined = self.joined_at.unwrap_or(now.mono);
         now.mono.until(joined + max_extension + max_extension / 20)
@@ -79,7 +81,7 @@
         let Some(incarnation) = self.fleet.get(key).map(|w| w.incarnation) else {
             return;
         };
-        for id in self.holdings.unanswered(incarnation) {
+        for id in self.owned_shards.unanswered_rounds(incarnation) {
             self.send_seal(key, id);
         }
     }
@@ -88,7 +90,7 @@
         let Some(link) = self.fleet.get(key).and_then(|w| w.link) else {
             return;
         };
-        let Some(round) = self.holdings.round(id) else {
+        let Some(round) = self.owned_shards.round(id) else {
             return;
         };
         let seal = wire::Seal {
@@ -132,7 +134,8 @@
         }
         if sealed.last {
             self.unread_slots.remove(&incarnation);
-            self.holdings.answered(RoundId(sealed.round), incarnation);
+            self.owned_shards
+                .record_answer(RoundId(sealed.round), incarnation);
         }
     }
 
@@ -144,7 +147,7 @@
         let Some(shard) = self.shard_of(id) else {
             return;
         };
-        if self.holdings.get(shard).is_none() || started.task >= started.tasks {
+        if self.owned_shards.get(shard).is_none() || started.task >= started.tasks {
             return;
         }
         let key = match self.table.find(id) {
@@ -218,7 +221,7 @@
             deadline: now.mono + longest,
             waiters: Vec::new(),
             ended: None,
-            again: Mono(0),
+            retry_at: Mono(0),
             submitted: false,
             claimed: false,
             claiming: false,
@@ -230,12 +233,12 @@
         if self.tenure.right_state(now.mono) == RightState::Expired {
             return;
         }
-        for id in self.holdings.ready(now.mono) {
-            let began = self.holdings.round(id).map_or(now.mono, |r| r.began);
+        for id in self.owned_shards.ready_rounds(now.mono) {
+            let began = self.owned_shards.round(id).map_or(now.mono, |r| r.began);
             self.reserve_unread_slots(now, id);
-            let known = self.holdings.round(id).is_some_and(|r| r.known);
+            let known = self.owned_shards.round(id).is_some_and(|r| r.known);
             let clear_ms = self.latest_taken_ms(now, known);
-            let (shards, lost) = self.holdings.activate(id, clear_ms);
+            let (shards, lost) = self.owned_shards.activate(id, clear_ms);
             if shards.is_empty() {
                 continue;
             }
@@ -257,7 +260,7 @@
         let Some(read) = &self.read else {
             return;
         };
-        let pending = self.holdings.round(id).map(|r| r.pending.clone());
+        let pending = self.owned_shards.round(id).map(|r| r.pending.clone());
         let pending = pending.unwrap_or_default();
         for agent in &read.roster.agents {
             if pending.contains(&agent.incarnation) {
--- a/lib/src/entry/watching.rs
+++ b/lib/src/entry/worker_health.rs
@@ -1,5 +1,5 @@
-//! Watches the workers: compares each one's speed and failures with those of its peers, and gives up
-//! agents that have been unreachable for too long.
+//! The health of workers: compares the speed and failures of each one with those of its peers, and
+//! removes agents that have been unreachable for too long.
 
 use super::Entry;
 use super::Placed;
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -60,7 +60,7 @@
     ClockShifted = 123, Warn, "the box's clock was wrong at the start; this process adopts the time of the others";
     Joined = 200, Info, "this entry has joined the ownership record";
     Dropped = 201, Warn, "this entry was removed from the ownership record and rejoins";
-    RightLapsed = 202, Warn, "the right to start tasks has expired";
+    RightExpired = 202, Warn, "the right to start tasks has expired";
     RightRestored = 203, Info, "the right to start tasks is restored";
     RightExtended = 204, Warn, "the store is unavailable; promises of peers extend the right to start tasks";
     TakeoverStarted = 210, Warn, "the shards of a silent entry are taken over";
--- a/lib/src/job_table.rs
+++ b/lib/src/job_table.rs
@@ -99,7 +99,7 @@
     /// The outcome, or `None` if the job has not ended.
     pub ended: Option<JobReply>,
     /// When a resubmission is accepted again, if the job ended as `not_run`.
-    pub again: Mono,
+    pub retry_at: Mono,
     /// Whether the inputs of its tasks are present, so that they can be sent.
     pub submitted: bool,
     /// Whether the claim that a once-only request needs is in the store.
@@ -124,19 +124,19 @@
     }
 
     /// Returns whether any task was sent and its result is pending.
-    pub fn outstanding(&self) -> bool {
+    pub fn has_outstanding_task(&self) -> bool {
         let placed = |t: &Task| matches!(t.state, TaskState::Placed { .. });
         self.tasks.iter().any(placed)
     }
 
     /// Returns whether any task has certainly started.
-    pub fn ran(&self) -> bool {
+    pub fn has_run(&self) -> bool {
         let ran = |t: &Task| matches!(t.state, TaskState::Answered(_) | TaskState::Failed(_));
         self.tasks.iter().any(ran)
     }
 
     /// Returns whether any task is in [`TaskState::Lost`].
-    pub fn lost(&self) -> bool {
+    pub fn has_lost_task(&self) -> bool {
         self.tasks.iter().any(|t| t.state == TaskState::Lost)
     }
 
@@ -152,12 +152,12 @@
     /// Returns whether the job ended as unknown and every task has been accounted for since.
     pub fn is_resolved(&self) -> bool {
         let ended = self.ended.is_some() && self.is_undecided();
-        ended && !self.tasks.is_empty() && !self.lost() && !self.outstanding()
+        ended && !self.tasks.is_empty() && !self.has_lost_task() && !self.has_outstanding_task()
     }
 
     /// Returns the outcome of the job in its current state. `cause` and `detail` apply unless all
     /// tasks have succeeded or one has failed.
-    pub fn verdict(&self, cause: Cause, detail: &str) -> JobReply {
+    pub fn reply(&self, cause: Cause, detail: &str) -> JobReply {
         let all = self
             .tasks
             .iter()
@@ -169,9 +169,9 @@
             let detail = format!("{reason}; {} tasks in all", self.tasks.len());
             return JobReply::Other(Refusal::new(Outcome::Failed, cause, detail));
         }
-        let outcome = if self.ran() {
+        let outcome = if self.has_run() {
             Outcome::Failed
-        } else if self.lost() || self.outstanding() {
+        } else if self.has_lost_task() || self.has_outstanding_task() {
             Outcome::Unknown
         } else {
             Outcome::NotRun
@@ -212,9 +212,9 @@
     }
 
     /// Drops the inputs and answers that a job which has ended with this verdict no longer needs.
-    pub fn drop_bodies(&mut self, verdict: &JobReply) {
+    pub fn drop_bodies(&mut self, reply: &JobReply) {
         self.submitted = false;
-        if matches!(verdict, JobReply::Complete(_)) {
+        if matches!(reply, JobReply::Complete(_)) {
             self.tasks = Vec::new();
             return;
         }
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -48,8 +48,8 @@
     /// The number of changes of the owner.
     pub epoch: u64,
     /// The former owners that did not give the shard up themselves.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub cut: Vec<FormerOwner>,
+    #[serde(rename = "cut", default, skip_serializing_if = "Vec::is_empty")]
+    pub former_owners: Vec<FormerOwner>,
 }
 
 /// The ownership record.
@@ -141,11 +141,11 @@
 
     /// Removes a member that is presumed dead and leaves its shards without an owner.
     /// [`OwnershipRecord::assign_unowned`] assigns them to other members.
-    pub fn cut(&mut self, incarnation: u64, at_ms: u64) {
+    pub fn remove_member(&mut self, incarnation: u64, at_ms: u64) {
         for slot in self.shards.iter_mut().filter(|s| s.owner == incarnation) {
             slot.owner = 0;
             slot.epoch += 1;
-            slot.cut.push(FormerOwner {
+            slot.former_owners.push(FormerOwner {
                 owner: incarnation,
                 at_ms,
             });
@@ -159,7 +159,7 @@
         let slot = &mut self.shards[shard.0 as usize];
         slot.owner = to;
         slot.epoch += 1;
-        slot.cut.clear();
+        slot.former_owners.clear();
     }
 
     /// Assigns each shard without an owner to the member with the fewest shards among those that
@@ -182,7 +182,7 @@
     /// time such that their right has certainly expired.
     pub fn forget_former_owners(&mut self, before_ms: u64) {
         for slot in &mut self.shards {
-            slot.cut.retain(|c| c.at_ms >= before_ms);
+            slot.former_owners.retain(|c| c.at_ms >= before_ms);
         }
     }
 
--- a/lib/src/ownership/tests.rs
+++ b/lib/src/ownership/tests.rs
@@ -43,20 +43,20 @@
 }
 
 #[test]
-fn test_ownership_cut_records_former_owner() {
+fn test_ownership_removal_records_former_owner() {
     let mut record = record_with_three_members();
     record.assign_unowned(&[1, 2], 0);
     let before = record.owned(1);
-    record.cut(1, 77);
+    record.remove_member(1, 77);
     record.assign_unowned(&[2, 3], 0);
     for (shard, epoch) in before {
         let slot = record.slot(shard);
         assert!(slot.epoch > epoch.0);
-        assert_eq!(slot.cut[0].owner, 1);
+        assert_eq!(slot.former_owners[0].owner, 1);
     }
     assert!(record.member(1).is_none());
     record.forget_former_owners(78);
-    assert!(record.shards.iter().all(|s| s.cut.is_empty()));
+    assert!(record.shards.iter().all(|s| s.former_owners.is_empty()));
 }
 
 #[test]
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -1,7 +1,8 @@
 //! Quotas, divided into shares that are leased to entries.
 //!
-//! Each team's quota has one allocator: the entry that owns the shard of the team's name. The
-//! entries hold shares, and each starts a team's tasks only within its own. A share expires on the
+//! A quota bounds the running tasks of a team or of a service. Each has one allocator: the entry that
+//! owns the shard of the quota's name. The entries hold shares, and each starts tasks only within its
+//! own. A share expires on the
 //! holder's clock, counted from the sending of its request, and the allocator counts it for longer.
 //! So the number of running tasks never exceeds the quota, even if either side is disconnected or
 //! crashes.
@@ -22,7 +23,7 @@
 /// The interval between requests when the share is insufficient and the last one was answered.
 pub const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The holder's state of one team's quota.
+/// The holder's state of one quota.
 #[derive(Clone, Debug, Default)]
 pub struct Share {
     used: u32,
@@ -35,7 +36,7 @@
 
 impl Share {
     /// Returns whether one more task may start.
-    pub fn open(&self, now: Mono) -> bool {
+    pub fn is_open(&self, now: Mono) -> bool {
         now < self.until && self.used < self.amount
     }
 
@@ -67,9 +68,9 @@
     }
 
     /// Returns whether a request is due, given the number of waiting tasks.
-    pub fn due(&self, now: Mono, waiting: usize) -> bool {
+    pub fn is_due(&self, now: Mono, waiting: usize) -> bool {
         let busy = waiting > 0 || self.used > 0 || self.have(now) > 0;
-        let short = waiting > 0 && !self.open(now);
+        let short = waiting > 0 && !self.is_open(now);
         let interval = if short && self.answered {
             MIN_REQUEST_INTERVAL
         } else {
@@ -110,7 +111,7 @@
     seq: u64,
 }
 
-/// The allocator's state of one team's quota.
+/// The allocator's state of one quota.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     since: Mono,
@@ -250,17 +251,17 @@
     }
 }
 
-/// The allocators of the teams whose shards this entry owns.
+/// The allocators of the quotas whose shards this entry owns.
 #[derive(Debug, Default)]
 pub struct Allocators {
-    teams: HashMap<Arc<str>, Allocator>,
+    by_name: HashMap<Arc<str>, Allocator>,
 }
 
 impl Allocators {
-    /// Returns the allocator of a team, and creates it if necessary. `first` tells whether this
-    /// entry is the first owner of the team's shard.
-    pub fn of(&mut self, team: &Arc<str>, now: Mono, first: bool) -> &mut Allocator {
-        self.teams.entry(team.clone()).or_insert_with(|| {
+    /// Returns the allocator of a quota, and creates it if necessary. `first` tells whether this
+    /// entry is the first owner of the shard of the quota's name.
+    pub fn of(&mut self, name: &Arc<str>, now: Mono, first: bool) -> &mut Allocator {
+        self.by_name.entry(name.clone()).or_insert_with(|| {
             if first {
                 Allocator::first()
             } else {
@@ -269,10 +270,10 @@
         })
     }
 
-    /// Drops the allocators of the teams for which `keep` returns false, as this entry is no longer
+    /// Drops the allocators of the quotas for which `keep` returns false, as this entry is no longer
     /// responsible for them.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.teams.retain(|team, _| keep(team));
+        self.by_name.retain(|name, _| keep(name));
     }
 }
 
--- a/lib/src/quota/tests.rs
+++ b/lib/src/quota/tests.rs
@@ -65,8 +65,8 @@
     let mut share = Share::default();
     let seq = share.ask(at(0));
     share.granted(seq, 2, SHARE_SPAN);
-    assert!(share.open(at(1_999)));
-    assert!(!share.open(at(2_000)));
+    assert!(share.is_open(at(1_999)));
+    assert!(!share.is_open(at(2_000)));
     share.granted(seq, 9, SHARE_SPAN);
     assert_eq!(share.have(at(10)), 2);
 }
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -115,21 +115,21 @@
 
     /// Returns the number of owned shards and the number of served ones among them.
     pub fn counts(&self) -> (usize, usize) {
-        let active = |h: &&OwnedShard| h.phase == Phase::Active;
+        let is_active = |h: &&OwnedShard| h.phase == Phase::Active;
         (
             self.shards.len(),
-            self.shards.values().filter(active).count(),
+            self.shards.values().filter(is_active).count(),
         )
     }
 
     /// Returns whether the shard is served.
-    pub fn active(&self, shard: ShardId) -> bool {
+    pub fn is_active(&self, shard: ShardId) -> bool {
         let held = self.shards.get(&shard);
         held.is_some_and(|h| h.phase == Phase::Active)
     }
 
     /// Returns whether the shard is being handed over to another entry.
-    pub fn handing(&self, shard: ShardId) -> bool {
+    pub fn is_handing_over(&self, shard: ShardId) -> bool {
         let held = self.shards.get(&shard);
         held.is_some_and(|h| matches!(h.phase, Phase::HandingOver(_) | Phase::HandedOver(_)))
     }
@@ -164,7 +164,7 @@
     }
 
     /// Opens a round for shards that the record has just assigned to this entry.
-    pub fn open(&mut self, now: Mono, start: RoundStart) -> RoundId {
+    pub fn open_round(&mut self, now: Mono, start: RoundStart) -> RoundId {
         let RoundStart {
             claims,
             agents,
@@ -204,7 +204,7 @@
     }
 
     /// Returns the rounds that wait for an agent.
-    pub fn unanswered(&self, agent: u64) -> Vec<RoundId> {
+    pub fn unanswered_rounds(&self, agent: u64) -> Vec<RoundId> {
         let ids = self
             .rounds
             .values()
@@ -214,7 +214,7 @@
     }
 
     /// Records that an agent has answered a round. Returns whether the round was waiting for it.
-    pub fn answered(&mut self, id: RoundId, agent: u64) -> bool {
+    pub fn record_answer(&mut self, id: RoundId, agent: u64) -> bool {
         let Some(round) = self.rounds.get_mut(&id) else {
             return false;
         };
@@ -222,7 +222,7 @@
     }
 
     /// Returns the rounds whose shards can be served at `now` and are not served yet.
-    pub fn ready(&self, now: Mono) -> Vec<RoundId> {
+    pub fn ready_rounds(&self, now: Mono) -> Vec<RoundId> {
         let ready = |r: &&Round| !r.served && r.is_ready(now);
         let mut ids: Vec<RoundId> = self.rounds.values().filter(ready).map(|r| r.id).collect();
         ids.sort();
@@ -256,7 +256,7 @@
 
     /// Drops served rounds that all agents have answered, and rounds whose shards this entry no
     /// longer owns.
-    pub fn forget(&mut self) {
+    pub fn drop_finished_rounds(&mut self) {
         let shards = &self.shards;
         self.rounds.retain(|id, round| {
             let is_current = |(s, e): &(ShardId, Epoch)| {
--- a/lib/src/takeover/tests.rs
+++ b/lib/src/takeover/tests.rs
@@ -20,16 +20,16 @@
         known: true,
         gone_ms: 0,
     };
-    shards.open(now(0).mono, start)
+    shards.open_round(now(0).mono, start)
 }
 
 #[test]
 fn test_takeover_waits_for_expiry() {
     let mut shards = OwnedShards::default();
     let id = open(&mut shards, EXPIRY);
-    assert!(shards.answered(id, 10) && shards.answered(id, 11));
-    assert!(shards.ready(now(1_999).mono).is_empty());
-    assert_eq!(shards.ready(now(2_000).mono), [id]);
+    assert!(shards.record_answer(id, 10) && shards.record_answer(id, 11));
+    assert!(shards.ready_rounds(now(1_999).mono).is_empty());
+    assert_eq!(shards.ready_rounds(now(2_000).mono), [id]);
     assert_eq!(shards.activate(id, 1_002_000), (vec![ShardId(1)], 0));
     assert_eq!(shards.get(ShardId(1)).unwrap().clear_ms, 0);
 }
@@ -38,7 +38,7 @@
 fn test_takeover_missing_agent() {
     let mut shards = OwnedShards::default();
     let id = open(&mut shards, EXPIRY);
-    shards.answered(id, 10);
+    shards.record_answer(id, 10);
     assert_eq!(shards.activate(id, 1_002_000).1, 1);
     assert_eq!(shards.get(ShardId(1)).unwrap().clear_ms, 1_002_000);
 }
@@ -47,7 +47,7 @@
 fn test_takeover_unknown_member_silent_agent() {
     let mut shards = OwnedShards::default();
     let id = open(&mut shards, Duration::from_secs(60));
-    shards.answered(id, 10);
-    assert!(shards.ready(now(59_000).mono).is_empty());
-    assert_eq!(shards.ready(now(60_000).mono), [id]);
+    shards.record_answer(id, 10);
+    assert!(shards.ready_rounds(now(59_000).mono).is_empty());
+    assert_eq!(shards.ready_rounds(now(60_000).mono), [id]);
 }
--- a/lib/testutils/src/bin/capacity.rs
+++ b/lib/testutils/src/bin/capacity.rs
@@ -359,7 +359,7 @@
                 deadline: Mono(1),
                 waiters: Vec::new(),
                 ended: Some(JobReply::Complete(bytes::Bytes::from(vec![b'x'; 2_000]))),
-                again: Mono(0),
+                retry_at: Mono(0),
                 submitted: false,
                 claimed: false,
                 claiming: false,
--- a/lib/testutils/src/cluster.rs
+++ b/lib/testutils/src/cluster.rs
@@ -369,8 +369,8 @@
         let agents = self.agents.iter().filter(|a| a.process.is_some()).count();
         let entries = self.entries.iter().filter(|e| e.process.is_some()).count();
         let ready = |s: &EntryStatus| {
-            let usable = s.agents.iter().filter(|a| a.usable).count();
-            let linked = usable >= agents && s.peers + 1 >= entries;
+            let available = s.agents.iter().filter(|a| a.available).count();
+            let linked = available >= agents && s.peers + 1 >= entries;
             linked && s.right == "confirmed" && s.config > 0
         };
         for i in 0..self.entries.len() {
--- a/lib/testutils/src/witness.rs
+++ b/lib/testutils/src/witness.rs
@@ -81,13 +81,13 @@
 
     /// A caller got an answer. Requests whose entry died, or that ended as `unknown`, count as open
     /// for ever: what they asked may still be under way.
-    pub fn answered(&mut self, job: JobId, tasks: u32, before: Before, verdict: &JobReply) {
-        let outcome = match verdict {
+    pub fn answered(&mut self, job: JobId, tasks: u32, before: Before, reply: &JobReply) {
+        let outcome = match reply {
             JobReply::Complete(_) => Some(Outcome::Complete),
             JobReply::Other(refusal) => refusal.outcome,
         };
         self.outcomes[outcome.map_or(0, |o| o.code() as usize)] += 1;
-        if let JobReply::Other(refusal) = verdict {
+        if let JobReply::Other(refusal) = reply {
             let untimely = matches!(refusal.cause, Cause::Ahead | Cause::Expired);
             self.untimely += u64::from(untimely);
         }
@@ -108,7 +108,7 @@
                 self.accuse(format!("{job} was `not_run` but had started"));
             }
         }
-        if let JobReply::Complete(body) = verdict
+        if let JobReply::Complete(body) = reply
             && *body != expected_answers(job, tasks)
         {
             self.accuse(format!("{job} got another answer than its own"));
--- a/lib/testutils/src/world.rs
+++ b/lib/testutils/src/world.rs
@@ -629,7 +629,7 @@
     fn do_entry(&mut self, proc: Proc, action: entry::Action) {
         match action {
             entry::Action::Send(link, body) => self.send(proc, link, body),
-            entry::Action::Respond(id, verdict) => self.respond(proc, id, &verdict),
+            entry::Action::Respond(id, reply) => self.respond(proc, id, &reply),
             entry::Action::Store(tag, op) => self.call_store(proc, tag, op),
             entry::Action::ShiftClock(by_ms) => self.procs[proc].base_ms += by_ms,
             entry::Action::Log(event) => self.trace(proc, &event.to_string()),
@@ -714,14 +714,14 @@
         self.at(due - now, Event::Frame(id, side, body));
     }
 
-    fn respond(&mut self, proc: Proc, id: u64, verdict: &JobReply) {
+    fn respond(&mut self, proc: Proc, id: u64, reply: &JobReply) {
         let Some(open) = self.requests.remove(&(proc, id)) else {
             let what = format!("request {id} at p{proc} was answered twice");
             return self.witness.accuse(what);
         };
-        self.trace(proc, &format!("answer {} {verdict:?}", open.job));
+        self.trace(proc, &format!("answer {} {reply:?}", open.job));
         self.witness
-            .answered(open.job, open.tasks, open.before, verdict);
+            .answered(open.job, open.tasks, open.before, reply);
     }
 
     fn run_task(&mut self, proc: Proc, task: agent::RunTask) {
