--- a/lib/daemon/src/agent_actor.rs
+++ b/lib/daemon/src/agent_actor.rs
@@ -1,7 +1,7 @@
 //! The actor that owns an agent's state machine.
 //!
-//! Feeds it ticks, link events and the results of backend calls, and executes the actions that it requests. The
-//! state machine is touched by this actor only.
+//! Feeds it ticks, link events and the results of backend calls, and executes the actions that it requests.
+//! The state machine is touched by this actor only.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
--- a/lib/daemon/src/agent_process.rs
+++ b/lib/daemon/src/agent_process.rs
@@ -1,5 +1,5 @@
-//! The agent process: starts the actor, keeps links to the known entries, serves metrics and health over HTTP, and
-//! leaves in an orderly way.
+//! The agent process: starts the actor, keeps links to the known entries, serves metrics and health over
+//! HTTP, and leaves in an orderly way.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/lib/daemon/src/api.rs
+++ b/lib/daemon/src/api.rs
@@ -1,7 +1,7 @@
 //! The HTTP API for callers and operators.
 //!
-//! Parses a request, passes it to the entry's actor and converts the reply into a response. Makes no decisions
-//! about jobs.
+//! Parses a request, passes it to the entry's actor and converts the reply into a response. Makes no
+//! decisions about jobs.
 
 use std::str::FromStr;
 use std::time::Duration;
--- a/lib/daemon/src/backend.rs
+++ b/lib/daemon/src/backend.rs
@@ -35,8 +35,8 @@
 impl Backend {
     /// Creates a client for the configured base URL. The client is bound to the thread that creates it.
     pub fn new(settings: &AgentSettings) -> Backend {
-        // The client closes idle connections before the backend server does. A request sent while the server closes
-        // the connection would count as a started and failed task.
+        // The client closes idle connections before the backend server does. A request sent while the server
+        // closes the connection would count as a started and failed task.
         let connector = Connector::new()
             .limit(settings.connections)
             .conn_keep_alive(settings.keepalive);
@@ -54,8 +54,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`RunFailure::NeverSent`] if nothing of the request was sent, [`RunFailure::Failed`] if the task may
-    /// have run. The request is never sent twice.
+    /// Returns [`RunFailure::NeverSent`] if nothing of the request was sent, [`RunFailure::Failed`] if the
+    /// task may have run. The request is never sent twice.
     pub async fn run(&self, task: RunTask, clock: ProcessClock) -> Result<Bytes, RunFailure> {
         let left = clock.now().mono.until(task.until);
         if left.is_zero() {
--- a/lib/daemon/src/boot_clock.rs
+++ b/lib/daemon/src/boot_clock.rs
@@ -1,7 +1,8 @@
-//! The monotonic clock with which leases, objectives and silences are measured.
+//! The monotonic clock by which leases, deadlines and timeouts are measured.
 //!
-//! It counts the time for which the machine was suspended. The system's ordinary monotonic clock does not: an executor
-//! that resumes after a suspension would treat leases as valid that have expired elsewhere, and a task would run twice.
+//! It counts the time for which the machine was suspended. The system's ordinary monotonic clock does not: an
+//! executor that resumes after a suspension would treat leases as valid that have expired elsewhere, and a
+//! task would run twice.
 
 use std::time::Duration;
 
@@ -44,8 +45,8 @@
 }
 
 fn since_boot() -> Duration {
-    // A process that can't tell how long it was suspended must not hold leases, so a missing clock is fatal. Linux has
-    // this clock since 2.6.39.
+    // A process that can't tell how long it was suspended must not hold leases, so a missing clock is fatal.
+    // Linux has this clock since 2.6.39.
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
     Duration::from(time.expect("the system has a clock that counts suspended time"))
 }
--- a/lib/daemon/src/boxes.rs
+++ b/lib/daemon/src/boxes.rs
@@ -1,7 +1,7 @@
 //! The platform's list of boxes.
 //!
-//! The list lags behind, so it is only a hint: a box that it marks as leaving gets no new tasks, and no other decision
-//! depends on it.
+//! The list lags behind, so it is only a hint: a box that it marks as leaving gets no new tasks, and no other
+//! decision depends on it.
 
 use std::collections::HashSet;
 use std::future::Future;
@@ -18,8 +18,8 @@
 
 /// A source of the list of boxes.
 pub trait BoxSource {
-    /// Waits until the list has changed since `seen`, at most for `wait`. Returns the list and the index to pass as
-    /// `seen` to the next call.
+    /// Waits until the list has changed since `seen`, at most for `wait`. Returns the list and the index to
+    /// pass as `seen` to the next call.
     fn list(
         &self,
         seen: u64,
--- a/lib/daemon/src/config_watch.rs
+++ b/lib/daemon/src/config_watch.rs
@@ -1,5 +1,5 @@
-//! Watches the store for new configuration versions and the platform for changes of its list of boxes, and passes both
-//! to the entry's actor.
+//! Watches the store for new configuration versions and the platform for changes of its list of boxes, and
+//! passes both to the entry's actor.
 
 use std::time::Duration;
 
@@ -39,8 +39,8 @@
     }
 }
 
-/// Waits for one version and passes it to the entry. If the entry gets the version from a peer meanwhile, the wait ends
-/// with the watch's timeout.
+/// Waits for one version and passes it to the entry. If the entry gets the version from a peer meanwhile, the
+/// wait ends with the watch's timeout.
 async fn follow_version(
     store: &AnyStore,
     entry: &Addr<EntryActor>,
--- a/lib/daemon/src/consul.rs
+++ b/lib/daemon/src/consul.rs
@@ -1,8 +1,8 @@
-//! The store and the list of boxes over Consul's HTTP API: key/value with check-and-set, blocking queries, and the
-//! health of services.
+//! The store and the list of boxes over Consul's HTTP API: key/value with check-and-set, blocking queries,
+//! and the health of services.
 //!
-//! A watch is a blocking query, because the platform counts it as one call however long it waits. Reads of keys use the
-//! consistent mode, because an entry's right to act depends on them.
+//! A watch is a blocking query, because the platform counts it as one call however long it waits. Reads of
+//! keys use the consistent mode, because an entry's right to act depends on them.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -67,8 +67,8 @@
 }
 
 impl ConsulStore {
-    /// Creates a client for a base URL such as `http://127.0.0.1:8500`. The client is bound to the thread that creates
-    /// it.
+    /// Creates a client for a base URL such as `http://127.0.0.1:8500`. The client is bound to the thread
+    /// that creates it.
     pub fn new(base: &str) -> ConsulStore {
         ConsulStore {
             base: base.trim_end_matches('/').to_owned(),
--- a/lib/daemon/src/dispatch.rs
+++ b/lib/daemon/src/dispatch.rs
@@ -6,17 +6,17 @@
 
 pub mod agent_record;
 pub mod channel;
-pub mod day_watch;
+pub mod clock_watch;
+pub mod cpu_usage;
 pub mod division;
 pub mod executor_host;
 pub mod follow;
-pub mod forwarding;
+pub mod forwarder_host;
 pub mod http;
 pub mod lag;
 pub mod links;
 pub mod log_sink;
 pub mod metrics_page;
-pub mod processor;
 pub mod scheduler_host;
 pub mod store;
 pub mod traffic;
--- a/lib/daemon/src/dispatch/day_watch.rs
+++ b/lib/daemon/src/dispatch/clock_watch.rs
@@ -1,6 +1,6 @@
 //! Detection of steps of the box's clock while a process runs.
 //!
-//! Steps are only reported, so that readers can interpret the times in the log; nothing is decided by them.
+//! Steps are logged, so that readers can interpret the times in the log; no decision depends on them.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/lib/daemon/src/dispatch/executor_host.rs
+++ b/lib/daemon/src/dispatch/executor_host.rs
@@ -28,7 +28,7 @@
 use crate::dispatch::channel::LinkDecision;
 use crate::dispatch::channel::LinkEnd;
 use crate::dispatch::channel::LinkHandler;
-use crate::dispatch::day_watch::ClockWatch;
+use crate::dispatch::clock_watch::ClockWatch;
 use crate::dispatch::division::Division;
 use crate::dispatch::division::PartitionedHost;
 use crate::dispatch::lag::LoopLag;
--- a/lib/daemon/src/dispatch/forwarding.rs
+++ b/lib/daemon/src/dispatch/forwarder_host.rs
@@ -97,10 +97,10 @@
             next_caller: Cell::new(1),
             read_requests,
         };
-        let forwarding = ForwarderHost {
+        let forwarder_host = ForwarderHost {
             inner: Rc::new(inner),
         };
-        let ticking = forwarding.clone();
+        let ticking = forwarder_host.clone();
         actix_rt::spawn(async move {
             loop {
                 let now = ticking.inner.host.now();
@@ -108,7 +108,7 @@
                 actix_rt::time::sleep(TICK).await;
             }
         });
-        (forwarding, requests)
+        (forwarder_host, requests)
     }
 
     /// Runs `work` on the forwarder and performs the resulting actions.
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -14,7 +14,7 @@
 use stackcourse_lib::dispatch::scheduler::Scheduler;
 use stackcourse_lib::prelude::Mono;
 
-use crate::dispatch::day_watch::ClockWatch;
+use crate::dispatch::clock_watch::ClockWatch;
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::traffic::Traffic;
 
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -32,18 +32,18 @@
 use crate::dispatch::channel::LinkDecision;
 use crate::dispatch::channel::LinkEnd;
 use crate::dispatch::channel::LinkHandler;
-use crate::dispatch::day_watch::ClockWatch;
+use crate::dispatch::clock_watch::ClockWatch;
+use crate::dispatch::cpu_usage::CpuUsage;
 use crate::dispatch::division::Division;
 use crate::dispatch::division::PartitionedHost;
-use crate::dispatch::forwarding::ForwardedWaiter;
-use crate::dispatch::forwarding::ForwarderHost;
-use crate::dispatch::forwarding::Inbound;
+use crate::dispatch::forwarder_host::ForwardedWaiter;
+use crate::dispatch::forwarder_host::ForwarderHost;
+use crate::dispatch::forwarder_host::Inbound;
 use crate::dispatch::lag::LoopLag;
 use crate::dispatch::links;
 use crate::dispatch::links::Links;
 use crate::dispatch::log_sink::LogSink;
 use crate::dispatch::metrics_page::ProcessGauges;
-use crate::dispatch::processor::CpuUsage;
 use crate::dispatch::traffic::Traffic;
 
 /// The interval between ticks of the scheduler.
@@ -67,7 +67,7 @@
     links: Links,
     lag: LoopLag,
     clock_watch: ClockWatch,
-    processor: CpuUsage,
+    cpu_usage: CpuUsage,
     callers: RefCell<HashMap<CallerId, oneshot::Sender<JobOutcome>>>,
     next_caller: Cell<u64>,
     log: RefCell<LogSink>,
@@ -149,7 +149,7 @@
             links: Links::default(),
             lag: LoopLag::default(),
             clock_watch: ClockWatch::new(clock),
-            processor: CpuUsage::new(cores),
+            cpu_usage: CpuUsage::new(cores),
             callers: RefCell::default(),
             next_caller: Cell::new(1),
             log: RefCell::new(log),
@@ -178,7 +178,7 @@
                     ticking.log(Kind::ClockStepped, step.to_string());
                 }
                 let elapsed = ticking.inner.clock.elapsed();
-                if let Some(percent) = ticking.inner.processor.sample(elapsed) {
+                if let Some(percent) = ticking.inner.cpu_usage.sample(elapsed) {
                     ticking.with(|s, now| s.set_busy(now, percent));
                 }
                 ticking.with(|s, now| s.tick(now));
--- a/lib/daemon/src/entry_actor.rs
+++ b/lib/daemon/src/entry_actor.rs
@@ -1,7 +1,7 @@
 //! The actor that owns an entry's state machine.
 //!
-//! Feeds it ticks, link events, requests, configuration versions and store replies, and executes the actions that it
-//! requests. The state machine is touched by this actor only.
+//! Feeds it ticks, link events, requests, configuration versions and store replies, and executes the actions
+//! that it requests. The state machine is touched by this actor only.
 
 use std::collections::HashMap;
 
@@ -176,7 +176,8 @@
     }
 }
 
-/// Applies a configuration version that was read from the store. Returns the number of the version to read next.
+/// Applies a configuration version that was read from the store. Returns the number of the version to read
+/// next.
 #[derive(Message)]
 #[rtype(result = "u64")]
 pub struct ApplyConfig {
--- a/lib/daemon/src/entry_process.rs
+++ b/lib/daemon/src/entry_process.rs
@@ -1,5 +1,5 @@
-//! The entry process: starts the actor, accepts and dials links, serves the HTTP API, watches the configuration and
-//! the list of boxes, and leaves in an orderly way.
+//! The entry process: starts the actor, accepts and dials links, serves the HTTP API, watches the
+//! configuration and the list of boxes, and leaves in an orderly way.
 
 use std::net::SocketAddr;
 use std::net::TcpListener as StdListener;
@@ -40,8 +40,8 @@
 
 /// The number of threads that serve callers. All decisions are made on one separate thread.
 const HTTP_THREADS: usize = 2;
-/// The time for which a caller's idle connection is kept. It exceeds the usual idle timeouts of load balancers, so
-/// that the balancer closes first and sends no request into a closing connection.
+/// The time for which a caller's idle connection is kept. It exceeds the usual idle timeouts of load
+/// balancers, so that the balancer closes first and sends no request into a closing connection.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 /// The time between checks for peers without a link, and the delay after a failed accept.
 const DIAL_CHECK_INTERVAL: Duration = Duration::from_millis(300);
@@ -218,8 +218,8 @@
 }
 
 impl EntryHandle {
-    /// Leaves as planned: hands the shards over, answers every caller and stops. Goes on answering for at least the
-    /// configured linger time.
+    /// Leaves as planned: hands the shards over, answers every caller and stops. Goes on answering for at
+    /// least the configured linger time.
     pub async fn leave(self) {
         self.entry.do_send(Leave);
         let started = tokio::time::Instant::now();
--- a/lib/daemon/src/kernel.rs
+++ b/lib/daemon/src/kernel.rs
@@ -27,7 +27,8 @@
 }
 
 impl Kernel {
-    /// Registers a service, usually an actor's address. Replaces a service that is already registered under the name.
+    /// Registers a service, usually an actor's address. Replaces a service that is already registered under
+    /// the name.
     pub fn register<T: Any + Send + Sync>(&self, name: &'static str, service: T) {
         let mut services = self
             .services
--- a/lib/daemon/src/lib.rs
+++ b/lib/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The processes of stackcourse: they supply the state machines of `stackcourse-lib` with a clock, connections, a
-//! store and backend servers.
+//! The processes of stackcourse: they supply the state machines of `stackcourse-lib` with a clock,
+//! connections, a store and backend servers.
 //!
-//! Everything here is built on actix. One actor owns each state machine; connections, store calls and calls to
-//! backend servers are tasks on the same thread that pass their results to the actor.
+//! Everything here is built on actix. One actor owns each state machine; connections, store calls and calls
+//! to backend servers are tasks on the same thread that pass their results to the actor.
 
 pub mod agent_actor;
 pub mod agent_process;
--- a/lib/daemon/src/link.rs
+++ b/lib/daemon/src/link.rs
@@ -1,8 +1,8 @@
 //! Links between processes: TCP connections that carry length-delimited protobuf frames.
 //!
-//! A link has a reading and a writing task. The owner of the state machine receives a [`LinkEvent`] for each change
-//! and message, and sends through a [`LinkSender`]. A link on which nothing arrives for the idle timeout is closed;
-//! both ends send heartbeats far more often than that.
+//! A link has a reading and a writing task. The owner of the state machine receives a [`LinkEvent`] for each
+//! change and message, and sends through a [`LinkSender`]. A link on which nothing arrives for the idle
+//! timeout is closed; both ends send heartbeats more often than that.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -26,8 +26,8 @@
 
 /// The time without a frame after which a link between entries is closed.
 pub const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(7);
-/// The time without a frame after which a link between an agent and an entry is closed. It is long because agents
-/// seldom send heartbeats to entries on standby; an agent detects unanswered heartbeats much sooner.
+/// The time without a frame after which a link between an agent and an entry is closed. It is long because
+/// agents seldom send heartbeats to entries on standby; an agent detects unanswered heartbeats much sooner.
 pub const AGENT_IDLE_TIMEOUT: Duration = Duration::from_secs(40);
 /// The time limit for connecting and exchanging hello messages.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -36,8 +36,8 @@
 
 static NEXT_LINK_ID: AtomicU64 = AtomicU64::new(1);
 
-/// Counters of the frames and bytes that this process has sent and received on links. Frames that concern tasks
-/// (`Start`, `Answer`, `Forward`, `Reply`) are counted apart from control frames.
+/// Counters of the frames and bytes that this process has sent and received on links. Frames that concern
+/// tasks (`Start`, `Answer`, `Forward`, `Reply`) are counted apart from control frames.
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// The number of frames that concern tasks.
@@ -109,7 +109,8 @@
 }
 
 impl LinkSender {
-    /// Queues a message. Drops it if the link is down, which the state machine learns from [`LinkEvent::Down`].
+    /// Queues a message. Drops it if the link is down, which the state machine learns from
+    /// [`LinkEvent::Down`].
     pub fn send(&self, body: Body) {
         let _ = self.queue.send(body);
     }
--- a/lib/daemon/src/metrics.rs
+++ b/lib/daemon/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics of entries and agents in the Prometheus text format, built from the state machines' counters on request.
+//! Metrics of entries and agents in the Prometheus text format, built from the state machines' counters on
+//! request.
 
 use prometheus::Encoder;
 use prometheus::IntCounterVec;
@@ -44,7 +45,8 @@
         registered.expect("each name is used once");
     }
 
-    /// Adds the offsets of the box's clock, and of the most deviating other process, from this process's wall clock.
+    /// Adds the offsets of the box's clock, and of the most deviating other process, from this process's wall
+    /// clock.
     fn add_clocks(&self, [own, largest]: [i64; 2]) {
         let offsets = [("box", own), ("others", largest)];
         let help = "How far the box's clock, and the one of another process that differs most, \
--- a/lib/daemon/src/operator.rs
+++ b/lib/daemon/src/operator.rs
@@ -1,7 +1,8 @@
-//! Operators' commands on the configuration: read the newest version, preview and apply the next, list the audit trail.
+//! Operators' commands on the configuration: read the newest version, preview and apply the next, list the
+//! audit trail.
 //!
-//! A version is written only if its key is absent, so of two operators who apply at once one succeeds and the other
-//! gets a conflict.
+//! A version is written only if its key is absent, so of two operators who apply at once one succeeds and the
+//! other gets a conflict.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -128,13 +129,13 @@
 
 /// Applies a document as the next version, completely or not at all.
 ///
-/// `base` is the number of the version that the operator started from, if known. A newer version in the store is then a
-/// conflict.
+/// `base` is the number of the version that the operator started from, if known. A newer version in the store
+/// is then a conflict.
 ///
 /// # Errors
 ///
-/// See [`ApplyError`]. Only after [`ApplyError::Unconfirmed`] is it unknown whether the document was applied. Running the
-/// same command again is safe in every case.
+/// See [`ApplyError`]. Only after [`ApplyError::Unconfirmed`] is it unknown whether the document was applied.
+/// Running the same command again is safe in every case.
 pub async fn apply(
     store: &impl Store,
     file: &str,
@@ -211,8 +212,8 @@
     }
 }
 
-/// Writes a version's key if it is absent. If the answer is lost, reads the key back and compares the change id to find
-/// out whether the write took effect.
+/// Writes a version's key if it is absent. If the answer is lost, reads the key back and compares the change
+/// id to find out whether the write took effect.
 async fn write_version(
     store: &impl Store,
     version: u64,
@@ -272,7 +273,8 @@
     pub diff: Vec<String>,
 }
 
-/// Returns the audit trail: the versions from `since` on, oldest first. Versions missing from the store are left out.
+/// Returns the audit trail: the versions from `since` on, oldest first. Versions missing from the store are
+/// left out.
 ///
 /// # Errors
 ///
--- a/lib/daemon/src/problem.rs
+++ b/lib/daemon/src/problem.rs
@@ -38,7 +38,8 @@
     HttpResponse::Accepted().json(json!({"job": job.to_string(), "state": "running"}))
 }
 
-/// Returns a response with the problem document for a refusal, with a `Retry-After` header if it names a retry delay.
+/// Returns a response with the problem document for a refusal, with a `Retry-After` header if it names a
+/// retry delay.
 pub fn problem_response(job: Option<JobId>, refusal: &Refusal) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.cause.status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/lib/daemon/src/process_clock.rs
+++ b/lib/daemon/src/process_clock.rs
@@ -20,8 +20,8 @@
 /// Reads the box's wall clock, in milliseconds since the Unix epoch.
 type WallClockSource = fn() -> u64;
 
-/// The clock of a process: reads the box's wall clock once and extrapolates it by a monotonic clock, so that it never
-/// steps back on its own. Each reading also has the current time of the box's wall clock.
+/// The clock of a process: reads the box's wall clock once and extrapolates it by a monotonic clock, so that
+/// it never steps back on its own. Each reading also has the current time of the box's wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     clock: BootClock,
--- a/lib/daemon/src/settings.rs
+++ b/lib/daemon/src/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of the entry and agent processes, read from JSON files.
 //!
-//! A file is checked completely: all findings are reported together, and settings with a finding are never used.
+//! A file is checked completely: all findings are reported together, and settings with a finding are never
+//! used.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -66,8 +67,8 @@
     pub backend: String,
     /// The largest number of connections to the backend server.
     pub connections: usize,
-    /// The time for which an idle connection to the backend server is kept. It must be shorter than the backend
-    /// server's own idle timeout.
+    /// The time for which an idle connection to the backend server is kept. It must be shorter than the
+    /// backend server's own idle timeout.
     pub keepalive: Duration,
     /// The largest answer of the backend server, in bytes.
     pub answer_bytes: usize,
@@ -88,8 +89,8 @@
 
 /// Settings that are read from a JSON file.
 pub trait Settings: Sized {
-    /// Reads the settings from a document and adds what is wrong with it to `findings`. The returned settings are
-    /// ignored if there is a finding.
+    /// Reads the settings from a document and adds what is wrong with it to `findings`. The returned settings
+    /// are ignored if there is a finding.
     fn read(value: &Value, findings: &mut Findings) -> Option<Self>;
 
     /// Reads a settings file.
--- a/lib/daemon/src/status.rs
+++ b/lib/daemon/src/status.rs
@@ -1,5 +1,5 @@
-//! The status of an entry and the agents that it knows, as `GET /v1/status` returns it and `stackcourse status` shows
-//! it.
+//! The status of an entry and the agents that it knows, as `GET /v1/status` returns it and `stackcourse
+//! status` shows it.
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/lib/daemon/src/store.rs
+++ b/lib/daemon/src/store.rs
@@ -1,7 +1,8 @@
 //! The platform's key-value store, as the daemons and the operators' commands use it.
 //!
-//! The store also offers leases, which are not used: an entry's right to act depends on reads that it makes anyway, and
-//! renewing leases would consume writes, of which the store allows the fewest (`docs/design/ownership.md`).
+//! The store also offers leases, which are not used: an entry's right to act depends on reads that it makes
+//! anyway, and renewing leases would consume writes, of which the store allows the fewest
+//! (`docs/design/ownership.md`).
 
 use std::future::Future;
 use std::time::Duration;
@@ -37,8 +38,8 @@
     /// Reads a key. The value is never older than the call.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Stored>, StoreError>>;
 
-    /// Writes a key if the index of its last change is still `index`, or if it is absent for `index` 0. Returns whether
-    /// the key was written.
+    /// Writes a key if the index of its last change is still `index`, or if it is absent for `index` 0.
+    /// Returns whether the key was written.
     fn swap(
         &self,
         key: &str,
@@ -49,8 +50,8 @@
     /// Removes a key.
     fn remove(&self, key: &str) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Waits until a key has changed since `seen`, at most for `wait`. Returns the key's value and the index to pass as
-    /// `seen` to the next call.
+    /// Waits until a key has changed since `seen`, at most for `wait`. Returns the key's value and the index
+    /// to pass as `seen` to the next call.
     fn watch(
         &self,
         key: &str,
@@ -103,8 +104,8 @@
     }
 }
 
-/// Executes an operation that a state machine requested. Reports each failure as [`StoreReply::Lost`], and each
-/// removal too, because nothing depends on its result.
+/// Executes an operation that a state machine requested. Reports each failure as [`StoreReply::Lost`], and
+/// each removal too, because nothing depends on its result.
 pub async fn execute_op(store: &impl Store, op: StoreOp) -> StoreReply {
     match op {
         StoreOp::Get { key } => match store.get(&key).await {
--- a/lib/daemon/tests/runner/test_sight.rs
+++ b/lib/daemon/tests/runner/test_sight.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use stackcourse_daemon::dispatch::cpu_usage::CpuUsage;
+use stackcourse_daemon::dispatch::cpu_usage::share_percent;
 use stackcourse_daemon::dispatch::lag::LoopLag;
-use stackcourse_daemon::dispatch::processor::CpuUsage;
-use stackcourse_daemon::dispatch::processor::share_percent;
 use stackcourse_daemon::dispatch::traffic::Traffic;
 use stackcourse_lib::protos::dispatch as proto;
 use stackcourse_lib::protos::dispatch::frame::Body;
--- a/lib/src/job_table.rs
+++ b/lib/src/job_table.rs
@@ -155,7 +155,7 @@
         ended && !self.tasks.is_empty() && !self.has_lost_task() && !self.has_outstanding_task()
     }
 
-    /// Returns the outcome of the job in its current state. `cause` and `detail` apply unless all
+    /// Returns the reply to a request for the job in its current state. `cause` and `detail` apply unless all
     /// tasks have succeeded or one has failed.
     pub fn reply(&self, cause: Cause, detail: &str) -> JobReply {
         let all = self
@@ -211,7 +211,7 @@
         (epoch.0 << ATTEMPT_BITS) | u64::from(task.tries)
     }
 
-    /// Drops the inputs and answers that a job which has ended with this verdict no longer needs.
+    /// Drops the inputs and answers that a job that has ended with this reply no longer needs.
     pub fn drop_bodies(&mut self, reply: &JobReply) {
         self.submitted = false;
         if matches!(reply, JobReply::Complete(_)) {
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -167,7 +167,7 @@
 /// A reply that is not [`JobReply::Complete`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The outcome; `None` if the job is still running or unknown.
+    /// The outcome; `None` if the job is still running.
     pub outcome: Option<Outcome>,
     /// Why the reply is not complete.
     pub cause: Cause,
