--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -225,9 +225,9 @@
     }
 
     /// Disables one check, so that randomised runs can prove that they detect its absence.
-    pub fn break_for_test(&mut self, broken: DisabledCheck) {
-        self.fence_disabled = broken == DisabledCheck::Fence;
-        self.record.break_for_test(broken);
+    pub fn disable_check(&mut self, disabled: DisabledCheck) {
+        self.fence_disabled = disabled == DisabledCheck::Fence;
+        self.record.disable_check(disabled);
     }
 
     /// Takes the pending actions.
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -451,8 +451,8 @@
     }
 
     /// Disables one check, so that randomised runs can prove that they detect its absence.
-    pub fn break_for_test(&mut self, broken: DisabledCheck) {
-        self.skip_horizon = broken == DisabledCheck::Horizon;
+    pub fn disable_check(&mut self, disabled: DisabledCheck) {
+        self.skip_horizon = disabled == DisabledCheck::Horizon;
     }
 
     /// Takes the actions requested since the last call.
--- a/lib/src/start_record.rs
+++ b/lib/src/start_record.rs
@@ -174,7 +174,7 @@
     }
 
     /// Disables one check, so that randomised runs can prove that they detect its absence.
-    pub fn break_for_test(&mut self, disabled: DisabledCheck) {
+    pub fn disable_check(&mut self, disabled: DisabledCheck) {
         self.disabled = disabled;
     }
 
--- a/lib/testutils/src/world.rs
+++ b/lib/testutils/src/world.rs
@@ -259,7 +259,7 @@
             setup.removal_timeout = Duration::from_secs(8);
             setup.shards = 8;
             let mut entry = Entry::new(setup);
-            entry.break_for_test(self.broken);
+            entry.disable_check(self.broken);
             Machine::Entry(Box::new(entry))
         } else {
             let name = format!("w{}", proc - self.entries);
@@ -268,7 +268,7 @@
             setup.zone = "z".into();
             setup.hall = "h".into();
             let mut agent = Agent::new(setup);
-            agent.break_for_test(self.broken);
+            agent.disable_check(self.broken);
             Machine::Agent(Box::new(agent))
         };
         let mono = self.mono(proc);
