--- a/lib/daemon/src/agent_actor.rs
+++ b/lib/daemon/src/agent_actor.rs
@@ -1,7 +1,7 @@
 //! The actor that owns an agent's state machine.
 //!
-//! Feeds it ticks, link events and the results of backend calls, and executes the actions that it requests. The
-//! state machine is touched by this actor only.
+//! Feeds it ticks, link events and the results of backend calls, and executes the actions that it requests.
+//! The state machine is touched by this actor only.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -146,7 +146,7 @@
     }
 }
 
-/// Asks for the addresses of all known entries and the link_names of the linked ones.
+/// Asks for the addresses of all known entries and the names of the linked ones.
 #[derive(Message)]
 #[rtype(result = "KnownEntries")]
 pub struct GetEntries;
@@ -156,7 +156,7 @@
 pub struct KnownEntries {
     /// The addresses of the known entries.
     pub addresses: Vec<SocketAddr>,
-    /// The link_names of the linked entries.
+    /// The names of the linked entries.
     pub linked: HashSet<String>,
 }
 
--- a/lib/daemon/src/metrics.rs
+++ b/lib/daemon/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics of entries and agents in the Prometheus text format, built from the state machines' counters on request.
+//! Metrics of entries and agents in the Prometheus text format, built from the state machines' counters on
+//! request.
 
 use prometheus::Encoder;
 use prometheus::IntCounterVec;
@@ -44,7 +45,8 @@
         registered.expect("each name is used once");
     }
 
-    /// Adds the offsets of the box's clock, and of the most deviating other process, from this process's wall clock.
+    /// Adds the offsets of the box's clock, and of the most deviating other process, from this process's wall
+    /// clock.
     fn add_clocks(&self, [own, largest]: [i64; 2]) {
         let offsets = [("box", own), ("others", largest)];
         let help = "How far the box's clock, and the one of another process that differs most, \
@@ -119,7 +121,7 @@
         ("leaving", i64::from(entry.is_leaving())),
     ];
     metrics.add_gauges("state", "What the entry holds now.", "of", &gauges);
-    let shares = entry.held_shares();
+    let shares = entry.used_shares();
     let held: Vec<(&str, i64)> = shares.iter().map(|(n, s)| (&**n, i64::from(*s))).collect();
     metrics.add_gauges("share", "Shares of quotas held now.", "name", &held);
     metrics.add_clocks(entry.clock_offsets_ms());
--- a/lib/daemon/src/problem.rs
+++ b/lib/daemon/src/problem.rs
@@ -15,8 +15,8 @@
 const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
 
 /// Returns the response for the reply to a job: the answers, "still running", or a problem document.
-pub fn job_response(job: JobId, verdict: JobReply) -> HttpResponse {
-    match verdict {
+pub fn job_response(job: JobId, reply: JobReply) -> HttpResponse {
+    match reply {
         JobReply::Complete(answers) => complete_response(job, &answers),
         JobReply::Other(refusal) if refusal.cause == Cause::Running => running_response(job),
         JobReply::Other(refusal) => problem_response(Some(job), &refusal),
@@ -38,7 +38,8 @@
     HttpResponse::Accepted().json(json!({"job": job.to_string(), "state": "running"}))
 }
 
-/// Returns a response with the problem document for a refusal, with a `Retry-After` header if it names a retry delay.
+/// Returns a response with the problem document for a refusal, with a `Retry-After` header if it names a
+/// retry delay.
 pub fn problem_response(job: Option<JobId>, refusal: &Refusal) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.cause.status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/lib/examples/ownership_record.rs
+++ b/lib/examples/ownership_record.rs
@@ -23,7 +23,7 @@
     }
     // Entry 1 crashes. Its shards get new owners and higher epochs, and they record the former owner, because
     // the new owners must wait until its right to act has expired.
-    record.cut(1, 1_800_000_000_000);
+    record.remove_member(1, 1_800_000_000_000);
     record.assign_unowned(&[2, 3], 0);
     for incarnation in 2..=3 {
         println!(
--- a/lib/testutils/src/witness.rs
+++ b/lib/testutils/src/witness.rs
@@ -93,14 +93,14 @@
         job: JobId,
         tasks: u32,
         state: SubmissionState,
-        verdict: &JobReply,
+        reply: &JobReply,
     ) {
-        let outcome = match verdict {
+        let outcome = match reply {
             JobReply::Complete(_) => Some(Outcome::Complete),
             JobReply::Other(refusal) => refusal.outcome,
         };
         self.outcomes[outcome.map_or(0, |o| o.code() as usize)] += 1;
-        if let JobReply::Other(refusal) = verdict {
+        if let JobReply::Other(refusal) = reply {
             let rejected_mint_times = matches!(refusal.cause, Cause::Ahead | Cause::Expired);
             self.rejected_mint_times += u64::from(rejected_mint_times);
         }
@@ -121,7 +121,7 @@
                 self.report_violation(format!("{job} was `not_run` but had started"));
             }
         }
-        if let JobReply::Complete(body) = verdict
+        if let JobReply::Complete(body) = reply
             && *body != expected_answers(job, tasks)
         {
             self.report_violation(format!("{job} got another answer than its own"));
--- a/lib/testutils/src/world.rs
+++ b/lib/testutils/src/world.rs
@@ -278,7 +278,7 @@
             setup.removal_timeout = Duration::from_secs(8);
             setup.shards = 8;
             let mut entry = Entry::new(setup);
-            entry.break_for_test(self.broken);
+            entry.disable_check(self.broken);
             Machine::Entry(Box::new(entry))
         } else {
             let name = format!("w{}", proc - self.entries);
@@ -287,7 +287,7 @@
             setup.zone = "z".into();
             setup.hall = "h".into();
             let mut agent = Agent::new(setup);
-            agent.break_for_test(self.broken);
+            agent.disable_check(self.broken);
             Machine::Agent(Box::new(agent))
         };
         let mono = self.mono(proc);
@@ -680,7 +680,7 @@
     fn run_entry_action(&mut self, proc: ProcessIndex, action: entry::Action) {
         match action {
             entry::Action::Send(link, body) => self.send(proc, link, body),
-            entry::Action::Respond(id, verdict) => self.respond(proc, id, &verdict),
+            entry::Action::Respond(id, reply) => self.respond(proc, id, &reply),
             entry::Action::Store(tag, op) => self.call_store(proc, tag, op),
             entry::Action::ShiftClock(by_ms) => self.procs[proc].wall_offset_ms += by_ms,
             entry::Action::Log(event) => self.trace(proc, &event.to_string()),
@@ -765,14 +765,14 @@
         self.schedule(due - now, Event::Message(id, side, body));
     }
 
-    fn respond(&mut self, proc: ProcessIndex, id: u64, verdict: &JobReply) {
+    fn respond(&mut self, proc: ProcessIndex, id: u64, reply: &JobReply) {
         let Some(open) = self.requests.remove(&(proc, id)) else {
             let what = format!("request {id} at p{proc} was answered twice");
             return self.checker.report_violation(what);
         };
-        self.trace(proc, &format!("answer {} {verdict:?}", open.job));
+        self.trace(proc, &format!("answer {} {reply:?}", open.job));
         self.checker
-            .check_answer(open.job, open.tasks, open.state, verdict);
+            .check_answer(open.job, open.tasks, open.state, reply);
     }
 
     fn run_task(&mut self, proc: ProcessIndex, task: agent::RunTask) {
