--- a/lib/src/dispatch/contention.rs
+++ b/lib/src/dispatch/contention.rs
@@ -5,16 +5,16 @@
 //! work while more urgent work waits at a peer, and queues jobs that cannot start before their deadline.
 //!
 //! - [`backlog`]: the waiting work by priority, here and at peers.
-//! - [`drain`]: how fast room becomes free, and so when a job would start.
-//! - [`arrival`]: whether an arriving job is admitted or refused.
+//! - [`release`]: how fast room becomes free, and so when a job would start.
+//! - [`admission`]: whether an arriving job is admitted or refused.
 //! - [`shares`]: which jobs go before more urgent ones because too few of their kind are served.
 //! - [`round`]: which jobs of a placement round may take room.
-//! - [`returning`]: when refused callers retry.
+//! - [`retry`]: when refused callers retry.
 
-pub mod arrival;
+pub mod admission;
 pub mod backlog;
-pub mod drain;
-pub mod returning;
+pub mod release;
+pub mod retry;
 pub mod round;
 pub mod shares;
 
--- a/lib/src/dispatch/contention/arrival.rs
+++ b/lib/src/dispatch/contention/admission.rs
@@ -5,7 +5,7 @@
 //! when there is room. A job that is refused although it would have been served is lost to its caller, so a
 //! job is refused only if the forecast exceeds its time by a margin, and forecasts use only recent reports.
 
-use super::drain::Forecast;
+use super::release::Forecast;
 use crate::dispatch::policy::Contention;
 use crate::prelude::*;
 
--- a/lib/src/dispatch/contention/tests.rs
+++ b/lib/src/dispatch/contention/tests.rs
@@ -1,13 +1,13 @@
 //! Tests of the decisions about jobs that compete for room.
 
-use super::arrival::AdmissionDecision;
-use super::arrival::decide_admission;
+use super::admission::AdmissionDecision;
+use super::admission::decide_admission;
 use super::backlog::Backlog;
 use super::backlog::PeerBacklogs;
 use super::backlog::Waiting;
-use super::drain::Forecast;
-use super::drain::ReleaseRate;
-use super::returning::RetrySchedule;
+use super::release::Forecast;
+use super::release::ReleaseRate;
+use super::retry::RetrySchedule;
 use super::round::PendingJob;
 use super::round::Round;
 use super::round::RoundDecision;
--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -6,18 +6,18 @@
 //! it runs. Schedulers hold leases, which the executor measures on its own clock from the readings that they
 //! echo; runs of a scheduler whose lease has expired are stopped.
 
-mod calls;
 mod claims;
 mod crashes;
 mod evacuation;
 mod health;
+mod hold_replies;
 mod incarnations;
-mod lists;
-mod preempting;
+mod preemption;
 mod reports;
 mod runs;
 mod sessions;
 mod speeds;
+mod worker_api;
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -42,18 +42,18 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-pub use crate::dispatch::executor::calls::FinishedRow;
-pub use crate::dispatch::executor::calls::HoldCall;
-pub use crate::dispatch::executor::calls::HoldReply;
-pub use crate::dispatch::executor::calls::OrderReply;
-pub use crate::dispatch::executor::calls::RunEnd;
-pub use crate::dispatch::executor::calls::RunName;
-pub use crate::dispatch::executor::calls::RunningRow;
-pub use crate::dispatch::executor::calls::StartCall;
-pub use crate::dispatch::executor::calls::StartRefusal;
-pub use crate::dispatch::executor::calls::WorkerHeartbeat;
-pub use crate::dispatch::executor::calls::WorkerIncarnation;
 pub use crate::dispatch::executor::runs::RunState;
+pub use crate::dispatch::executor::worker_api::FinishedRow;
+pub use crate::dispatch::executor::worker_api::HoldCall;
+pub use crate::dispatch::executor::worker_api::HoldReply;
+pub use crate::dispatch::executor::worker_api::OrderReply;
+pub use crate::dispatch::executor::worker_api::RunEnd;
+pub use crate::dispatch::executor::worker_api::RunName;
+pub use crate::dispatch::executor::worker_api::RunningRow;
+pub use crate::dispatch::executor::worker_api::StartCall;
+pub use crate::dispatch::executor::worker_api::StartRefusal;
+pub use crate::dispatch::executor::worker_api::WorkerHeartbeat;
+pub use crate::dispatch::executor::worker_api::WorkerIncarnation;
 
 /// The settings that the executor's decisions depend on.
 #[derive(Clone, Debug)]
--- a/lib/src/dispatch/executor/runs.rs
+++ b/lib/src/dispatch/executor/runs.rs
@@ -11,7 +11,7 @@
 use super::RunName;
 use super::StartCall;
 use super::StartRefusal;
-use super::preempting::RunRank;
+use super::preemption::RunRank;
 use crate::dispatch::crashes::CrashRecord;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::EndKind;
--- a/lib/src/dispatch/executor/sessions.rs
+++ b/lib/src/dispatch/executor/sessions.rs
@@ -9,7 +9,7 @@
 
 use super::Action;
 use super::Executor;
-use super::preempting::RunRank;
+use super::preemption::RunRank;
 use super::runs::QueuedTask;
 use super::runs::Run;
 use crate::dispatch::crashes::CrashRecord;
--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -14,26 +14,26 @@
 mod cell;
 mod claims;
 mod contention;
-mod ends;
 mod evacuations;
 mod executor_view;
-mod figures;
 mod fleet;
-mod following;
-mod handing;
+mod followed_jobs;
+mod handoff;
 mod jobs;
 mod leases;
 mod members;
+mod metrics;
 mod pace;
 mod peer_links;
 mod peers;
-mod placing;
-mod preempting;
+mod pending_claims;
+mod placement;
+mod preemption;
 mod roster;
-mod silent;
+mod silence;
 mod speeds;
-mod submit;
-mod waiting;
+mod submission;
+mod task_ends;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -55,8 +55,8 @@
 use crate::dispatch::scheduler::contention::Contention;
 use crate::dispatch::scheduler::executor_view::ExecutorView;
 use crate::dispatch::scheduler::fleet::ExecutorKey;
-use crate::dispatch::scheduler::following::Following;
-use crate::dispatch::scheduler::following::SentCancel;
+use crate::dispatch::scheduler::followed_jobs::Following;
+use crate::dispatch::scheduler::followed_jobs::SentCancel;
 use crate::dispatch::scheduler::jobs::Job;
 use crate::dispatch::scheduler::leases::Leases;
 use crate::dispatch::scheduler::members::Members;
@@ -71,8 +71,8 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-pub use crate::dispatch::scheduler::figures::InformationAges;
-pub use crate::dispatch::scheduler::figures::SchedulerCounts;
+pub use crate::dispatch::scheduler::metrics::InformationAges;
+pub use crate::dispatch::scheduler::metrics::SchedulerCounts;
 
 /// Identity, timeouts and policy of a scheduler.
 #[derive(Clone, Debug)]
--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use super::Scheduler;
-use super::following::Following;
+use super::followed_jobs::Following;
 use super::jobs::Job;
 use super::jobs::Phase;
 use super::peers::Peer;
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -9,18 +9,18 @@
 use super::jobs::Job;
 use super::jobs::Phase;
 use super::jobs::TaskState;
-use super::placing::BEGUN;
-use super::placing::LATE;
-use super::placing::UNDERSERVED;
+use super::placement::BEGUN;
+use super::placement::LATE;
+use super::placement::UNDERSERVED;
 use crate::clock::millis;
-use crate::dispatch::contention::arrival;
-use crate::dispatch::contention::arrival::AdmissionDecision;
+use crate::dispatch::contention::admission;
+use crate::dispatch::contention::admission::AdmissionDecision;
 use crate::dispatch::contention::backlog::Backlog;
 use crate::dispatch::contention::backlog::PeerBacklogs;
 use crate::dispatch::contention::backlog::Waiting;
-use crate::dispatch::contention::drain::Forecast;
-use crate::dispatch::contention::drain::ReleaseRate;
-use crate::dispatch::contention::returning::RetrySchedule;
+use crate::dispatch::contention::release::Forecast;
+use crate::dispatch::contention::release::ReleaseRate;
+use crate::dispatch::contention::retry::RetrySchedule;
 use crate::dispatch::contention::round::PendingJob;
 use crate::dispatch::contention::round::Round;
 use crate::dispatch::contention::round::RoundDecision;
@@ -251,7 +251,7 @@
         };
         let slack = self.now.until(latest);
         class != UNDERSERVED
-            && arrival::decide_admission(&forecast, slack, policy) == AdmissionDecision::Refuse
+            && admission::decide_admission(&forecast, slack, policy) == AdmissionDecision::Refuse
     }
 
     /// Returns the forecast of when a job of a class would start; `None` while too little is known.
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -8,7 +8,7 @@
 
 use super::members::MemberCursor;
 use super::members::Members;
-use super::silent::PeerReport;
+use super::silence::PeerReport;
 use crate::dispatch::model::Demand;
 use crate::dispatch::model::FreeCapacity;
 use crate::dispatch::model::TaskName;
--- a/lib/src/dispatch/scheduler/handing.rs
+++ b/lib/src/dispatch/scheduler/handoff.rs
@@ -13,7 +13,7 @@
 
 use super::CallerId;
 use super::Scheduler;
-use super::following::Following;
+use super::followed_jobs::Following;
 use super::peers::Peer;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::JobOutcome;
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between schedulers: which jobs, executors, zones and catalogs each of them knows about.
 //!
 //! Input are the updates of peers; output are batched updates and heartbeats, sent on one link a peer.
-//! `peer_links` manages the links themselves, and `following` the jobs of peers that callers here wait for.
+//! `peer_links` manages the links themselves, and `followed_jobs` the jobs of peers that callers here wait for.
 
 use bytes::Bytes;
 
--- a/lib/tests/runner/test_executor.rs
+++ b/lib/tests/runner/test_executor.rs
@@ -10,7 +10,7 @@
 mod evacuation;
 mod incarnations;
 mod pace;
-mod preempting;
+mod preemption;
 mod restarts;
 mod restore;
 mod speeds;
