--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -127,7 +127,7 @@
     let causes = words(&counts.causes).into_iter();
     let help = "Jobs refused or failed, by cause.";
     page.counters("causes_total", help, "cause", causes);
-    let again = words(&counts.again).into_iter();
+    let again = words(&counts.retries).into_iter();
     let help = "Tasks placed again, by why the earlier try ended.";
     page.counters("tasks_again_total", help, "cause", again);
     let decisions = [
@@ -135,15 +135,15 @@
         ("joined", counts.joined),
         ("claimed", counts.claims),
         ("placed", counts.placed),
-        ("handed", counts.handed),
-        ("taken_handed", counts.taken),
+        ("handed", counts.handoffs_sent),
+        ("taken_handed", counts.handoffs_accepted),
         ("held_back", counts.held_back),
         ("log_lines_dropped", process.dropped),
     ];
     let help = "Decisions made.";
     page.counters("decisions_total", help, "kind", decisions.into_iter());
-    let [jobs, waiting, executors, peers] = scheduler.load().map(|n| n as i64);
-    let cell = scheduler.cell();
+    let [jobs, waiting, executors, peers] = scheduler.gauges().map(|n| n as i64);
+    let cell = scheduler.cell_sizes();
     let (busy, waiting_cpu) = scheduler.own_load();
     let held = [
         ("jobs", jobs),
@@ -243,13 +243,13 @@
     let forwarded = [
         ("requests", counts.requests),
         ("frames", counts.frames),
-        ("again", counts.again),
+        ("again", counts.resent),
         ("unplaced", counts.unplaced),
     ];
     let help = "Requests of other partitions: how many came, the frames that took them there, how \
                 many were sent again and how many nobody could be found for.";
     page.counters("forward_total", help, "kind", forwarded.into_iter());
-    let [open, links, partitions] = forwarder.load().map(|n| n as i64);
+    let [open, links, partitions] = forwarder.gauges().map(|n| n as i64);
     let held = [
         ("open", open),
         ("links", links),
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -242,8 +242,8 @@
     /// Returns the time since the last job was accepted or the last request was forwarded.
     pub fn since_last_job(&self) -> Duration {
         let now = self.now();
-        let local = self.read(|s| s.untaken(now));
-        let forwarded = self.forwarder().map(|f| f.read(|f| f.untaken(now)));
+        let local = self.read(|s| s.quiet_time(now));
+        let forwarded = self.forwarder().map(|f| f.read(|f| f.quiet_time(now)));
         forwarded.map_or(local, |span| span.min(local))
     }
 
--- a/lib/src/dispatch/contention/backlog.rs
+++ b/lib/src/dispatch/contention/backlog.rs
@@ -125,7 +125,7 @@
 
 impl PeerBacklogs {
     /// Replaces the backlog of a peer by what it reports now.
-    pub fn note(&mut self, now: Mono, peer: &str, backlog: Backlog) {
+    pub fn record(&mut self, now: Mono, peer: &str, backlog: Backlog) {
         if backlog.is_empty() {
             self.reports.remove(peer);
             return;
--- a/lib/src/dispatch/contention/release.rs
+++ b/lib/src/dispatch/contention/release.rs
@@ -21,7 +21,7 @@
 
 impl ReleaseRate {
     /// Records a run that has ended.
-    pub fn note(&mut self, cpu_milli: u32, ran: Duration) {
+    pub fn record(&mut self, cpu_milli: u32, ran: Duration) {
         self.runs = self.runs.saturating_add(1);
         let weight = MIN_WEIGHT.max(1.0 / f64::from(self.runs));
         let cpu = f64::from(cpu_milli);
--- a/lib/src/dispatch/contention/shares.rs
+++ b/lib/src/dispatch/contention/shares.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records a job that has begun, or was refused before it did.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: Mono,
         priority: u32,
--- a/lib/src/dispatch/contention/tests.rs
+++ b/lib/src/dispatch/contention/tests.rs
@@ -60,7 +60,7 @@
 #[test]
 fn test_peer_backlogs_stale_report() {
     let mut peers = PeerBacklogs::default();
-    peers.note(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
+    peers.record(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
     assert_eq!(peers.estimate_at(at(100), MAX_AGE, 0.0).before(2), 1000);
     assert!(
         peers.estimate_at(at(2000), MAX_AGE, 0.0).is_empty(),
@@ -71,8 +71,8 @@
 #[test]
 fn test_peer_backlogs_lost_link() {
     let mut peers = PeerBacklogs::default();
-    peers.note(at(0), "a", backlog(&[(0, 1000)]));
-    peers.note(at(0), "b", backlog(&[(0, 70)]));
+    peers.record(at(0), "a", backlog(&[(0, 1000)]));
+    peers.record(at(0), "b", backlog(&[(0, 70)]));
     peers.forget("a");
     assert_eq!(peers.estimate_at(at(10), MAX_AGE, 0.0).up_to(0), 70);
 }
@@ -80,7 +80,7 @@
 #[test]
 fn test_peer_backlogs_freed_room() {
     let mut peers = PeerBacklogs::default();
-    peers.note(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
+    peers.record(at(0), "a", backlog(&[(0, 1000), (2, 500)]));
     let left = peers.estimate_at(at(100), MAX_AGE, 12_000.0);
     assert_eq!(left.up_to(0), 0);
     assert_eq!(left.up_to(2), 300);
@@ -89,7 +89,7 @@
 fn release_rate() -> ReleaseRate {
     let mut release = ReleaseRate::default();
     for _ in 0..100 {
-        release.note(2000, ms(200));
+        release.record(2000, ms(200));
     }
     release
 }
@@ -99,7 +99,7 @@
     let rate = release_rate().rate(100_000).expect("enough runs");
     assert!((rate - 500_000.0).abs() < 1.0, "{rate}");
     let mut few = ReleaseRate::default();
-    few.note(2000, ms(200));
+    few.record(2000, ms(200));
     assert_eq!(few.rate(100_000), None);
 }
 
@@ -213,8 +213,8 @@
     let mut shares = Shares::default();
     for n in 0..60 {
         let now = at(u64::from(n));
-        shares.note(now, 0, 5000, true, &policy);
-        shares.note(now, 2, 5000, n % served_of == 0, &policy);
+        shares.record(now, 0, 5000, true, &policy);
+        shares.record(now, 2, 5000, n % served_of == 0, &policy);
     }
     shares
 }
@@ -235,7 +235,7 @@
     let mut shares = Shares::default();
     for n in 0..2000u64 {
         let cpu = 1000 * (1 + n * 7 % 20);
-        shares.note(at(n), 1, cpu, true, &policy);
+        shares.record(at(n), 1, cpu, true, &policy);
     }
     assert!(shares.kind(1, 20_000).large);
     assert!(!shares.kind(1, 12_000).large);
@@ -247,7 +247,7 @@
     let mut shares = shares(60);
     let less_urgent = shares.kind(2, 5000);
     assert!(shares.is_underserved(less_urgent, &policy));
-    shares.note(at(60_000), 0, 5000, true, &policy);
+    shares.record(at(60_000), 0, 5000, true, &policy);
     assert!(!shares.is_underserved(less_urgent, &policy));
 }
 
--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -347,8 +347,11 @@
 
     /// Returns the id of the worker's current incarnation; empty if there is none.
     fn worker_id(&self) -> String {
-        let life = self.worker.as_ref().map(|w| w.heartbeat.life.id.clone());
-        life.unwrap_or_default()
+        let incarnation = self
+            .worker
+            .as_ref()
+            .map(|w| w.heartbeat.incarnation.id.clone());
+        incarnation.unwrap_or_default()
     }
 
     fn capacity(&self) -> Demand {
@@ -397,7 +400,7 @@
         if let Some(id) = self.incarnations.candidate_id() {
             return self.request_lists(id);
         }
-        let (life, seen) = (worker.heartbeat.life.id.clone(), worker.last_end);
+        let (incarnation, seen) = (worker.heartbeat.incarnation.id.clone(), worker.last_end);
         let (deadline_ms, wait) = if worker.reconciled && worker.responsive {
             (
                 self.extend_deadline(now, self.setup.worker_hold),
@@ -407,7 +410,7 @@
             (0, Duration::ZERO)
         };
         self.send_hold(HoldCall {
-            life,
+            incarnation,
             deadline_ms,
             fence: self.fence,
             seen,
@@ -435,16 +438,16 @@
         let id = self
             .saved_heartbeat
             .as_ref()
-            .map(|heartbeat| heartbeat.life.id.clone());
+            .map(|heartbeat| heartbeat.incarnation.id.clone());
         let id = id.unwrap_or_default();
         self.request_lists(id);
     }
 
     /// Requests the lists under an incarnation id that the worker may not have.
-    fn request_lists(&mut self, life: String) {
-        self.probing = Some(life.clone());
+    fn request_lists(&mut self, incarnation: String) {
+        self.probing = Some(incarnation.clone());
         self.send_hold(HoldCall {
-            life,
+            incarnation,
             deadline_ms: 0,
             fence: self.fence,
             seen: 0,
--- a/lib/src/dispatch/executor/hold_replies.rs
+++ b/lib/src/dispatch/executor/hold_replies.rs
@@ -69,7 +69,7 @@
 
     /// Returns whether a hold was addressed to the worker incarnation of the saved heartbeat.
     fn is_saved_incarnation(&self, id: &str) -> bool {
-        let same = |heartbeat: &WorkerHeartbeat| heartbeat.life.id == id;
+        let same = |heartbeat: &WorkerHeartbeat| heartbeat.incarnation.id == id;
         self.worker.is_none() && self.saved_heartbeat.as_ref().is_some_and(same)
     }
 
@@ -80,8 +80,10 @@
             return false;
         };
         let born = *born;
-        let id = heartbeat.life.id.clone();
-        heartbeat.life.is_same_as(&WorkerIncarnation { id, born })
+        let id = heartbeat.incarnation.id.clone();
+        heartbeat
+            .incarnation
+            .is_same_as(&WorkerIncarnation { id, born })
     }
 
     /// Handles a reply that does not confirm the incarnation of the saved heartbeat: discards the heartbeat
@@ -161,7 +163,7 @@
         self.next_hold = now + wait;
         if worker.responsive && (long || refused) {
             worker.responsive = false;
-            let detail = format!("{}: {reply:?}", worker.heartbeat.life);
+            let detail = format!("{}: {reply:?}", worker.heartbeat.incarnation);
             self.log(Kind::WorkerSilent, detail);
         }
         let gone = *reply != HoldReply::NoAnswer && now.since(since) >= orders.gone_after;
@@ -239,7 +241,7 @@
             (RunEnd::Done, _) => EndKind::Done,
             (RunEnd::Failed, _) => EndKind::Failed,
             (_, RunState::Stopping { why, .. }) => why,
-            (RunEnd::Stopped | RunEnd::Lapsed, _) => EndKind::Lost,
+            (RunEnd::Stopped | RunEnd::Expired, _) => EndKind::Lost,
         };
         self.update_health(now, &row, kind);
         self.finish_run(now, row.run.task, kind, row.checkpoint);
--- a/lib/src/dispatch/executor/incarnations.rs
+++ b/lib/src/dispatch/executor/incarnations.rs
@@ -62,7 +62,7 @@
     pub fn candidate_id(&self) -> Option<String> {
         self.candidate
             .as_ref()
-            .map(|(heartbeat, _)| heartbeat.life.id.clone())
+            .map(|(heartbeat, _)| heartbeat.incarnation.id.clone())
     }
 
     /// Returns whether there is a candidate that the worker was not asked about yet. Its hold is sent at
@@ -74,14 +74,15 @@
     }
 
     fn is_candidate(&self, id: &str) -> bool {
-        let same = |(heartbeat, _): &(WorkerHeartbeat, u32)| heartbeat.life.id == id;
+        let same = |(heartbeat, _): &(WorkerHeartbeat, u32)| heartbeat.incarnation.id == id;
         self.candidate.as_ref().is_some_and(same)
     }
 
     /// Sets the candidate, unless a later heartbeat of the same incarnation is known.
     fn set_candidate(&mut self, heartbeat: WorkerHeartbeat) {
         let later = |(known, _): &(WorkerHeartbeat, u32)| {
-            known.life.is_same_as(&heartbeat.life) && known.sequence > heartbeat.sequence
+            known.incarnation.is_same_as(&heartbeat.incarnation)
+                && known.sequence > heartbeat.sequence
         };
         if !self.candidate.as_ref().is_some_and(later) {
             self.candidate = Some((heartbeat, 0));
@@ -138,11 +139,16 @@
     /// Handles a heartbeat.
     pub fn handle_heartbeat(&mut self, now: Mono, heartbeat: WorkerHeartbeat) {
         match &self.worker {
-            None if self.incarnations.is_past(&heartbeat.life) => {
+            None if self.incarnations.is_past(&heartbeat.incarnation) => {
                 self.restore_worker(now, heartbeat)
             }
             None => self.begin_incarnation(now, heartbeat),
-            Some(worker) if !worker.heartbeat.life.is_same_as(&heartbeat.life) => {
+            Some(worker)
+                if !worker
+                    .heartbeat
+                    .incarnation
+                    .is_same_as(&heartbeat.incarnation) =>
+            {
                 self.incarnations.set_candidate(heartbeat)
             }
             Some(_) => self.update_heartbeat(now, heartbeat),
@@ -157,14 +163,14 @@
             return;
         };
         let (before, first) = (worker.heartbeat.clone(), worker.last_heartbeat.is_none());
-        let (incarnation, sequence) = (heartbeat.life.clone(), heartbeat.sequence);
+        let (incarnation, sequence) = (heartbeat.incarnation.clone(), heartbeat.sequence);
         let accepted = worker.accept_heartbeat(now, heartbeat, interval);
         let drains = worker.heartbeat.draining && !before.draining;
         let same = worker.heartbeat.has_same_profile(&before);
         if !accepted {
             let detail = format!(
                 "{incarnation} number {sequence}; {} number {}",
-                before.life, before.sequence
+                before.incarnation, before.sequence
             );
             self.reject_heartbeat(detail);
         }
@@ -208,7 +214,7 @@
             id: self.worker_id(),
             born,
         };
-        let other = |worker: &Worker| !worker.heartbeat.life.is_same_as(&answering);
+        let other = |worker: &Worker| !worker.heartbeat.incarnation.is_same_as(&answering);
         self.worker.as_ref().is_some_and(other)
     }
 
@@ -223,25 +229,26 @@
         match &reply {
             HoldReply::Lists { born, .. } => {
                 let answering = WorkerIncarnation {
-                    id: heartbeat.life.id.clone(),
+                    id: heartbeat.incarnation.id.clone(),
                     born: *born,
                 };
-                let present = self.worker.as_ref().map(|w| &w.heartbeat.life);
+                let present = self.worker.as_ref().map(|w| &w.heartbeat.incarnation);
                 if present.is_some_and(|present| present.is_same_as(&answering)) {
                     self.reject_heartbeat(format!(
                         "{} is not the current incarnation",
-                        heartbeat.life
+                        heartbeat.incarnation
                     ));
-                } else if heartbeat.life.is_same_as(&answering) {
+                } else if heartbeat.incarnation.is_same_as(&answering) {
                     self.switch_incarnation(now, heartbeat, Some(now), &reply);
                 } else {
                     self.adopt_unannounced(now, answering, &reply);
                 }
                 return Some(reply);
             }
-            HoldReply::WrongLife => {
-                self.reject_heartbeat(format!("{} is not the current incarnation", heartbeat.life))
-            }
+            HoldReply::WrongLife => self.reject_heartbeat(format!(
+                "{} is not the current incarnation",
+                heartbeat.incarnation
+            )),
             HoldReply::Fenced if asked + 1 < MAX_ATTEMPTS => {
                 self.raise_fence();
                 self.incarnations.candidate = Some((heartbeat, asked + 1));
@@ -253,7 +260,7 @@
             HoldReply::Fenced | HoldReply::NoAnswer | HoldReply::Unreachable => {
                 self.reject_heartbeat(format!(
                     "{}: the worker does not answer in this incarnation",
-                    heartbeat.life
+                    heartbeat.incarnation
                 ));
             }
         }
@@ -272,7 +279,7 @@
             return;
         };
         let heartbeat = WorkerHeartbeat {
-            life: incarnation,
+            incarnation,
             draining: false,
             sequence: 0,
             ..worker.heartbeat.clone()
@@ -290,14 +297,14 @@
         last_heartbeat: Option<Mono>,
         reply: &HoldReply,
     ) {
-        let same_id = self.worker_id() == heartbeat.life.id;
+        let same_id = self.worker_id() == heartbeat.incarnation.id;
         let kept = if same_id {
             self.surviving_runs(reply)
         } else {
             Vec::new()
         };
         self.record_crash(now, &kept);
-        self.end_incarnation(now, "another life has registered", &kept);
+        self.end_incarnation(now, "another incarnation has registered", &kept);
         self.adopt_worker(now, heartbeat, last_heartbeat);
     }
 
@@ -360,13 +367,13 @@
         heartbeat: WorkerHeartbeat,
         last_heartbeat: Option<Mono>,
     ) {
-        let detail = format!("{} of {}", heartbeat.life, heartbeat.service);
+        let detail = format!("{} of {}", heartbeat.incarnation, heartbeat.service);
         self.log(Kind::WorkerUp, detail);
         if heartbeat.draining {
-            self.log(Kind::WorkerDraining, heartbeat.life.to_string());
+            self.log(Kind::WorkerDraining, heartbeat.incarnation.to_string());
         }
         self.health = Health::new(self.setup.policy.health);
-        self.speed.begin_life();
+        self.speed.begin_incarnation();
         self.unreconciled_since = now;
         self.worker = Some(Worker {
             heartbeat,
@@ -400,7 +407,7 @@
         let Some(worker) = &self.worker else {
             return;
         };
-        let incarnation = worker.heartbeat.life.clone();
+        let incarnation = worker.heartbeat.incarnation.clone();
         self.log(Kind::WorkerDown, incarnation.to_string());
         self.log_lost_runs(now, cause, kept);
         self.incarnations.end(incarnation);
--- a/lib/src/dispatch/executor/preemption.rs
+++ b/lib/src/dispatch/executor/preemption.rs
@@ -154,7 +154,7 @@
         }
         let runs = self.preemptible_runs(now);
         let limits = self.preemption_limits(now);
-        let more = preemption::preemptible(now, MOST_URGENT, &runs, limits, &policy);
+        let more = preemption::preemptible_cpu(now, MOST_URGENT, &runs, limits, &policy);
         self.preempted_cpu() + more
     }
 
--- a/lib/src/dispatch/executor/reports.rs
+++ b/lib/src/dispatch/executor/reports.rs
@@ -255,7 +255,7 @@
             };
         };
         proto::Profile {
-            worker: worker.heartbeat.life.id.clone(),
+            worker: worker.heartbeat.incarnation.id.clone(),
             service: worker.heartbeat.service.clone(),
             capacity: Some(worker.heartbeat.capacity.proto()),
             labels: worker.heartbeat.labels.clone(),
--- a/lib/src/dispatch/executor/runs.rs
+++ b/lib/src/dispatch/executor/runs.rs
@@ -201,7 +201,7 @@
         if queued.spread == 0 {
             return true;
         }
-        let same = self.runs.keys().filter(|t| t.same_step(queued.task));
+        let same = self.runs.keys().filter(|t| t.is_same_step(queued.task));
         same.count() < queued.spread as usize
     }
 
@@ -241,7 +241,7 @@
         let deadline_ms = self.extend_deadline(now, self.setup.policy.orders.start_within);
         let run = &self.runs[&task];
         let call = StartCall {
-            life: self.worker_id(),
+            incarnation: self.worker_id(),
             run: RunName { task, run: run.run },
             spec: run.spec.clone(),
             deadline_ms,
@@ -353,8 +353,9 @@
 
     pub(super) fn send_stop(&mut self, name: RunName) {
         self.counts.stops += 1;
-        let life = self.worker_id();
-        self.actions.push(Action::Stop(life, name, self.fence));
+        let incarnation = self.worker_id();
+        self.actions
+            .push(Action::Stop(incarnation, name, self.fence));
     }
 
     /// Handles the reply to a stop.
@@ -425,7 +426,7 @@
             return;
         };
         self.allocated = subtract(self.allocated, run.demand);
-        self.timings.note(kind.word(), now.since(run.started_at));
+        self.timings.record(kind.word(), now.since(run.started_at));
         self.count_preempted(now, &run, kind);
         match kind {
             EndKind::Done => self.counts.done += 1,
--- a/lib/src/dispatch/executor/worker_api.rs
+++ b/lib/src/dispatch/executor/worker_api.rs
@@ -47,7 +47,7 @@
 pub struct WorkerHeartbeat {
     /// The worker's current incarnation.
     #[serde(flatten)]
-    pub life: WorkerIncarnation,
+    pub incarnation: WorkerIncarnation,
     /// The service that the worker belongs to.
     pub service: String,
     /// Whether the worker is leaving and takes no new tasks.
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartCall {
     /// The id of the worker's incarnation that it is addressed to.
-    pub life: String,
+    pub incarnation: String,
     /// The run to start.
     pub run: RunName,
     /// The specification of the task, opaque here.
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldCall {
     /// The id of the worker's incarnation that it is addressed to; empty if unknown.
-    pub life: String,
+    pub incarnation: String,
     /// The time on the worker's clock until which runs are kept alive, in milliseconds; 0 to list only.
     pub deadline_ms: u64,
     /// The fencing token.
@@ -175,7 +175,7 @@
     /// It was stopped by an order.
     Stopped,
     /// Its keepalive expired, or it was ended in some other way from outside.
-    Lapsed,
+    Expired,
 }
 
 /// The reply to a hold.
--- a/lib/src/dispatch/forwarder.rs
+++ b/lib/src/dispatch/forwarder.rs
@@ -105,7 +105,7 @@
     /// Messages that were sent with them.
     pub frames: u64,
     /// Requests that were sent again, to another scheduler.
-    pub again: u64,
+    pub resent: u64,
     /// Requests for which no scheduler could be reached.
     pub unplaced: u64,
 }
@@ -187,7 +187,7 @@
     }
 
     /// Returns the time since the last request.
-    pub fn untaken(&self, now: Mono) -> Duration {
+    pub fn quiet_time(&self, now: Mono) -> Duration {
         now.since(self.last_request)
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Returns the numbers of requests without an answer, of links that are up and of partitions.
-    pub fn load(&self) -> [usize; 3] {
+    pub fn gauges(&self) -> [usize; 3] {
         [
             self.calls.len(),
             self.by_link.len(),
--- a/lib/src/dispatch/forwarder/calls.rs
+++ b/lib/src/dispatch/forwarder/calls.rs
@@ -140,7 +140,7 @@
             return;
         };
         call.sent_at = Some(now);
-        self.counts.again += u64::from(call.sent_before);
+        self.counts.resent += u64::from(call.sent_before);
         let forward = call.proto(now, caller);
         let target = &mut self.targets[key];
         target.enqueue(now, forward);
--- a/lib/src/dispatch/model.rs
+++ b/lib/src/dispatch/model.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether both tasks belong to the same step and the same occurrence of a job.
-    pub fn same_step(self, other: TaskName) -> bool {
+    pub fn is_same_step(self, other: TaskName) -> bool {
         self.job == other.job && self.occurrence == other.occurrence && self.step == other.step
     }
 }
--- a/lib/src/dispatch/preemption.rs
+++ b/lib/src/dispatch/preemption.rs
@@ -126,7 +126,7 @@
 
 /// Returns the room of the runs that may be stopped now for a task of `priority`, within `limits`, in
 /// thousandths of a core.
-pub fn preemptible<K>(
+pub fn preemptible_cpu<K>(
     now: Mono,
     priority: u32,
     runs: &[PreemptibleRun<K>],
--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -55,7 +55,7 @@
 use crate::dispatch::scheduler::contention::Contention;
 use crate::dispatch::scheduler::executor_view::ExecutorView;
 use crate::dispatch::scheduler::fleet::ExecutorKey;
-use crate::dispatch::scheduler::followed_jobs::Following;
+use crate::dispatch::scheduler::followed_jobs::FollowedJob;
 use crate::dispatch::scheduler::followed_jobs::SentCancel;
 use crate::dispatch::scheduler::jobs::Job;
 use crate::dispatch::scheduler::leases::Leases;
@@ -142,7 +142,7 @@
     /// Recently ended jobs, kept for `claims.memory`.
     ended: BTreeMap<JobNumber, Ended>,
     /// Jobs run by peers whose outcome callers here wait for.
-    following: BTreeMap<JobNumber, Following>,
+    following: BTreeMap<JobNumber, FollowedJob>,
     /// Recent cancels that were passed on to peers; repeated if a link is lost.
     cancels_sent: Vec<SentCancel>,
     /// When a peer reported that it no longer has a job; kept for one lapse.
@@ -155,7 +155,7 @@
     /// Keys of the executors by name.
     executor_keys: HashMap<String, ExecutorKey>,
     /// The remote process of each link.
-    ends: HashMap<LinkId, LinkEnd>,
+    link_ends: HashMap<LinkId, LinkEnd>,
     /// Executors with collected orders that may not have been sent yet.
     pending: Vec<ExecutorKey>,
     /// Whether the next flush checks all executors and peers for due heartbeats.
@@ -179,7 +179,7 @@
     unreachable_stale: bool,
     /// The latest time at which a peer may have taken a job without this scheduler being told: a peer was not
     /// heard, was found to have the same job, or this process was paused.
-    gap: Mono,
+    last_gap: Mono,
     /// The names of all executors that the store lists, once known.
     roster: Option<BTreeSet<String>>,
     roster_sync: RosterSync,
@@ -194,7 +194,7 @@
     time_ratios: HashMap<String, f64>,
     /// When the process will end, once it is leaving.
     leaving: Option<Mono>,
-    last_taken: Mono,
+    last_accepted: Mono,
     rng: SmallRng,
     counts: SchedulerCounts,
     timings: JobTimings,
@@ -225,7 +225,7 @@
             announced: Announcements::default(),
             executors: SlotMap::with_key(),
             executor_keys: HashMap::new(),
-            ends: HashMap::new(),
+            link_ends: HashMap::new(),
             pending: Vec::new(),
             flush_all: true,
             leases: Leases::default(),
@@ -239,7 +239,7 @@
             loads: Loads::default(),
             unreachable_peers: BTreeSet::new(),
             unreachable_stale: false,
-            gap: Mono::default(),
+            last_gap: Mono::default(),
             roster: None,
             roster_sync: RosterSync::default(),
             claims_settled: false,
@@ -248,7 +248,7 @@
             zones_flushed: 0,
             time_ratios: HashMap::new(),
             leaving: None,
-            last_taken: Mono::default(),
+            last_accepted: Mono::default(),
             rng,
             counts: SchedulerCounts::default(),
             timings: JobTimings::default(),
@@ -277,7 +277,7 @@
     /// not count as signs of life.
     fn drop_links(&mut self) {
         self.log(Kind::Paused, self.setup.name.clone());
-        self.gap = self.now;
+        self.last_gap = self.now;
         self.active_since = self.now;
         let keys: Vec<ExecutorKey> = self.executors.keys().collect();
         for key in keys {
@@ -347,8 +347,8 @@
     }
 
     /// Returns how long ago the last job was accepted.
-    pub fn untaken(&self, now: Mono) -> Duration {
-        now.since(self.last_taken)
+    pub fn quiet_time(&self, now: Mono) -> Duration {
+        now.since(self.last_accepted)
     }
 
     /// Gives up all jobs and answers every waiting caller, so that the process can exit.
@@ -401,7 +401,7 @@
         let own = (&self.setup.name, &self.setup.address);
         let others = members.into_iter();
         let others = others.filter(|m| m.name != *own.0 && m.address != *own.1);
-        let fresh: Vec<proto::Member> = others.filter(|m| self.members.note(m)).collect();
+        let fresh: Vec<proto::Member> = others.filter(|m| self.members.add(m)).collect();
         if !fresh.is_empty() {
             self.actions.push(Action::Dial(fresh));
         }
--- a/lib/src/dispatch/scheduler/announcements.rs
+++ b/lib/src/dispatch/scheduler/announcements.rs
@@ -23,7 +23,7 @@
 
 impl Announcements {
     /// Records that a peer holds a job.
-    pub fn note(&mut self, number: JobNumber, peer: &str, at: Mono) {
+    pub fn record(&mut self, number: JobNumber, peer: &str, at: Mono) {
         let known = self.by_job.entry(number).or_default();
         known.retain(|a| a.peer != peer);
         let peer = peer.to_owned();
--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use super::Scheduler;
-use super::followed_jobs::Following;
+use super::followed_jobs::FollowedJob;
 use super::jobs::Job;
 use super::jobs::Phase;
 use super::peers::Peer;
@@ -158,8 +158,8 @@
             key,
             waiting: self.loads.peers[name].waiting_up_to(priority),
         });
-        let mut spread = Balancer::new(self.waiting_up_to(priority), loads.collect());
-        if !spread.is_overloaded(self.setup.policy.balance.uneven) {
+        let mut balancer = Balancer::new(self.waiting_up_to(priority), loads.collect());
+        if !balancer.is_overloaded(self.setup.policy.balance.uneven) {
             return 0;
         }
         let last = self.waiting.iter().rev();
@@ -170,7 +170,7 @@
         let mut count = 0;
         for number in candidates {
             let size = self.jobs[&number].ready_cpu();
-            if let Some(key) = spread.assign(size, &mut self.rng) {
+            if let Some(key) = balancer.assign(size, &mut self.rng) {
                 self.hand_off_waiting(number, &names[key]);
                 count += 1;
             }
@@ -220,23 +220,23 @@
         let call = &job.request.call;
         let detail = format!("{number} to {name} after {waited} ms request {call}");
         self.log(Kind::JobRebalanced, detail);
-        self.counts.handed += 1;
+        self.counts.handoffs_sent += 1;
         if let Some(load) = self.loads.peers.get_mut(name) {
             *load.waiting.entry(job.priority).or_default() += job.ready_cpu();
         }
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.hand(proto::HandedJob {
+            peer.queue_handoff(proto::HandedJob {
                 waited_ms: waited,
                 ..job.request.proto()
             });
         }
         // Callers that submit the job again here, before the peer has announced it, follow it there.
-        self.announced.note(number, name, self.now);
-        let following = Following {
+        self.announced.record(number, name, self.now);
+        let following = FollowedJob {
             peer: name.to_owned(),
             callers: job.callers,
             request: job.request,
-            handed: true,
+            handed_off: true,
         };
         self.following.insert(number, following);
     }
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -68,7 +68,7 @@
 
 impl Bulkheads {
     /// Records that tasks of a queue were sent to an executor.
-    pub fn note_start(&mut self, now: Mono, queue: &str) {
+    pub fn record_start(&mut self, now: Mono, queue: &str) {
         if let Some(starts) = self.starts.get_mut(queue) {
             let count = starts.count_at(now) + 1.0;
             *starts = Starts { at: now, count };
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -103,16 +103,16 @@
     pub(super) fn needs_reclaim(&self, job: &Job) -> bool {
         let now = self.now;
         now.since(job.exclusive_since) >= self.setup.policy.claims.again_after
-            && self.gap > job.exclusive_since
+            && self.last_gap > job.exclusive_since
     }
 
     /// Records whether some peer is not heard at present.
-    pub(super) fn note_unheard_peers(&mut self) {
+    pub(super) fn record_unheard_peers(&mut self) {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
         let unheard = |p: &Peer| now.since(p.last_heard) >= bound;
         if self.peers.values().any(unheard) {
-            self.gap = now;
+            self.last_gap = now;
         }
     }
 
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -52,9 +52,9 @@
     /// The local backlog, as of `summed_at`.
     own: Backlog,
     summed_at: Mono,
-    drain: ReleaseRate,
+    release_rate: ReleaseRate,
     shares: Shares,
-    returns: RetrySchedule,
+    retry_schedule: RetrySchedule,
     /// The moving mean of the CPU that a job needs to begin.
     mean_need: f64,
     /// Since when work has been waiting, here or at a peer. Cleared once the backlog counts as cleared.
@@ -76,8 +76,8 @@
     }
 
     /// Records a run that has ended by itself.
-    pub fn note_run(&mut self, cpu_milli: u32, ran: Duration) {
-        self.drain.note(cpu_milli, ran);
+    pub fn record_run(&mut self, cpu_milli: u32, ran: Duration) {
+        self.release_rate.record(cpu_milli, ran);
     }
 
     /// Drops the backlog of a peer whose link is lost.
@@ -107,7 +107,7 @@
         let policy = self.setup.policy;
         let most = policy.admission.round_jobs as usize;
         let numbers: Vec<JobNumber> = self.waiting.iter().take(most).map(|w| w.2).collect();
-        self.note_unheard_peers();
+        self.record_unheard_peers();
         self.refresh_cell();
         self.allowed_executors = None;
         let free = self.free_cell_cpu();
@@ -136,10 +136,10 @@
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
-        let entrant = self.entrant(job);
+        let pending_job = self.pending_job(job);
         let elsewhere = backlog.before(job.priority);
-        if let Some(entrant) = &entrant
-            && round.decide(entrant, elsewhere) == RoundDecision::Yield
+        if let Some(pending_job) = &pending_job
+            && round.decide(pending_job, elsewhere) == RoundDecision::Yield
         {
             return;
         }
@@ -152,21 +152,21 @@
             return;
         }
         self.borrow_executors();
-        if let Some(entrant) = &entrant
+        if let Some(pending_job) = &pending_job
             && !confined
         {
             match after < before {
                 true => round.record_partial(),
                 // The job waits for better workers by choice. The jobs behind it may use only the others.
-                false if self.leaves_room(number) => {}
-                false => round.record_miss(entrant),
+                false if self.reserve_executors(number) => {}
+                false => round.record_miss(pending_job),
             }
         }
     }
 
     /// Returns the round's view of a job that has not begun; `None` for a job that has. The work of a begun
     /// job is lost unless it is finished, so it yields to no other job.
-    fn entrant(&self, job: &Job) -> Option<PendingJob> {
+    fn pending_job(&self, job: &Job) -> Option<PendingJob> {
         let (class, latest) = job.waiting_key?;
         if class == BEGUN || class == LATE {
             return None;
@@ -202,7 +202,7 @@
     /// since.
     fn peer_backlog(&self) -> Backlog {
         let age = self.setup.policy.contention.told_age;
-        let rate = self.contention.drain.rate(self.cpu_usage().used);
+        let rate = self.contention.release_rate.rate(self.cpu_usage().used);
         let peers = &self.contention.peers;
         peers.estimate_at(self.now, age, rate.unwrap_or_default())
     }
@@ -266,12 +266,12 @@
             peers: self.peer_backlog().up_to(job.priority),
             need: self.min_start_cpu(job),
             free: usage.free,
-            rate: self.contention.drain.rate(usage.used)?,
+            rate: self.contention.release_rate.rate(usage.used)?,
         })
     }
 
     /// Records that a job has begun (`served`), or was refused or given up before it did.
-    pub(super) fn note_share(&mut self, job: &Job, served: bool) {
+    pub(super) fn record_share(&mut self, job: &Job, served: bool) {
         if !self.is_contention_on() {
             return;
         }
@@ -285,7 +285,7 @@
         state.mean_need += weight * (need as f64 - state.mean_need);
         let policy = &self.setup.policy.contention;
         let shares = &mut state.shares;
-        shares.note(self.now, job.priority, need, served, policy);
+        shares.record(self.now, job.priority, need, served, policy);
     }
 
     /// Returns the retry delay of a caller that is refused, in milliseconds. Under contention it covers the
@@ -298,7 +298,7 @@
             return base;
         }
         let policy = self.setup.policy.contention;
-        let Some(rate) = self.contention.drain.rate(self.cpu_usage().used) else {
+        let Some(rate) = self.contention.release_rate.rate(self.cpu_usage().used) else {
             return base;
         };
         let waiting = self.peer_backlog().cpu_milli() + self.contention.own.cpu_milli();
@@ -307,8 +307,8 @@
         let part = rate * policy.return_share / (1 + linked) as f64;
         let gap = Duration::from_secs_f64((self.contention.mean_need / part).min(60.0));
         let base = Duration::from_millis(u64::from(base));
-        let returns = &mut self.contention.returns;
-        millis(returns.schedule_retry(self.now, wait, gap, base, &policy)) as u32
+        let retry_schedule = &mut self.contention.retry_schedule;
+        millis(retry_schedule.schedule_retry(self.now, wait, gap, base, &policy)) as u32
     }
 
     /// Sums up the local backlog, without jobs that are late.
@@ -342,7 +342,7 @@
     pub(super) fn record_peer_backlog(&mut self, peer: &str, rows: &[proto::Backlog]) {
         if self.is_contention_on() {
             let backlog = Backlog::from_proto(rows);
-            self.contention.peers.note(self.now, peer, backlog);
+            self.contention.peers.record(self.now, peer, backlog);
         }
     }
 
@@ -395,7 +395,7 @@
     pub(super) fn record_rejection(&mut self, job: &Job) {
         if self.is_contention_on() && !job.began {
             self.log_work_ahead(job);
-            self.note_share(job, false);
+            self.record_share(job, false);
         }
     }
 
--- a/lib/src/dispatch/scheduler/evacuations.rs
+++ b/lib/src/dispatch/scheduler/evacuations.rs
@@ -45,7 +45,7 @@
 
     /// Records the state of a zone, and acts on it if it has changed. `origin` names the sender for the log.
     fn record_zone(&mut self, zone: &str, record: ZoneRecord, origin: &str) {
-        if self.zones.note(zone, record) {
+        if self.zones.update(zone, record) {
             self.apply_zone_change(zone, origin);
         }
         self.schedule_zone_updates();
--- a/lib/src/dispatch/scheduler/executor_view.rs
+++ b/lib/src/dispatch/scheduler/executor_view.rs
@@ -70,9 +70,9 @@
     /// Whether its worker is far slower than the other workers or, if speeds are learned, than it usually is.
     pub slow: bool,
     /// The usual slowness of its worker.
-    pub usual: TypicalSlowness,
-    /// When `usual` was last updated.
-    pub judged_at: Mono,
+    pub typical_slowness: TypicalSlowness,
+    /// When `typical_slowness` was last updated.
+    pub slowness_updated_at: Mono,
     /// Whether its last update on this link said that nothing runs there and nothing will be started any
     /// more.
     pub departed: bool,
@@ -127,8 +127,8 @@
             usable_at: Mono::default(),
             asked_at: Mono::default(),
             slow: false,
-            usual: TypicalSlowness::default(),
-            judged_at: now,
+            typical_slowness: TypicalSlowness::default(),
+            slowness_updated_at: now,
             departed: false,
             evacuated: false,
             zone_revision: 0,
--- a/lib/src/dispatch/scheduler/fleet.rs
+++ b/lib/src/dispatch/scheduler/fleet.rs
@@ -31,7 +31,7 @@
         let key = self.find_or_add_executor(greeting);
         let old = self.unlink_executor(key);
         self.actions.extend(old.map(Action::Close));
-        self.ends.insert(link, LinkEnd::Executor(key));
+        self.link_ends.insert(link, LinkEnd::Executor(key));
         let executor = &mut self.executors[key];
         executor.attach_link(now, link, greeting, self.setup.lapse);
         self.leases.add(&executor.profile.leased);
@@ -72,7 +72,7 @@
         self.leases.remove(&executor.profile.leased);
         self.paces.remove(executor.report.pace_percent);
         self.speeds.remove(executor.report.slowness_percent);
-        self.ends.remove(&link);
+        self.link_ends.remove(&link);
         Some(link)
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Applies an update of an executor, and places the tasks that fit afterwards.
-    pub(super) fn executor_update(&mut self, key: ExecutorKey, update: proto::Update) {
+    pub(super) fn apply_executor_update(&mut self, key: ExecutorKey, update: proto::Update) {
         let now = self.now;
         let executor = &mut self.executors[key];
         executor.last_heard = now;
@@ -149,7 +149,7 @@
         }
         self.update_slow_state(key);
         for run in &update.slow {
-            self.move_slow(key, run);
+            self.move_slow_run(key, run);
         }
         match (update.held, self.executors[key].predecessor_until) {
             (_, Some(at)) => self.settle_predecessor(key, at),
@@ -157,7 +157,7 @@
             (None, None) => {}
         }
         for job in update.denied {
-            self.lose_job(JobNumber(job));
+            self.end_claimed_job(JobNumber(job));
         }
         for task in &update.crashed {
             self.handle_crashed_task(task);
--- a/lib/src/dispatch/scheduler/followed_jobs.rs
+++ b/lib/src/dispatch/scheduler/followed_jobs.rs
@@ -25,12 +25,12 @@
 
 /// A job of a peer that callers here wait for.
 #[derive(Clone, Debug)]
-pub(super) struct Following {
+pub(super) struct FollowedJob {
     pub peer: String,
     pub callers: Vec<CallerId>,
     pub request: JobRequest,
     /// Whether this scheduler had accepted the job and handed it off to the peer.
-    pub handed: bool,
+    pub handed_off: bool,
 }
 
 impl Scheduler {
@@ -49,11 +49,11 @@
         if let Some(peer) = self.peers.get_mut(peer_name) {
             peer.outgoing.follow.push(number.0);
         }
-        let following = Following {
+        let following = FollowedJob {
             peer: peer_name.to_owned(),
             callers: vec![caller],
             request,
-            handed: false,
+            handed_off: false,
         };
         self.following.insert(number, following);
     }
@@ -85,7 +85,7 @@
     }
 
     /// Handles a peer's request to report the end of a job of this scheduler.
-    pub(super) fn follow_request(&mut self, name: &str, number: JobNumber) {
+    pub(super) fn handle_follow_request(&mut self, name: &str, number: JobNumber) {
         if let Some(job) = self.jobs.get_mut(&number) {
             // A request that is repeated after a link was lost must not make the end be reported twice.
             if !job.followers.iter().any(|f| f == name) {
@@ -94,7 +94,7 @@
             return;
         }
         let known = self.ended.get(&number).map(|e| e.outcome);
-        self.tell_peer_end(name, number, known.unwrap_or(JobOutcome::Unknown));
+        self.report_end_to_peer(name, number, known.unwrap_or(JobOutcome::Unknown));
     }
 
     /// Handles a peer's report that it has ended a job that callers here wait for.
@@ -131,7 +131,7 @@
         let Some(following) = self.following.remove(&number) else {
             return;
         };
-        if following.handed {
+        if following.handed_off {
             self.record_outcome(number, JobOutcome::Unknown, true);
         }
         let other = self.linked_holder(number);
@@ -149,7 +149,7 @@
         let Some(following) = self.following.remove(&number) else {
             return;
         };
-        if following.handed {
+        if following.handed_off {
             // The peer may have begun the job, so it must never be answered as refused.
             self.record_outcome(number, JobOutcome::Unknown, true);
         }
--- a/lib/src/dispatch/scheduler/handoff.rs
+++ b/lib/src/dispatch/scheduler/handoff.rs
@@ -13,7 +13,7 @@
 
 use super::CallerId;
 use super::Scheduler;
-use super::followed_jobs::Following;
+use super::followed_jobs::FollowedJob;
 use super::peers::Peer;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::model::JobOutcome;
@@ -34,17 +34,17 @@
         };
         let number = request.number;
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.hand(request.proto());
+            peer.queue_handoff(request.proto());
         }
         let detail = format!("{number} to {name} request {}", request.call);
         self.log(Kind::JobHandedOff, detail);
         // A scheduler at which this job is submitted again meanwhile must not take it for a new one.
         self.announce(number);
-        let following = Following {
+        let following = FollowedJob {
             peer: name,
             callers: vec![caller],
             request,
-            handed: true,
+            handed_off: true,
         };
         self.following.insert(number, following);
         Ok(())
@@ -69,14 +69,14 @@
             return;
         }
         if let Some(outcome) = self.known_outcome(number) {
-            return self.tell_peer_end(name, number, outcome);
+            return self.report_end_to_peer(name, number, outcome);
         }
         let others = self.announced.holders(number);
         let others: Vec<&str> = others.filter(|holder| *holder != name).collect();
         let elsewhere = others.iter().any(|holder| self.is_linked(holder));
         let known = !others.is_empty();
         if elsewhere || self.following.contains_key(&number) {
-            return self.tell_peer_end(name, number, JobOutcome::Unknown);
+            return self.report_end_to_peer(name, number, JobOutcome::Unknown);
         }
         let request = JobRequest::from_proto(handed);
         if let Err(error) = request.check() {
@@ -85,11 +85,11 @@
                 format!("{number} handed off by {name}: {error}"),
             );
             let outcome = self.refusal();
-            return self.tell_peer_end(name, number, outcome);
+            return self.report_end_to_peer(name, number, outcome);
         }
         let claim = known || self.may_run_elsewhere();
         let waited = Duration::from_millis(u64::from(handed.waited_ms));
-        self.counts.taken += 1;
+        self.counts.handoffs_accepted += 1;
         self.accept_for_peer(name, request, waited, claim);
         self.place();
     }
--- a/lib/src/dispatch/scheduler/jobs.rs
+++ b/lib/src/dispatch/scheduler/jobs.rs
@@ -95,7 +95,7 @@
     /// Its class and latest start as sorted among the waiting jobs, if it waits.
     pub waiting_key: Option<(u8, Mono)>,
     /// The factor by which its expected work time counts towards the objective.
-    pub stretch: f64,
+    pub extension: f64,
     /// Whether tasks of it waited although there was free capacity, because they would have been late there.
     pub held_back: bool,
     /// The expected time of a task of each step at a worker of mean speed.
@@ -153,7 +153,7 @@
             expires_at,
             preempted_at: None,
             waiting_key: None,
-            stretch: queue.extension.max(1.0),
+            extension: queue.extension.max(1.0),
             held_back: false,
             expected,
             critical_path,
--- a/lib/src/dispatch/scheduler/members.rs
+++ b/lib/src/dispatch/scheduler/members.rs
@@ -23,7 +23,7 @@
 
 impl Members {
     /// Adds a member. Returns whether it is new or has another address than before.
-    pub fn note(&mut self, member: &proto::Member) -> bool {
+    pub fn add(&mut self, member: &proto::Member) -> bool {
         if self.addresses.get(&member.name) == Some(&member.address) {
             return false;
         }
--- a/lib/src/dispatch/scheduler/metrics.rs
+++ b/lib/src/dispatch/scheduler/metrics.rs
@@ -17,15 +17,15 @@
     /// Claims of jobs at the executors.
     pub claims: u64,
     /// Jobs handed off to peers where less work waits.
-    pub handed: u64,
+    pub handoffs_sent: u64,
     /// Jobs accepted that peers handed off.
-    pub taken: u64,
+    pub handoffs_accepted: u64,
     /// Tasks placed.
     pub placed: u64,
     /// Jobs with tasks that waited although there was free capacity, because they would have been late there.
     pub held_back: u64,
     /// Attempts that did not complete their task, by how they ended.
-    pub again: BTreeMap<&'static str, u64>,
+    pub retries: BTreeMap<&'static str, u64>,
     /// Jobs ended, by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
     /// Refusals and failures, by cause.
@@ -76,7 +76,7 @@
     }
 
     /// Returns the numbers of jobs held, jobs that wait, linked executors and linked peers.
-    pub fn load(&self) -> [usize; 4] {
+    pub fn gauges(&self) -> [usize; 4] {
         let linked = self.executors.values().filter(|e| e.link.is_some());
         let peers = self.peers.values().filter(|p| p.link.is_some());
         [
@@ -88,7 +88,7 @@
     }
 
     /// Returns the numbers of executors in the cell, and of those lent to it.
-    pub fn cell(&self) -> [usize; 2] {
+    pub fn cell_sizes(&self) -> [usize; 2] {
         let executors = self
             .cell
             .executors
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -68,7 +68,7 @@
     /// Updates whether an executor that has just reported is slow: by its own usual slowness if that is
     /// known, else by the paces of the others.
     pub(super) fn update_slow_state(&mut self, key: ExecutorKey) {
-        if self.judge_usual(key) {
+        if self.update_degraded_state(key) {
             return;
         }
         let median = self.paces.median();
@@ -103,7 +103,7 @@
 
     /// Handles the report of a slow run: stops it, so that it is placed elsewhere, if it would be late here,
     /// in time there, and another worker has the free capacity.
-    pub(super) fn move_slow(&mut self, key: ExecutorKey, run: &proto::SlowRun) {
+    pub(super) fn move_slow_run(&mut self, key: ExecutorKey, run: &proto::SlowRun) {
         let policy = self.setup.policy.health;
         let Some(task) = &run.task else {
             return;
--- a/lib/src/dispatch/scheduler/peer_links.rs
+++ b/lib/src/dispatch/scheduler/peer_links.rs
@@ -17,9 +17,13 @@
 use crate::protos::dispatch as proto;
 
 /// Unregisters links and has them closed.
-fn close_links(links: Vec<LinkId>, ends: &mut HashMap<LinkId, LinkEnd>, actions: &mut Vec<Action>) {
+fn close_links(
+    links: Vec<LinkId>,
+    link_ends: &mut HashMap<LinkId, LinkEnd>,
+    actions: &mut Vec<Action>,
+) {
     for link in links {
-        ends.remove(&link);
+        link_ends.remove(&link);
         actions.push(Action::Close(link));
     }
 }
@@ -35,7 +39,7 @@
         }
         let introduction = self.introduction(&greeting.name);
         let end = LinkEnd::Peer(greeting.name.clone());
-        self.ends.insert(link, end);
+        self.link_ends.insert(link, end);
         let peer = self.peers.entry(greeting.name.clone()).or_default();
         let old = peer.link.replace(link);
         peer.spare_links.extend(old);
@@ -140,7 +144,7 @@
     fn disconnect_peer(&mut self, name: &str) {
         if let Some(peer) = self.peers.get_mut(name) {
             let closing: Vec<LinkId> = peer.spare_links.drain(..).chain(peer.link.take()).collect();
-            close_links(closing, &mut self.ends, &mut self.actions);
+            close_links(closing, &mut self.link_ends, &mut self.actions);
         }
         self.peer_down(name);
     }
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -107,7 +107,7 @@
     }
 
     /// Hands a job off to it. The update is urgent.
-    pub fn hand(&mut self, job: proto::HandedJob) {
+    pub fn queue_handoff(&mut self, job: proto::HandedJob) {
         self.outgoing.handed.push(job);
     }
 
@@ -154,7 +154,7 @@
     /// registered.
     pub fn link_down(&mut self, now: Mono, link: LinkId) {
         self.advance_clock(now);
-        match self.ends.remove(&link) {
+        match self.link_ends.remove(&link) {
             Some(LinkEnd::Executor(key)) => self.executor_down(key),
             Some(LinkEnd::Peer(name)) => self.peer_link_down(&name, link),
             None => {}
@@ -167,15 +167,15 @@
         self.advance_clock(now);
         match body {
             proto::frame::Body::Update(update) => {
-                if let Some(LinkEnd::Executor(key)) = self.ends.get(&link) {
+                if let Some(LinkEnd::Executor(key)) = self.link_ends.get(&link) {
                     let key = *key;
-                    self.executor_update(key, update);
+                    self.apply_executor_update(key, update);
                 }
             }
             proto::frame::Body::Peer(update) => {
-                if let Some(LinkEnd::Peer(name)) = self.ends.get(&link) {
+                if let Some(LinkEnd::Peer(name)) = self.link_ends.get(&link) {
                     let name = name.clone();
-                    self.peer_update(&name, update);
+                    self.apply_peer_update(&name, update);
                 }
             }
             _ => {}
@@ -206,9 +206,9 @@
     }
 
     /// Applies an update of a peer.
-    fn peer_update(&mut self, name: &str, update: proto::PeerUpdate) {
+    fn apply_peer_update(&mut self, name: &str, update: proto::PeerUpdate) {
         let now = self.now;
-        self.note_unheard_peers();
+        self.record_unheard_peers();
         if let Some(peer) = self.peers.get_mut(name) {
             peer.last_heard = now;
             peer.has_reported = true;
@@ -221,10 +221,10 @@
         self.record_peer_load(name, &update);
         for job in update.jobs {
             self.mark_contested(JobNumber(job));
-            self.announced.note(JobNumber(job), name, now);
+            self.announced.record(JobNumber(job), name, now);
         }
         for job in update.follow {
-            self.follow_request(name, JobNumber(job));
+            self.handle_follow_request(name, JobNumber(job));
         }
         for end in update.ends {
             let outcome = JobOutcome::from_code(end.outcome);
@@ -270,7 +270,12 @@
     }
 
     /// Reports the outcome of a job to a peer that follows it.
-    pub(super) fn tell_peer_end(&mut self, name: &str, number: JobNumber, outcome: JobOutcome) {
+    pub(super) fn report_end_to_peer(
+        &mut self,
+        name: &str,
+        number: JobNumber,
+        outcome: JobOutcome,
+    ) {
         if let Some(peer) = self.peers.get_mut(name) {
             let (job, outcome) = (number.0, outcome.code());
             peer.outgoing.ends.push(proto::JobEnd { job, outcome });
@@ -309,7 +314,7 @@
     fn mark_contested(&mut self, number: JobNumber) {
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(&number) {
-            self.gap = now;
+            self.last_gap = now;
             job.exclusive_since = Mono::default();
         }
     }
--- a/lib/src/dispatch/scheduler/placement.rs
+++ b/lib/src/dispatch/scheduler/placement.rs
@@ -106,7 +106,7 @@
             .take(limit)
             .map(|w| (w.0, w.2))
             .collect();
-        self.note_unheard_peers();
+        self.record_unheard_peers();
         self.refresh_cell();
         self.allowed_executors = None;
         for (class, number) in numbers {
@@ -126,7 +126,11 @@
             if !whole {
                 self.borrow_executors();
             }
-            if matches!(class, URGENT | FRESH) && !whole && !confined && !self.leaves_room(number) {
+            if matches!(class, URGENT | FRESH)
+                && !whole
+                && !confined
+                && !self.reserve_executors(number)
+            {
                 break;
             }
         }
@@ -141,7 +145,7 @@
         let before = std::mem::take(&mut job.held_back);
         let plan = self.plan(&mut job);
         if job.held_back && !before {
-            self.hold_back(number);
+            self.record_held_back(number);
         }
         let ready = job.tasks.iter().filter(|t| t.state == TaskState::Ready);
         let fits_most =
@@ -179,7 +183,7 @@
         for step in 0..job.request.steps.len() as u32 {
             self.plan_step(job, step, &mut free, &mut plan);
         }
-        self.plan_preempting(job, &mut plan);
+        self.plan_preemptions(job, &mut plan);
         plan
     }
 
@@ -202,7 +206,7 @@
         let mut next = 0;
         while next < ready_tasks.len() {
             let avoid = job.tasks[ready_tasks[next]].avoid;
-            let chosen = self.choose(job, step, avoid, free, plan);
+            let chosen = self.choose_executor(job, step, avoid, free, plan);
             let Some((key, trial)) = chosen.place else {
                 job.held_back |= chosen.held_back;
                 return;
@@ -248,7 +252,7 @@
                 used.push(at);
             }
         }
-        self.note_preempting(job, plan);
+        self.record_preemptions(job, plan);
         for (step, key) in used {
             let here = |p: &&TaskPlacement| p.step == step && p.key == key;
             let preempts = plan.iter().filter(here).any(|p| p.preempts);
@@ -276,7 +280,7 @@
                     attempt: task.attempts,
                     checkpoint: task.checkpoint.clone(),
                     crashes: task.crashes.proto(),
-                    stops: job.stops_left(task, &self.setup.policy.preemption),
+                    stops: job.preemptions_left(task, &self.setup.policy.preemption),
                 });
             }
         }
@@ -284,17 +288,18 @@
             return;
         }
         self.counts.placed += starts.len() as u64;
-        self.bulkheads.note_start(now, &job.request.queue);
+        self.bulkheads.record_start(now, &job.request.queue);
         if !job.began {
             let waited = now.since(job.arrived);
-            self.timings.note(&job.request.queue, Stage::Placed, waited);
-            self.note_share(job, true);
+            self.timings
+                .record(&job.request.queue, Stage::Placed, waited);
+            self.record_share(job, true);
         }
         job.began = true;
         let s = &job.request.steps[step as usize];
         let latest = self.latest_at(job, step, key);
         let estimate = self.expected_at(job, step, key);
-        let speed = self.speed_words(job, step, key);
+        let speed = self.describe_speed(job, step, key);
         let slack = now
             .until(latest)
             .max(self.setup.policy.placement.least_slack);
@@ -328,7 +333,7 @@
 
     /// Chooses an executor for a task of a step. Except for trials, one at which the task would be late is
     /// chosen only if it would be late at all others as well, including those without free capacity now.
-    fn choose(
+    fn choose_executor(
         &mut self,
         job: &Job,
         step: u32,
@@ -349,7 +354,7 @@
             }
             let fit = self.fit(job, step, executor);
             can_be_in_time |= matches!(fit, Some(Fit::InTime(_)));
-            if !capacity.holds(s.demand) || !self.is_spared(key) {
+            if !capacity.holds(s.demand) || !self.is_allowed(key) {
                 continue;
             }
             let planned = plan.iter().filter(|p| p.step == step && p.key == key);
--- a/lib/src/dispatch/scheduler/preemption.rs
+++ b/lib/src/dispatch/scheduler/preemption.rs
@@ -18,7 +18,7 @@
 impl Job {
     /// Returns how often runs of a task may still be preempted. A task whose next failure fails its job is
     /// not preempted, because each of its starts may be the last one.
-    pub fn stops_left(&self, task: &Task, policy: &Preemption) -> u32 {
+    pub fn preemptions_left(&self, task: &Task, policy: &Preemption) -> u32 {
         let last = task.failures + 1 >= self.max_attempts;
         if !policy.on || last {
             return 0;
@@ -31,7 +31,7 @@
     /// Adds the tasks of an urgent job that find no free capacity to its plan, at the executors with the most
     /// free and preemptible CPU. Leaves the plan as it was unless all of them fit there and preemption is due
     /// for each.
-    pub(super) fn plan_preempting(&mut self, job: &Job, plan: &mut Vec<TaskPlacement>) {
+    pub(super) fn plan_preemptions(&mut self, job: &Job, plan: &mut Vec<TaskPlacement>) {
         if !self.can_preempt(job) {
             return;
         }
@@ -130,7 +130,7 @@
     }
 
     /// Logs the tasks of a plan for which runs may be preempted, and records the time in the job.
-    pub(super) fn note_preempting(&mut self, job: &mut Job, plan: &[TaskPlacement]) {
+    pub(super) fn record_preemptions(&mut self, job: &mut Job, plan: &[TaskPlacement]) {
         let mut names: Vec<&str> = Vec::new();
         let preempting = plan.iter().filter(|p| p.preempts);
         names.extend(preempting.map(|p| self.executors[p.key].name.as_str()));
--- a/lib/src/dispatch/scheduler/silence.rs
+++ b/lib/src/dispatch/scheduler/silence.rs
@@ -32,13 +32,13 @@
         }
         let recent = |r: &PeerReport| self.now.since(r.at) < self.setup.policy.recovery.silent;
         let peer_report = executor.peer_report.as_ref().filter(|r| recent(r));
-        let silent = executor.link.is_none() || self.does_not_answer(executor);
+        let silent = executor.link.is_none() || self.is_unresponsive(executor);
         silent && peer_report.is_some_and(|r| self.are_all_met(r.owners.iter().copied()))
     }
 
     /// Returns whether a linked executor should have been heard by now and was not. One on standby is heard
     /// seldom unless it is asked for something.
-    fn does_not_answer(&self, executor: &ExecutorView) -> bool {
+    fn is_unresponsive(&self, executor: &ExecutorView) -> bool {
         let asked = executor.asked_at > executor.last_heard;
         let due = executor.last_heard.max(executor.asked_at);
         (asked || !executor.standby) && self.silence(due) >= self.setup.policy.recovery.silent
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -80,7 +80,7 @@
         let after = job.critical_path[step as usize].saturating_sub(expected);
         TaskTiming {
             expected,
-            stretch: job.stretch,
+            extension: job.extension,
             left: self.now.until(job.objective_at - after),
         }
     }
@@ -126,7 +126,7 @@
 
     /// Formats a worker's speed and distance to the data for a log line; empty if tasks are not placed by
     /// speed.
-    pub(super) fn speed_words(&self, job: &Job, step: u32, key: ExecutorKey) -> String {
+    pub(super) fn describe_speed(&self, job: &Job, step: u32, key: ExecutorKey) -> String {
         if !self.is_speed_aware() {
             return String::new();
         }
@@ -142,7 +142,7 @@
     /// Updates whether the worker of an executor that has just reported is degraded, which means far slower
     /// than usual. Returns false, and changes nothing, if its speed is unknown or tasks are not placed by
     /// speed.
-    pub(super) fn judge_usual(&mut self, key: ExecutorKey) -> bool {
+    pub(super) fn update_degraded_state(&mut self, key: ExecutorKey) -> bool {
         let percent = self.executors[key].report.slowness_percent;
         if !self.is_speed_aware() || percent == 0 {
             return false;
@@ -150,10 +150,12 @@
         let now = self.now;
         let policy = self.setup.policy.speeds;
         let executor = &mut self.executors[key];
-        let gap = now.since(executor.judged_at);
-        executor.judged_at = now;
-        executor.usual.note(percent, gap, &policy);
-        let degraded = executor.usual.is_degraded(percent, executor.slow, &policy);
+        let gap = now.since(executor.slowness_updated_at);
+        executor.slowness_updated_at = now;
+        executor.typical_slowness.record(percent, gap, &policy);
+        let degraded = executor
+            .typical_slowness
+            .is_degraded(percent, executor.slow, &policy);
         if degraded != executor.slow {
             executor.slow = degraded;
             let detail = format!("{}: slowness {percent} %", executor.name);
@@ -171,7 +173,7 @@
     /// returns whether there are any. It keeps the other executors to itself, because a steady stream of
     /// patient jobs would keep it waiting otherwise. Returns false, and changes nothing, for a job that does
     /// not wait by choice.
-    pub(super) fn leaves_room(&mut self, number: JobNumber) -> bool {
+    pub(super) fn reserve_executors(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(&number).filter(|j| j.held_back) else {
             return false;
         };
@@ -181,7 +183,7 @@
         };
         let late = |key: &ExecutorKey| {
             let fit = self.fit(job, task.step, &self.executors[*key]);
-            matches!(fit, Some(Fit::Late(_))) && self.is_spared(*key)
+            matches!(fit, Some(Fit::Late(_))) && self.is_allowed(*key)
         };
         let allowed: BTreeSet<ExecutorKey> =
             self.cell.executors.iter().copied().filter(late).collect();
@@ -191,7 +193,7 @@
     }
 
     /// Returns whether the jobs before it in this round allow a job to use an executor.
-    pub(super) fn is_spared(&self, key: ExecutorKey) -> bool {
+    pub(super) fn is_allowed(&self, key: ExecutorKey) -> bool {
         self.allowed_executors
             .as_ref()
             .is_none_or(|keys| keys.contains(&key))
@@ -199,7 +201,7 @@
 
     /// Counts and logs that tasks of a job wait although there is free capacity, because they would be late
     /// there.
-    pub(super) fn hold_back(&mut self, number: JobNumber) {
+    pub(super) fn record_held_back(&mut self, number: JobNumber) {
         self.counts.held_back += 1;
         self.log(Kind::JobHeldBack, number.to_string());
     }
--- a/lib/src/dispatch/scheduler/submission.rs
+++ b/lib/src/dispatch/scheduler/submission.rs
@@ -96,7 +96,7 @@
             Err(rejection) => {
                 self.count_cause(rejection.cause);
                 let outcome = self.refusal();
-                self.tell_peer_end(name, number, outcome);
+                self.report_end_to_peer(name, number, outcome);
             }
         }
     }
@@ -154,7 +154,7 @@
     /// Registers an accepted job, announces it to peers, and claims it or queues its tasks.
     fn insert_job(&mut self, mut job: Job, claim: bool) {
         let number = job.request.number;
-        self.last_taken = self.now;
+        self.last_accepted = self.now;
         job.began_before = self.ended.get(&number).is_some_and(|e| e.began);
         let claim = claim || job.began_before;
         let detail = format!(
@@ -205,7 +205,7 @@
             following.callers.retain(|c| *c != caller);
             if following.callers.is_empty()
                 && let Some(following) = self.following.remove(&number)
-                && following.handed
+                && following.handed_off
             {
                 self.unfollow(&following.peer, number);
             }
@@ -281,7 +281,7 @@
             self.actions.push(Action::Answer(*caller, outcome));
         }
         for peer in &job.followers {
-            self.tell_peer_end(peer, number, outcome);
+            self.report_end_to_peer(peer, number, outcome);
         }
     }
 
@@ -289,10 +289,10 @@
     fn record_duration(&self, job: &Job, outcome: JobOutcome, span: Duration) {
         let stage = match outcome {
             JobOutcome::Completed => Stage::Completed,
-            JobOutcome::Refused(_) | JobOutcome::GivenUp => Stage::TurnedAway,
+            JobOutcome::Refused(_) | JobOutcome::GivenUp => Stage::Rejected,
             JobOutcome::Failed | JobOutcome::Cancelled | JobOutcome::Unknown => return,
         };
-        self.timings.note(&job.request.queue, stage, span);
+        self.timings.record(&job.request.queue, stage, span);
     }
 
     /// Describes the known free capacity, for the log line of a rejected job.
--- a/lib/src/dispatch/scheduler/task_ends.rs
+++ b/lib/src/dispatch/scheduler/task_ends.rs
@@ -92,7 +92,7 @@
             return;
         };
         let step = &job.request.steps[name.step as usize];
-        self.contention.note_run(step.demand.cpu_milli, ran);
+        self.contention.record_run(step.demand.cpu_milli, ran);
         if step.estimate_ms == 0 {
             return;
         }
@@ -159,7 +159,7 @@
     fn retry_task(&mut self, key: ExecutorKey, name: TaskName, kind: EndKind) {
         let number = name.job;
         let cause = kind.word();
-        *self.counts.again.entry(cause).or_default() += 1;
+        *self.counts.retries.entry(cause).or_default() += 1;
         let place = self.executors.get(key).map(|e| e.name.clone());
         let place = place.unwrap_or_default();
         self.log(Kind::TaskRetried, format!("{name} at {place}: {cause}"));
@@ -179,7 +179,7 @@
                     return self.end_job(number, JobOutcome::Failed, "attempts");
                 }
             }
-            EndKind::Claimed => return self.lose_job(number),
+            EndKind::Claimed => return self.end_claimed_job(number),
             EndKind::Unavailable => self.mark_unavailable(key),
             EndKind::Crashed => {
                 task.avoid = Some(key);
@@ -203,7 +203,7 @@
 
     /// Ends a job here that another scheduler has claimed. Its callers follow it there if that scheduler is
     /// linked.
-    pub(super) fn lose_job(&mut self, number: JobNumber) {
+    pub(super) fn end_claimed_job(&mut self, number: JobNumber) {
         if !self.jobs.contains_key(&number) {
             return;
         }
--- a/lib/src/dispatch/speeds.rs
+++ b/lib/src/dispatch/speeds.rs
@@ -77,7 +77,7 @@
 
     /// Starts a new incarnation of the worker. The earlier estimate counts as a few runs only, so that a
     /// machine whose speed has changed is soon recognized.
-    pub fn begin_life(&mut self) {
+    pub fn begin_incarnation(&mut self) {
         self.runs = self.runs.min(f64::from(self.policy.prior_runs));
         self.slower = Drift::default();
         self.faster = Drift::default();
@@ -187,7 +187,7 @@
     /// How long the task is expected to run at a worker of mean speed near its data.
     pub expected: Duration,
     /// The factor by which its objective grows with its work.
-    pub stretch: f64,
+    pub extension: f64,
     /// The time left until the task has to end.
     pub left: Duration,
 }
@@ -202,7 +202,7 @@
     /// expected time is too low by the share `error`. Its objective grows with its work, so that the error
     /// only matters for the time by which the task falls behind that growth.
     pub fn is_in_time(&self, factor: f64, error: f64) -> bool {
-        let behind = self.expected.mul_f64((factor - self.stretch).max(0.0));
+        let behind = self.expected.mul_f64((factor - self.extension).max(0.0));
         self.run_time(factor) + behind.mul_f64(error) <= self.left
     }
 }
@@ -215,7 +215,7 @@
 
 impl TypicalSlowness {
     /// Records a report that arrived `gap` after the previous one.
-    pub fn note(&mut self, percent: u32, gap: Duration, policy: &Speeds) {
+    pub fn record(&mut self, percent: u32, gap: Duration, policy: &Speeds) {
         let now = f64::from(percent);
         if percent == 0 {
             return;
--- a/lib/src/dispatch/speeds/tests.rs
+++ b/lib/src/dispatch/speeds/tests.rs
@@ -71,7 +71,7 @@
     let mut estimate = SpeedEstimate::new(Speeds::default());
     add_runs(&mut estimate, &mut rng, 2.0, 200);
     let before = estimate.percent();
-    estimate.begin_life();
+    estimate.begin_incarnation();
     assert_eq!(estimate.percent(), before);
     add_runs(&mut estimate, &mut rng, 0.8, 12);
     let after = estimate.percent();
@@ -132,7 +132,7 @@
 fn test_task_timing_slow_worker() {
     let of = |work: u64| TaskTiming {
         expected: Duration::from_millis(work),
-        stretch: 1.6,
+        extension: 1.6,
         left: Duration::from_millis(48) + Duration::from_millis(work).mul_f64(1.6),
     };
     assert!(of(50).is_in_time(1.9, 0.4));
@@ -148,13 +148,13 @@
     let heartbeat = Duration::from_millis(100);
     let mut typical = TypicalSlowness::default();
     for _ in 0..100 {
-        typical.note(220, heartbeat, &policy);
+        typical.record(220, heartbeat, &policy);
     }
     assert!(!typical.is_degraded(220, false, &policy));
     assert!(typical.is_degraded(460, false, &policy));
     assert!(typical.is_degraded(400, true, &policy));
     for _ in 0..2000 {
-        typical.note(460, heartbeat, &policy);
+        typical.record(460, heartbeat, &policy);
     }
     assert!(!typical.is_degraded(460, true, &policy));
 }
--- a/lib/src/dispatch/timings.rs
+++ b/lib/src/dispatch/timings.rs
@@ -20,7 +20,7 @@
     /// It was complete.
     Completed,
     /// It was refused or given up.
-    TurnedAway,
+    Rejected,
 }
 
 impl Stage {
@@ -28,7 +28,7 @@
         match self {
             Stage::Placed => "placed",
             Stage::Completed => "completed",
-            Stage::TurnedAway => "turned-away",
+            Stage::Rejected => "turned-away",
         }
     }
 }
@@ -50,7 +50,7 @@
 
 impl JobTimings {
     /// Records that a job of a queue has reached a stage `span` after it was accepted.
-    pub fn note(&self, queue: &str, stage: Stage, span: Duration) {
+    pub fn record(&self, queue: &str, stage: Stage, span: Duration) {
         let labels = [queue, stage.label()];
         let histogram = self.seconds.with_label_values(&labels);
         histogram.observe(span.as_secs_f64());
@@ -79,7 +79,7 @@
 
 impl RunTimings {
     /// Records a run that ended after `span`, where `end` is the label of how it ended.
-    pub fn note(&self, end: &str, span: Duration) {
+    pub fn record(&self, end: &str, span: Duration) {
         let histogram = self.seconds.with_label_values(&[end]);
         histogram.observe(span.as_secs_f64());
     }
--- a/lib/src/dispatch/zones.rs
+++ b/lib/src/dispatch/zones.rs
@@ -50,7 +50,7 @@
 impl Zones {
     /// Stores the record of a zone if it is newer than the known one. Returns whether that starts or lifts
     /// the zone's evacuation.
-    pub fn note(&mut self, zone: &str, record: ZoneRecord) -> bool {
+    pub fn update(&mut self, zone: &str, record: ZoneRecord) -> bool {
         let before = self.records.get(zone).copied().unwrap_or_default();
         if record.revision <= before.revision {
             return false;
@@ -84,7 +84,7 @@
         let records: Vec<(String, ZoneRecord)> = current.chain(lifted).collect();
         let changed = records
             .into_iter()
-            .filter(|(zone, record)| self.note(zone, *record));
+            .filter(|(zone, record)| self.update(zone, *record));
         changed.map(|(zone, _)| zone).collect()
     }
 
--- a/lib/testutils/src/dispatch/worker.rs
+++ b/lib/testutils/src/dispatch/worker.rs
@@ -145,7 +145,7 @@
         work_us: u64,
         fails: bool,
     ) -> (OrderReply, bool) {
-        if call.life != self.life.id {
+        if call.incarnation != self.life.id {
             return (OrderReply::WrongLife, false);
         }
         if call.fence < self.fence {
@@ -198,7 +198,7 @@
 
     /// Carries out a hold.
     pub fn hold(&mut self, now: u64, call: &HoldCall) -> HoldReply {
-        if !self.is_meant(&call.life) {
+        if !self.is_meant(&call.incarnation) {
             return HoldReply::WrongLife;
         }
         if call.fence < self.fence {
@@ -252,7 +252,7 @@
             } else if run.stopping.is_some_and(|at| at <= now) {
                 Some(RunEnd::Stopped)
             } else if lapsed {
-                Some(RunEnd::Lapsed)
+                Some(RunEnd::Expired)
             } else {
                 None
             }
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -578,7 +578,7 @@
 
     /// How many links to executors a scheduler has.
     pub fn executors_linked(&self, scheduler: usize) -> usize {
-        self.schedulers[scheduler].scheduler.load()[2]
+        self.schedulers[scheduler].scheduler.gauges()[2]
     }
 
     /// Whether a process is up.
--- a/lib/testutils/src/dispatch/world/at_workers.rs
+++ b/lib/testutils/src/dispatch/world/at_workers.rs
@@ -166,7 +166,7 @@
         let worker = &mut self.workers[number];
         worker.beats += 1;
         WorkerHeartbeat {
-            life: worker.life.clone(),
+            incarnation: worker.life.clone(),
             service: SERVICE.to_owned(),
             draining: worker.draining,
             capacity: Demand {
@@ -218,7 +218,7 @@
                 job.done.insert(run.task.index);
             }
             RunEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
-            RunEnd::Stopped | RunEnd::Lapsed => {}
+            RunEnd::Stopped | RunEnd::Expired => {}
         }
     }
 
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -164,7 +164,7 @@
                             job.done.insert(run.task.index);
                         }
                         RunEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
-                        RunEnd::Stopped | RunEnd::Lapsed => {}
+                        RunEnd::Stopped | RunEnd::Expired => {}
                     }
                 }
             }
@@ -345,7 +345,7 @@
     body: web::Json<Value>,
 ) -> HttpResponse {
     let call = StartCall {
-        life: life_of(&request, &desk),
+        incarnation: life_of(&request, &desk),
         run: run_name(&body),
         spec: body["spec"].as_str().unwrap_or_default().into(),
         deadline_ms: body["deadlineMs"].as_u64().unwrap_or(0),
@@ -373,7 +373,7 @@
 
 async fn hold(request: HttpRequest, desk: web::Data<Desk>, body: web::Json<Value>) -> HttpResponse {
     let call = HoldCall {
-        life: life_of(&request, &desk),
+        incarnation: life_of(&request, &desk),
         deadline_ms: body["deadlineMs"].as_u64().unwrap_or(0),
         fence: body["fencingToken"].as_u64().unwrap_or(0),
         seen: body["lastSeen"].as_u64().unwrap_or(0),
