--- a/lib/src/dispatch/balance.rs
+++ b/lib/src/dispatch/balance.rs
@@ -46,7 +46,8 @@
     /// handed off counts as waiting there from then on.
     pub fn assign(&mut self, size: u64, rng: &mut impl Rng) -> Option<K> {
         let left = self.own.checked_sub(size)?;
-        // The entry may end up below the mean by up to half of the job: that is nearer to the mean than before.
+        // The entry may end up below the mean by up to half of the job: that is nearer to the mean than
+        // before.
         if left + size / 2 < self.mean {
             return None;
         }
--- a/lib/src/dispatch/contention/release.rs
+++ b/lib/src/dispatch/contention/release.rs
@@ -8,8 +8,8 @@
 /// The number of runs that must have ended before a rate is given.
 const MIN_RUNS: u32 = 20;
 
-/// The rate at which room becomes free: the room in use divided by the mean time that runs hold it, weighted by
-/// their room.
+/// The rate at which room becomes free: the room in use divided by the mean time that runs hold it, weighted
+/// by their room.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReleaseRate {
     runs: u32,
--- a/lib/src/dispatch/contention/shares.rs
+++ b/lib/src/dispatch/contention/shares.rs
@@ -76,7 +76,8 @@
         tally.served += f64::from(u8::from(served));
     }
 
-    /// Returns whether the served share of a kind is below `least_served` times the served share of all others.
+    /// Returns whether the served share of a kind is below `least_served` times the served share of all
+    /// others.
     pub fn is_underserved(&self, kind: Kind, policy: &Contention) -> bool {
         let Some(own) = self.tally(kind) else {
             return false;
--- a/lib/src/dispatch/executor/claims.rs
+++ b/lib/src/dispatch/executor/claims.rs
@@ -23,8 +23,11 @@
 
 impl Executor {
     /// Registers a scheduler's claim of a job and ends the tasks that others have of it; with `includes_own`,
-    /// also those of the claimant. An earlier claim is replaced unless its claimant is linked, has claimed
-    /// the job recently and comes first by name.
+    /// also those of the claimant.
+    ///
+    /// If another scheduler has claimed the job before, one of the two claims is denied: the new one if the
+    /// other scheduler is linked, has the lower name and made its claim within `claims.contest`, and
+    /// otherwise the earlier one, which is replaced.
     pub(super) fn register_claim(
         &mut self,
         now: Mono,
--- a/lib/src/dispatch/forwarder.rs
+++ b/lib/src/dispatch/forwarder.rs
@@ -174,14 +174,14 @@
         self.partitions
     }
 
-    /// Whether the schedulers of every other partition have been read.
+    /// Returns whether the schedulers of every other partition have been read.
     pub fn is_ready(&self) -> bool {
         let own = self.own();
         let mut others = self.partitions.all().filter(|p| *p != own);
         others.all(|p| self.ranked.contains_key(&p))
     }
 
-    /// Whether no caller waits for an answer.
+    /// Returns whether no caller waits for an answer.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
--- a/lib/src/dispatch/forwarder/calls.rs
+++ b/lib/src/dispatch/forwarder/calls.rs
@@ -74,7 +74,7 @@
         self.sent_at.and(self.target)
     }
 
-    /// Whether the caller no longer waits for the answer.
+    /// Returns whether the caller no longer waits for the answer.
     fn is_expired(&self, now: Mono) -> bool {
         let Request::Job(request) = &self.request else {
             return false;
--- a/lib/src/dispatch/forwarder/targets.rs
+++ b/lib/src/dispatch/forwarder/targets.rs
@@ -76,7 +76,7 @@
         self.avoided_until = until;
     }
 
-    /// Whether it stays in use although a list of this freshness does not contain it.
+    /// Returns whether it stays in use although a list of this freshness does not contain it.
     pub fn is_retained(&self, freshness: Freshness) -> bool {
         let may_be_alive = freshness == Freshness::Recent && !self.connect_failed;
         self.link.is_some() || may_be_alive
@@ -86,7 +86,7 @@
         self.link.is_some()
     }
 
-    /// Whether requests can be sent to it.
+    /// Returns whether requests can be sent to it.
     pub fn is_linked(&self) -> bool {
         self.link.is_some() && self.has_reported
     }
--- a/lib/src/dispatch/model.rs
+++ b/lib/src/dispatch/model.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether both tasks belong to the same step and the same occurrence of a job.
+    /// Returns whether both tasks belong to the same step and the same occurrence of a job.
     pub fn is_same_step(self, other: TaskName) -> bool {
         self.job == other.job && self.occurrence == other.occurrence && self.step == other.step
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whether this demand fits into `capacity` in addition to `used`.
+    /// Returns whether this demand fits into `capacity` in addition to `used`.
     pub fn fits(self, used: Demand, capacity: Demand) -> bool {
         let sum = self.plus(used);
         sum.cpu_milli <= capacity.cpu_milli
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Whether `demand` fits. A resource that is not requested is not checked, even if it is overcommitted.
+    /// Returns whether `demand` fits. A resource that is not requested is not checked, even if it is
+    /// overcommitted.
     pub fn holds(self, demand: Demand) -> bool {
         let fits = |free: i64, need: u32| need == 0 || i64::from(need) <= free;
         fits(self.cpu_milli, demand.cpu_milli)
--- a/lib/src/dispatch/policy.rs
+++ b/lib/src/dispatch/policy.rs
@@ -1,6 +1,7 @@
 //! The tunable values of the dispatcher: when a job begins, where its tasks go, which timeouts apply and when
-//! work is given up. Each submodule declares the fields of one section, with unit, default, range and meaning;
-//! the `policy` section of a settings file overrides the defaults. `docs/SETTINGS.md` lists all fields.
+//! work is given up. Each submodule declares the fields of one section, with unit, default, range and
+//! meaning; the `policy` section of a settings file overrides the defaults. `docs/SETTINGS.md` lists all
+//! fields.
 //!
 //! A mechanism with an `on` field can be switched off, so that its effect can be measured.
 
--- a/lib/src/dispatch/policy/admission.rs
+++ b/lib/src/dispatch/policy/admission.rs
@@ -35,7 +35,8 @@
         /// A late job that has begun, and of which at most this share of the tasks waits, is placed before
         /// jobs that have not begun, since little of it is left to do.
         finish_share: ratio = 0.25, 0.0..=1.0;
-        /// A late job of which more waits is given up after this long.
+        /// A late job that has begun, and of which more than `finish_share` waits, is given up after this
+        /// long.
         late_wait: ms = 60, 0..=60_000;
         /// The maximum number of jobs that one placement round looks at, which bounds its cost while many
         /// jobs wait.
--- a/lib/src/dispatch/policy/orders.rs
+++ b/lib/src/dispatch/policy/orders.rs
@@ -36,7 +36,8 @@
         ask_soon: ms = 10, 1..=60_000;
         /// The wait before a silent worker is asked again.
         ask_again: ms = 40, 1..=60_000;
-        /// The wait before a silent worker is asked again that keeps no run of this executor alive any more.
+        /// The wait before a silent worker is asked again once all of its runs must have ended, because no
+        /// order keeps them alive any more.
         ask_seldom: ms = 200, 1..=60_000;
     }
 }
--- a/lib/src/dispatch/preemption.rs
+++ b/lib/src/dispatch/preemption.rs
@@ -90,8 +90,8 @@
     }
 }
 
-/// Selects the runs to stop for a task. Returns `None` if preemption is off, if a stop would come too late, or
-/// if the allowed runs that lose least do not free enough room within `limits`.
+/// Selects the runs to stop for a task. Returns `None` if preemption is off, if a stop would come too late,
+/// or if the allowed runs that lose least do not free enough room within `limits`.
 pub fn select_victims<K: Copy>(
     now: Mono,
     wanted: &CapacityRequest,
--- a/lib/src/dispatch/scheduler.rs
+++ b/lib/src/dispatch/scheduler.rs
@@ -2,7 +2,7 @@
 //! their outcomes. Its input is the time, requests and messages on links, its output a list of [`Action`]s;
 //! it performs no I/O itself.
 //!
-//! A job is run by the scheduler that accepted it, unless it is handed over to a peer. Schedulers announce
+//! A job is run by the scheduler that accepted it, unless it is handed off to a peer. Schedulers announce
 //! their jobs to each other at once, so that a job that is submitted again elsewhere is followed instead of
 //! run twice. If the other scheduler can't be asked, the job is first claimed at the executors: they end what
 //! they run of it for other schedulers and start nothing more of it for them.
@@ -16,7 +16,7 @@
 mod contention;
 mod evacuations;
 mod executor_view;
-mod fleet;
+mod executors;
 mod followed_jobs;
 mod handoff;
 mod jobs;
@@ -54,7 +54,7 @@
 use crate::dispatch::scheduler::cell::Cell;
 use crate::dispatch::scheduler::contention::Contention;
 use crate::dispatch::scheduler::executor_view::ExecutorView;
-use crate::dispatch::scheduler::fleet::ExecutorKey;
+use crate::dispatch::scheduler::executors::ExecutorKey;
 use crate::dispatch::scheduler::followed_jobs::FollowedJob;
 use crate::dispatch::scheduler::followed_jobs::SentCancel;
 use crate::dispatch::scheduler::jobs::Job;
@@ -147,7 +147,7 @@
     cancels_sent: Vec<SentCancel>,
     /// When a peer reported that it no longer has a job; kept for one lapse.
     withdrawn: BTreeMap<JobNumber, Mono>,
-    /// When open claims were last logged.
+    /// When the claims that wait were last logged.
     claims_logged: Mono,
     /// Jobs that peers have announced.
     announced: Announcements,
@@ -166,8 +166,8 @@
     contention: Contention,
     paces: Paces,
     speeds: FleetSpeeds,
-    /// In a placement round: the executors still open to the remaining jobs, once a held-back job leaves room
-    /// to them; `None` if all are.
+    /// In a placement round: the executors at which the remaining jobs may be placed, once a held-back job
+    /// has reserved the others; `None` if nothing is reserved.
     allowed_executors: Option<BTreeSet<ExecutorKey>>,
     bulkheads: Bulkheads,
     peers: BTreeMap<String, Peer>,
@@ -177,7 +177,7 @@
     unreachable_peers: BTreeSet<String>,
     /// Whether `unreachable_peers` must be recomputed before it is used.
     unreachable_stale: bool,
-    /// The latest time at which a peer may have taken a job without this scheduler being told: a peer was not
+    /// The latest time at which a peer may have accepted a job without announcing it here: a peer was not
     /// heard, was found to have the same job, or this process was paused.
     last_gap: Mono,
     /// The names of all executors that the store lists, once known.
--- a/lib/src/dispatch/scheduler/balance.rs
+++ b/lib/src/dispatch/scheduler/balance.rs
@@ -135,8 +135,8 @@
     }
 
     /// Hands waiting jobs off to peers if the backlog here is larger than theirs. Each priority is balanced
-    /// by itself, the most urgent first. If only patient jobs were handed off, urgent ones would wait at the
-    /// schedulers with many callers while patient ones used the capacity at others.
+    /// by itself, the most urgent first. If only less urgent jobs were handed off, urgent ones would wait at
+    /// the schedulers with many callers while less urgent ones used the capacity at others.
     pub(super) fn balance_jobs(&mut self) {
         if !self.setup.policy.balance.on || self.waiting.is_empty() || self.leaving.is_some() {
             return;
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::policy::Bulkheads as BulkheadPolicy;
 use crate::event::Kind;
--- a/lib/src/dispatch/scheduler/cell.rs
+++ b/lib/src/dispatch/scheduler/cell.rs
@@ -14,7 +14,7 @@
 use rand::seq::IteratorRandom;
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use crate::dispatch::rank::Rank;
 use crate::prelude::*;
 
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -6,7 +6,7 @@
 
 use super::Scheduler;
 use super::executor_view::ExecutorView;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Job;
 use super::jobs::Phase;
 use super::peers::Peer;
@@ -15,7 +15,7 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// Progress of a claim.
+/// The progress of a claim.
 enum ClaimState {
     /// Executors have yet to confirm the claim.
     Open,
@@ -99,14 +99,14 @@
 
     /// Returns whether a job must be claimed before more of it is placed. A peer may have taken it meanwhile:
     /// it was held here for long enough to be submitted again elsewhere, and a peer was not heard, or found
-    /// to have it too, since the job was last known to be exclusive.
+    /// to have it too, since this scheduler was last known to be the only one that has the job.
     pub(super) fn needs_reclaim(&self, job: &Job) -> bool {
         let now = self.now;
         now.since(job.exclusive_since) >= self.setup.policy.claims.again_after
             && self.last_gap > job.exclusive_since
     }
 
-    /// Records whether some peer is not heard at present.
+    /// Sets `last_gap` to the present if some peer has not been heard for `claims.unheard`.
     pub(super) fn record_unheard_peers(&mut self) {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
--- a/lib/src/dispatch/scheduler/contention.rs
+++ b/lib/src/dispatch/scheduler/contention.rs
@@ -157,7 +157,7 @@
         {
             match after < before {
                 true => round.record_partial(),
-                // The job waits for better workers by choice. The jobs behind it may use only the others.
+                // The job is held back for better workers. The jobs behind it may use only the others.
                 false if self.reserve_executors(number) => {}
                 false => round.record_miss(pending_job),
             }
--- a/lib/src/dispatch/scheduler/evacuations.rs
+++ b/lib/src/dispatch/scheduler/evacuations.rs
@@ -2,13 +2,13 @@
 //!
 //! An evacuation makes a large part of the workers, such as a third, unavailable all at once, and its end
 //! makes them available again all at once. Executors in the zone return their waiting tasks, which are placed
-//! elsewhere. In the cell, executors of other zones replace them immediately, so that jobs are judged by the
-//! capacity that is left.
+//! elsewhere. In the cell, executors of other zones replace them immediately, so that jobs are admitted by
+//! the capacity that is left.
 
 use std::collections::BTreeMap;
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Phase;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::zones::ZoneRecord;
--- a/lib/src/dispatch/scheduler/handoff.rs
+++ b/lib/src/dispatch/scheduler/handoff.rs
@@ -1,7 +1,7 @@
-//! Handoff of jobs that would outlast a scheduler that is leaving: a peer runs them. Callers may go on
-//! connecting to such a scheduler, above all in a zone with few entries, when these are stopped in turn, two
-//! seconds apart, with six seconds each to end. What it accepts in its last seconds it can't finish, and
-//! refusing it would reject callers whom another scheduler could serve.
+//! Handoff of jobs that would outlast a scheduler that is leaving: a peer runs them. Callers may keep
+//! connecting to such a scheduler, above all in a zone with few entries that are stopped in turn, two seconds
+//! apart with six seconds each to end. It can't finish the jobs that it accepts in its last seconds, and
+//! another scheduler could run those that it refused instead.
 //!
 //! The job is handed off to a peer that accepts jobs, and followed there like one that was submitted again.
 //! If it ends in time, this scheduler answers its caller; if not, the caller is told to retry, and finds the
--- a/lib/src/dispatch/scheduler/jobs.rs
+++ b/lib/src/dispatch/scheduler/jobs.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use super::CallerId;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use crate::dispatch::catalog::Queue;
 use crate::dispatch::crashes::CrashRecord;
 use crate::dispatch::model::JobRequest;
@@ -94,7 +94,7 @@
     pub preempted_at: Option<Mono>,
     /// Its class and latest start as sorted among the waiting jobs, if it waits.
     pub waiting_key: Option<(u8, Mono)>,
-    /// The factor by which its expected work time counts towards the objective.
+    /// The queue's `extension`: the factor by which its expected duration counts towards the objective.
     pub extension: f64,
     /// Whether tasks of it waited although there was free capacity, because they would have been late there.
     pub held_back: bool,
--- a/lib/src/dispatch/scheduler/pace.rs
+++ b/lib/src/dispatch/scheduler/pace.rs
@@ -5,7 +5,7 @@
 
 use super::Scheduler;
 use super::executor_view::ExecutorView;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Job;
 use super::jobs::TaskState;
 use crate::dispatch::model::Demand;
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -1,7 +1,8 @@
 //! Messages between schedulers: which jobs, executors, zones and catalogs each of them knows about.
 //!
 //! Input are the updates of peers; output are batched updates and heartbeats, sent on one link a peer.
-//! `peer_links` manages the links themselves, and `followed_jobs` the jobs of peers that callers here wait for.
+//! `peer_links` manages the links themselves, and `followed_jobs` the jobs of peers that callers here wait
+//! for.
 
 use bytes::Bytes;
 
@@ -106,7 +107,7 @@
         self.zone == zone
     }
 
-    /// Hands a job off to it. The update is urgent.
+    /// Adds a job that is handed off to it to the next update. The update is urgent.
     pub fn queue_handoff(&mut self, job: proto::HandedJob) {
         self.outgoing.handed.push(job);
     }
--- a/lib/src/dispatch/scheduler/pending_claims.rs
+++ b/lib/src/dispatch/scheduler/pending_claims.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Phase;
 use super::peers::Peer;
 use crate::event::Kind;
@@ -37,7 +37,8 @@
         self.log(Kind::ClaimsPending, detail);
     }
 
-    /// Describes the first open condition: the list of executors, peers, executors not met, or confirmations.
+    /// Describes the first condition that is not met: a complete roster, the updates of all peers, links to
+    /// all executors, or their confirmations.
     fn describe_pending(&self) -> String {
         let Some(roster) = &self.roster else {
             return "the list of executors".to_owned();
--- a/lib/src/dispatch/scheduler/placement.rs
+++ b/lib/src/dispatch/scheduler/placement.rs
@@ -6,7 +6,7 @@
 use slotmap::SecondaryMap;
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Job;
 use super::jobs::Phase;
 use super::jobs::TaskState;
@@ -20,8 +20,8 @@
 use crate::protos::dispatch as proto;
 
 /// The class of jobs that have begun and can still meet their objective, or are late and have little left to
-/// place. They go first: what they have used is lost if they are not finished. So at most one job at a time
-/// is partly placed.
+/// place. They go first, because the work done for a job is lost if it is not finished. So at most one job at
+/// a time is partly placed.
 pub(super) const BEGUN: u8 = 0;
 /// The class of jobs of the most urgent queues that have not begun.
 const URGENT: u8 = 1;
--- a/lib/src/dispatch/scheduler/preemption.rs
+++ b/lib/src/dispatch/scheduler/preemption.rs
@@ -4,7 +4,7 @@
 //! preempted for a job of which not all ready tasks find capacity.
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Job;
 use super::jobs::Task;
 use super::jobs::TaskState;
--- a/lib/src/dispatch/scheduler/roster.rs
+++ b/lib/src/dispatch/scheduler/roster.rs
@@ -42,9 +42,9 @@
 }
 
 impl Scheduler {
-    /// Sets the roster. A scheduler that has just started places jobs once it has met all executors in it;
-    /// while there is no roster it waits for as long as runs can last that nobody renews. An executor in the
-    /// roster that can't be reached from here counts wherever a claim must reach all.
+    /// Sets the roster. A scheduler that has just started places claimed jobs once it has met all executors
+    /// in it; without a roster it waits for the end of its warm-up. An executor in the roster that can't be
+    /// reached from here counts as one that a claim must reach.
     pub fn set_roster(&mut self, now: Mono, names: Vec<String>) {
         self.set_roster_read(now, now, names);
     }
@@ -74,7 +74,7 @@
         self.place();
     }
 
-    /// Asks a peer to read the roster, if a scheduler that has just started has no complete one from the
+    /// Asks a peer to read the roster, if this scheduler has just started and has no complete one from the
     /// store.
     pub(super) fn request_roster(&mut self) {
         let policy = self.setup.policy.recovery;
--- a/lib/src/dispatch/scheduler/silence.rs
+++ b/lib/src/dispatch/scheduler/silence.rs
@@ -9,13 +9,13 @@
 
 use super::Scheduler;
 use super::executor_view::ExecutorView;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::peers::Peer;
 use crate::event::Kind;
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-/// A peer's report of an executor that it no longer hears.
+/// A peer's report of an executor that is silent there.
 #[derive(Clone, Debug)]
 pub(super) struct PeerReport {
     at: Mono,
@@ -36,15 +36,15 @@
         silent && peer_report.is_some_and(|r| self.are_all_met(r.owners.iter().copied()))
     }
 
-    /// Returns whether a linked executor should have been heard by now and was not. One on standby is heard
-    /// seldom unless it is asked for something.
+    /// Returns whether a message from an executor is overdue. One on standby sends messages seldom, unless it
+    /// was asked to confirm a claim or was taken into the cell.
     fn is_unresponsive(&self, executor: &ExecutorView) -> bool {
         let asked = executor.asked_at > executor.last_heard;
         let due = executor.last_heard.max(executor.asked_at);
         (asked || !executor.standby) && self.silence(due) >= self.setup.policy.recovery.silent
     }
 
-    /// Returns whether the same holds by what the executor has reported here alone.
+    /// Returns whether [`Self::is_accounted`] holds by what the executor has reported to this scheduler.
     fn is_accounted_here(&self, executor: &ExecutorView) -> bool {
         let policy = self.setup.policy.recovery;
         let heard = executor.last_heard.max(executor.asked_at);
--- a/lib/src/dispatch/scheduler/speeds.rs
+++ b/lib/src/dispatch/scheduler/speeds.rs
@@ -7,7 +7,7 @@
 
 use super::Scheduler;
 use super::executor_view::ExecutorView;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Job;
 use super::jobs::Task;
 use super::jobs::TaskState;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Formats a worker's speed and distance to the data for a log line; empty if tasks are not placed by
+    /// Describes a worker's speed and distance to the data for a log line; empty if tasks are not placed by
     /// speed.
     pub(super) fn describe_speed(&self, job: &Job, step: u32, key: ExecutorKey) -> String {
         if !self.is_speed_aware() {
@@ -169,10 +169,10 @@
         true
     }
 
-    /// Restricts the jobs behind one that waits by choice to the executors at which it would be late, and
-    /// returns whether there are any. It keeps the other executors to itself, because a steady stream of
-    /// patient jobs would keep it waiting otherwise. Returns false, and changes nothing, for a job that does
-    /// not wait by choice.
+    /// Reserves the executors at which a held-back job would be in time: the jobs behind it in this round may
+    /// use only those at which it would be late. Otherwise a steady stream of less urgent jobs would keep it
+    /// waiting. Returns whether executors are left to other jobs. Returns false, and changes nothing, for a
+    /// job that is not held back.
     pub(super) fn reserve_executors(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(&number).filter(|j| j.held_back) else {
             return false;
@@ -192,7 +192,7 @@
         found
     }
 
-    /// Returns whether the jobs before it in this round allow a job to use an executor.
+    /// Returns whether no earlier job of this placement round has reserved an executor.
     pub(super) fn is_allowed(&self, key: ExecutorKey) -> bool {
         self.allowed_executors
             .as_ref()
--- a/lib/src/dispatch/scheduler/submission.rs
+++ b/lib/src/dispatch/scheduler/submission.rs
@@ -1,5 +1,6 @@
-//! The life of a job from its caller's view: a submitted job is accepted, joined to a known one, followed at
-//! a peer, or refused, and ends with an outcome that is reported to all callers and peers waiting for it.
+//! Submission and outcome of jobs. A submitted job is accepted, joined to a known one, followed at a peer, or
+//! refused. Its outcome is reported to all callers and peers that wait for it, and remembered for callers
+//! that submit it again.
 
 use super::Action;
 use super::CallerId;
@@ -174,10 +175,9 @@
         }
     }
 
-    /// Returns whether there was time to meet the executors, and each of them is unreachable or in an
-    /// evacuated zone. A job accepted meanwhile would be announced, and a peer that could run it would follow
-    /// it here instead: both callers would be refused only after its objective, 1.4 s later for 500 ms of
-    /// work.
+    /// Returns whether the warm-up is over, and each executor is unreachable or in an evacuated zone. A job
+    /// accepted meanwhile would be announced, and a peer that could run it would follow it here instead: both
+    /// callers would be refused only after its objective, 1.4 s later for 500 ms of work.
     pub(super) fn has_no_executor(&self) -> bool {
         let unusable = |e: &ExecutorView| e.link.is_none() || e.evacuated;
         !self.is_warming_up() && self.executors.values().all(unusable)
--- a/lib/src/dispatch/scheduler/task_ends.rs
+++ b/lib/src/dispatch/scheduler/task_ends.rs
@@ -2,7 +2,7 @@
 //! its job: when it has failed too often, crashes workers, or was claimed by another scheduler.
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::TaskState;
 use crate::dispatch::crashes::CrashRecord;
 use crate::dispatch::model::EndKind;
--- a/lib/src/dispatch/speeds.rs
+++ b/lib/src/dispatch/speeds.rs
@@ -186,7 +186,7 @@
 pub struct TaskTiming {
     /// How long the task is expected to run at a worker of mean speed near its data.
     pub expected: Duration,
-    /// The factor by which its objective grows with its work.
+    /// The queue's `extension`: the factor by which its objective grows with its expected duration.
     pub extension: f64,
     /// The time left until the task has to end.
     pub left: Duration,
--- a/lib/tests/runner/test_executor.rs
+++ b/lib/tests/runner/test_executor.rs
@@ -277,7 +277,7 @@
     assert_eq!(
         bench.sent_starts().len(),
         2,
-        "the task that does not fit is handed back"
+        "the task that does not fit is returned"
     );
     bench.order_start(ONE, 2, &[0, 1]);
     assert_eq!(
--- a/lib/tests/runner/test_executor/evacuation.rs
+++ b/lib/tests/runner/test_executor/evacuation.rs
@@ -18,7 +18,7 @@
     last.worker.expect("a worker report").ready
 }
 
-/// Only one scheduler knows of the evacuation. The executor hands the tasks of the others back as not started
+/// Only one scheduler knows of the evacuation. The executor returns the tasks of the others as not started
 /// and reports the evacuation to them.
 #[test]
 fn test_executor_evacuated_zone_rejects_starts() {
--- a/lib/tests/runner/test_executor/preemption.rs
+++ b/lib/tests/runner/test_executor/preemption.rs
@@ -275,7 +275,7 @@
 }
 
 /// An unanswered stop is sent again. Its room must not be used meanwhile, and the urgent task expires and is
-/// handed back.
+/// returned.
 #[test]
 fn test_executor_preemption_unanswered_stop() {
     let mut bench = full_worker(true);
--- a/lib/tests/runner/test_executor/worker.rs
+++ b/lib/tests/runner/test_executor/worker.rs
@@ -19,7 +19,7 @@
     assert_eq!(
         bench.ends(ONE),
         [(1, EndKind::Unavailable)],
-        "the queued task is handed back"
+        "the queued task is returned"
     );
     bench.order_start(ONE, 2, &[0]);
     assert_eq!(bench.sent_starts().len(), 2);
--- a/lib/tests/runner/test_scheduler.rs
+++ b/lib/tests/runner/test_scheduler.rs
@@ -483,7 +483,7 @@
     assert_eq!(names(&mut bench), [""; 0]);
 }
 
-/// Guards against an entry that accepts and announces a job although it is cut off from all agents: a peer
+/// Guards against an entry that accepts and announces a job although no executor is linked: a peer
 /// that could run the job would follow it there instead.
 #[test]
 fn test_scheduler_refusal_without_executors() {
--- a/lib/tests/runner/test_scheduler/contention.rs
+++ b/lib/tests/runner/test_scheduler/contention.rs
@@ -222,8 +222,8 @@
     assert_ne!(replay(policy(true)), BASELINE_DIGEST);
 }
 
-/// A patient job leaves free capacity to urgent work that waits at a peer, and takes it once nothing waits
-/// there.
+/// A less urgent job leaves free capacity to urgent work that waits at a peer, and takes it once nothing
+/// waits there.
 #[test]
 fn test_contention_yield_to_urgent_backlog() {
     let mut bench = Bench::contending(policy(true));
