--- a/lib/daemon/src/dispatch/forwarding.rs
+++ b/lib/daemon/src/dispatch/forwarding.rs
@@ -223,7 +223,7 @@
     fn message(&self, link: LinkId, body: Body) {
         if let Body::ForwardReply(reply) = body {
             let now = self.inner.host.now();
-            self.with(|f| f.message(now, link, &reply));
+            self.with(|f| f.handle_message(now, link, &reply));
         }
     }
 
--- a/lib/daemon/src/dispatch/metrics_page.rs
+++ b/lib/daemon/src/dispatch/metrics_page.rs
@@ -127,7 +127,7 @@
     let causes = words(&counts.causes).into_iter();
     let help = "Jobs refused or failed, by cause.";
     page.counters("causes_total", help, "cause", causes);
-    let again = words(&counts.retries).into_iter();
+    let again = words(&counts.unfinished_attempts).into_iter();
     let help = "Tasks placed again, by why the earlier try ended.";
     page.counters("tasks_again_total", help, "cause", again);
     let decisions = [
--- a/lib/daemon/src/dispatch/scheduler_host.rs
+++ b/lib/daemon/src/dispatch/scheduler_host.rs
@@ -443,7 +443,7 @@
             Body::Forward(forward) if self.inner.inbound.contains(link) => {
                 self.inner.inbound.message(self, link, forward);
             }
-            body => self.with(|s, now| s.message(now, link, body)),
+            body => self.with(|s, now| s.handle_message(now, link, body)),
         }
     }
 
--- a/lib/src/dispatch/forwarder.rs
+++ b/lib/src/dispatch/forwarder.rs
@@ -286,7 +286,7 @@
     }
 
     /// Handles a message from a scheduler to which jobs are forwarded.
-    pub fn message(&mut self, now: Mono, link: LinkId, reply: &proto::ForwardReply) {
+    pub fn handle_message(&mut self, now: Mono, link: LinkId, reply: &proto::ForwardReply) {
         self.advance_clock(now);
         let Some(key) = self.by_link.get(&link).copied() else {
             return;
--- a/lib/src/dispatch/forwarder/tests.rs
+++ b/lib/src/dispatch/forwarder/tests.rs
@@ -123,7 +123,7 @@
             ready: true,
             ..proto::ForwardReply::default()
         };
-        self.forwarder.message(now, LinkId(link), &ready);
+        self.forwarder.handle_message(now, LinkId(link), &ready);
     }
 
     fn end(&mut self, now: Mono, link: u64, caller: u64, outcome: JobOutcome) {
@@ -134,7 +134,7 @@
             }],
             ready: true,
         };
-        self.forwarder.message(now, LinkId(link), &reply);
+        self.forwarder.handle_message(now, LinkId(link), &reply);
     }
 }
 
@@ -292,7 +292,9 @@
     let mut harness = Harness::new();
     harness.submit_and_link();
     let leaving = proto::ForwardReply::default();
-    harness.forwarder.message(time_at(10), LinkId(1), &leaving);
+    harness
+        .forwarder
+        .handle_message(time_at(10), LinkId(1), &leaving);
     harness.submit(time_at(11), 1);
     assert_matches!(&harness.take_actions()[..], [Action::Dial(name, _)] if harness.far.contains(name));
 }
@@ -398,12 +400,16 @@
                 Action::Dial(name, _) => {
                     let link = LinkId(dialled.len() as u64);
                     forwarder.link_up(time_at(n), &name, link);
-                    forwarder.message(time_at(n), link, &unknown_ends(&proto::Forward::default()));
+                    forwarder.handle_message(
+                        time_at(n),
+                        link,
+                        &unknown_ends(&proto::Forward::default()),
+                    );
                     dialled.insert(name);
                 }
                 Action::Send(link, forward) => {
                     frames += 1;
-                    forwarder.message(time_at(n), link, &unknown_ends(&forward));
+                    forwarder.handle_message(time_at(n), link, &unknown_ends(&forward));
                 }
                 _ => {}
             }
@@ -444,7 +450,9 @@
         "the scheduler has not reported whether it is ready"
     );
     let not_ready = proto::ForwardReply::default();
-    harness.forwarder.message(time_at(2), LinkId(1), &not_ready);
+    harness
+        .forwarder
+        .handle_message(time_at(2), LinkId(1), &not_ready);
     assert_matches!(&harness.take_actions()[..], [Action::Dial(name, _)] if harness.far.contains(name));
 }
 
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -175,7 +175,7 @@
     }
 
     /// Returns the jobs with open claims.
-    pub(super) fn claiming(&self) -> Vec<JobNumber> {
+    pub(super) fn claiming_jobs(&self) -> Vec<JobNumber> {
         let claiming = self.jobs.iter();
         let claiming = claiming.filter(|(_, j)| matches!(j.phase, Phase::Claiming(_)));
         claiming.map(|(n, _)| *n).collect()
@@ -289,7 +289,7 @@
         if warmed_up && !self.reaches_required() {
             self.end_startup_claims();
         }
-        for number in self.claiming() {
+        for number in self.claiming_jobs() {
             match self.claim_state(number) {
                 ClaimState::Open => {}
                 ClaimState::Settled => self.activate_job(number),
@@ -314,7 +314,7 @@
     /// Activates the jobs that were claimed only because a link was lost, once every executor that was asked
     /// has confirmed: no other scheduler can run them any more, whether it is heard or not.
     fn activate_loss_claims(&mut self) {
-        for number in self.claiming() {
+        for number in self.claiming_jobs() {
             let confirmed = |j: &Job| {
                 let asked = matches!(&j.phase, Phase::Claiming(asked) if asked.is_empty());
                 j.loss_claim && asked
@@ -384,7 +384,7 @@
     /// Ends the jobs that were claimed while this scheduler had just started, if it still can't reach every
     /// executor that it must reach.
     fn end_startup_claims(&mut self) {
-        for number in self.claiming() {
+        for number in self.claiming_jobs() {
             if self.jobs.get(&number).is_some_and(|j| j.startup_claim) {
                 self.end_unclaimable(number);
             }
--- a/lib/src/dispatch/scheduler/executors.rs
+++ b/lib/src/dispatch/scheduler/executors.rs
@@ -108,7 +108,7 @@
 
     /// Asks a newly linked executor to confirm the claims that are open.
     fn send_open_claims(&mut self, key: ExecutorKey) {
-        for job in self.claiming() {
+        for job in self.claiming_jobs() {
             self.ask_claim(job, key);
         }
     }
--- a/lib/src/dispatch/scheduler/handoff.rs
+++ b/lib/src/dispatch/scheduler/handoff.rs
@@ -61,7 +61,7 @@
             .cloned()
     }
 
-    /// Handles a job that a peer hands off, because it is leaving or has more jobs waiting.
+    /// Handles a job that a peer hands off, because the peer is leaving or has more work waiting.
     pub(super) fn accept_handoff(&mut self, name: &str, handed: &proto::HandedJob) {
         let number = JobNumber(handed.job);
         if let Some(job) = self.jobs.get_mut(&number) {
--- a/lib/src/dispatch/scheduler/metrics.rs
+++ b/lib/src/dispatch/scheduler/metrics.rs
@@ -16,16 +16,16 @@
     pub joined: u64,
     /// Claims of jobs at the executors.
     pub claims: u64,
-    /// Jobs handed off to peers where less work waits.
+    /// Jobs handed off to peers where less work waits; those handed off while leaving are not counted.
     pub handoffs_sent: u64,
-    /// Jobs accepted that peers handed off.
+    /// Jobs that peers handed off to this scheduler, for either reason.
     pub handoffs_accepted: u64,
     /// Tasks placed.
     pub placed: u64,
     /// Jobs with tasks that waited although there was free capacity, because they would have been late there.
     pub held_back: u64,
     /// Attempts that did not complete their task, by how they ended.
-    pub retries: BTreeMap<&'static str, u64>,
+    pub unfinished_attempts: BTreeMap<&'static str, u64>,
     /// Jobs ended, by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
     /// Refusals and failures, by cause.
--- a/lib/src/dispatch/scheduler/peers.rs
+++ b/lib/src/dispatch/scheduler/peers.rs
@@ -164,7 +164,7 @@
 
     /// Handles an incoming message. Messages on links that are not registered, or of the wrong kind for their
     /// link, are ignored.
-    pub fn message(&mut self, now: Mono, link: LinkId, body: proto::frame::Body) {
+    pub fn handle_message(&mut self, now: Mono, link: LinkId, body: proto::frame::Body) {
         self.advance_clock(now);
         match body {
             proto::frame::Body::Update(update) => {
--- a/lib/src/dispatch/scheduler/task_ends.rs
+++ b/lib/src/dispatch/scheduler/task_ends.rs
@@ -159,7 +159,7 @@
     fn retry_task(&mut self, key: ExecutorKey, name: TaskName, kind: EndKind) {
         let number = name.job;
         let cause = kind.word();
-        *self.counts.retries.entry(cause).or_default() += 1;
+        *self.counts.unfinished_attempts.entry(cause).or_default() += 1;
         let place = self.executors.get(key).map(|e| e.name.clone());
         let place = place.unwrap_or_default();
         self.log(Kind::TaskRetried, format!("{name} at {place}: {cause}"));
--- a/lib/tests/runner/test_scheduler.rs
+++ b/lib/tests/runner/test_scheduler.rs
@@ -15,7 +15,7 @@
 mod links;
 mod preemption;
 mod recovery;
-mod slow;
+mod slow_workers;
 mod speeds;
 
 use std::rc::Rc;
@@ -150,7 +150,7 @@
             ..update
         };
         let body = Body::Update(update);
-        self.scheduler.message(self.now, link, body);
+        self.scheduler.handle_message(self.now, link, body);
         self.collect_actions();
     }
 
@@ -185,7 +185,7 @@
 
     fn send_peer_update_on(&mut self, link: LinkId, update: proto::PeerUpdate) {
         let body = Body::Peer(update);
-        self.scheduler.message(self.now, link, body);
+        self.scheduler.handle_message(self.now, link, body);
         self.collect_actions();
     }
 
--- a/lib/tests/runner/test_scheduler/contention.rs
+++ b/lib/tests/runner/test_scheduler/contention.rs
@@ -111,7 +111,7 @@
             ..proto::Update::default()
         };
         self.scheduler
-            .message(self.now, EXECUTOR, Body::Update(update));
+            .handle_message(self.now, EXECUTOR, Body::Update(update));
         self.collect_actions();
         self.scheduler.tick(self.now);
         self.collect_actions();
--- a/lib/tests/runner/test_scheduler/preemption.rs
+++ b/lib/tests/runner/test_scheduler/preemption.rs
@@ -71,7 +71,7 @@
                 ..proto::Update::default()
             };
             let body = proto::frame::Body::Update(update);
-            self.scheduler.message(self.now, link, body);
+            self.scheduler.handle_message(self.now, link, body);
             self.collect_actions();
         }
     }
@@ -155,7 +155,9 @@
         }),
         ..proto::Update::default()
     });
-    bench.scheduler.message(bench.now, OTHER_EXECUTOR, body);
+    bench
+        .scheduler
+        .handle_message(bench.now, OTHER_EXECUTOR, body);
     bench.collect_actions();
     bench.advance(2);
     bench.report_capacity(0, [1000, 2500]);
--- a/lib/tests/runner/test_scheduler/slow.rs
+++ b/lib/tests/runner/test_scheduler/slow_workers.rs
@@ -59,7 +59,7 @@
             ..update
         };
         let body = proto::frame::Body::Update(update);
-        self.scheduler.message(self.now, link, body);
+        self.scheduler.handle_message(self.now, link, body);
         self.collect_actions();
     }
 
--- a/lib/tests/runner/test_scheduler/speeds.rs
+++ b/lib/tests/runner/test_scheduler/speeds.rs
@@ -79,7 +79,7 @@
             ..proto::Update::default()
         };
         let body = proto::frame::Body::Update(update);
-        self.scheduler.message(self.now, link, body);
+        self.scheduler.handle_message(self.now, link, body);
         self.collect_actions();
     }
 
--- a/lib/testutils/src/dispatch/world/links.rs
+++ b/lib/testutils/src/dispatch/world/links.rs
@@ -54,7 +54,9 @@
             return;
         }
         match node {
-            Node::Scheduler(n) => self.with_scheduler(n, |s, now| s.message(now, link, body)),
+            Node::Scheduler(n) => {
+                self.with_scheduler(n, |s, now| s.handle_message(now, link, body))
+            }
             Node::Executor(n) => {
                 if let Body::Orders(orders) = body {
                     let life = self.life(node);
