--- a/lib/src/dispatch/contention/drain.rs
+++ b/lib/src/dispatch/contention/release.rs
@@ -8,8 +8,8 @@
 /// The number of runs that must have ended before a rate is given.
 const MIN_RUNS: u32 = 20;
 
-/// The rate at which room becomes free: the room in use divided by the mean time that runs hold it, weighted by
-/// their room.
+/// The rate at which room becomes free: the room in use divided by the mean time that runs hold it, weighted
+/// by their room.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReleaseRate {
     runs: u32,
@@ -21,7 +21,7 @@
 
 impl ReleaseRate {
     /// Records a run that has ended.
-    pub fn note(&mut self, cpu_milli: u32, ran: Duration) {
+    pub fn record(&mut self, cpu_milli: u32, ran: Duration) {
         self.runs = self.runs.saturating_add(1);
         let weight = MIN_WEIGHT.max(1.0 / f64::from(self.runs));
         let cpu = f64::from(cpu_milli);
--- a/lib/src/dispatch/executor.rs
+++ b/lib/src/dispatch/executor.rs
@@ -6,18 +6,18 @@
 //! it runs. Schedulers hold leases, which the executor measures on its own clock from the readings that they
 //! echo; runs of a scheduler whose lease has expired are stopped.
 
-mod calls;
 mod claims;
 mod crashes;
 mod evacuation;
 mod health;
+mod hold_replies;
 mod incarnations;
-mod lists;
-mod preempting;
+mod preemption;
 mod reports;
 mod runs;
 mod sessions;
 mod speeds;
+mod worker_api;
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -42,18 +42,18 @@
 use crate::prelude::*;
 use crate::protos::dispatch as proto;
 
-pub use crate::dispatch::executor::calls::FinishedRow;
-pub use crate::dispatch::executor::calls::HoldCall;
-pub use crate::dispatch::executor::calls::HoldReply;
-pub use crate::dispatch::executor::calls::OrderReply;
-pub use crate::dispatch::executor::calls::RunEnd;
-pub use crate::dispatch::executor::calls::RunName;
-pub use crate::dispatch::executor::calls::RunningRow;
-pub use crate::dispatch::executor::calls::StartCall;
-pub use crate::dispatch::executor::calls::StartRefusal;
-pub use crate::dispatch::executor::calls::WorkerHeartbeat;
-pub use crate::dispatch::executor::calls::WorkerIncarnation;
 pub use crate::dispatch::executor::runs::RunState;
+pub use crate::dispatch::executor::worker_api::FinishedRow;
+pub use crate::dispatch::executor::worker_api::HoldCall;
+pub use crate::dispatch::executor::worker_api::HoldReply;
+pub use crate::dispatch::executor::worker_api::OrderReply;
+pub use crate::dispatch::executor::worker_api::RunEnd;
+pub use crate::dispatch::executor::worker_api::RunName;
+pub use crate::dispatch::executor::worker_api::RunningRow;
+pub use crate::dispatch::executor::worker_api::StartCall;
+pub use crate::dispatch::executor::worker_api::StartRefusal;
+pub use crate::dispatch::executor::worker_api::WorkerHeartbeat;
+pub use crate::dispatch::executor::worker_api::WorkerIncarnation;
 
 /// The settings that the executor's decisions depend on.
 #[derive(Clone, Debug)]
@@ -347,8 +347,11 @@
 
     /// Returns the id of the worker's current incarnation; empty if there is none.
     fn worker_id(&self) -> String {
-        let life = self.worker.as_ref().map(|w| w.heartbeat.life.id.clone());
-        life.unwrap_or_default()
+        let incarnation = self
+            .worker
+            .as_ref()
+            .map(|w| w.heartbeat.incarnation.id.clone());
+        incarnation.unwrap_or_default()
     }
 
     fn capacity(&self) -> Demand {
@@ -397,7 +400,7 @@
         if let Some(id) = self.incarnations.candidate_id() {
             return self.request_lists(id);
         }
-        let (life, seen) = (worker.heartbeat.life.id.clone(), worker.last_end);
+        let (incarnation, seen) = (worker.heartbeat.incarnation.id.clone(), worker.last_end);
         let (deadline_ms, wait) = if worker.reconciled && worker.responsive {
             (
                 self.extend_deadline(now, self.setup.worker_hold),
@@ -407,7 +410,7 @@
             (0, Duration::ZERO)
         };
         self.send_hold(HoldCall {
-            life,
+            incarnation,
             deadline_ms,
             fence: self.fence,
             seen,
@@ -435,16 +438,16 @@
         let id = self
             .saved_heartbeat
             .as_ref()
-            .map(|heartbeat| heartbeat.life.id.clone());
+            .map(|heartbeat| heartbeat.incarnation.id.clone());
         let id = id.unwrap_or_default();
         self.request_lists(id);
     }
 
     /// Requests the lists under an incarnation id that the worker may not have.
-    fn request_lists(&mut self, life: String) {
-        self.probing = Some(life.clone());
+    fn request_lists(&mut self, incarnation: String) {
+        self.probing = Some(incarnation.clone());
         self.send_hold(HoldCall {
-            life,
+            incarnation,
             deadline_ms: 0,
             fence: self.fence,
             seen: 0,
--- a/lib/src/dispatch/forwarder.rs
+++ b/lib/src/dispatch/forwarder.rs
@@ -105,7 +105,7 @@
     /// Messages that were sent with them.
     pub frames: u64,
     /// Requests that were sent again, to another scheduler.
-    pub again: u64,
+    pub resent: u64,
     /// Requests for which no scheduler could be reached.
     pub unplaced: u64,
 }
@@ -174,20 +174,20 @@
         self.partitions
     }
 
-    /// Whether the schedulers of every other partition have been read.
+    /// Returns whether the schedulers of every other partition have been read.
     pub fn is_ready(&self) -> bool {
         let own = self.own();
         let mut others = self.partitions.all().filter(|p| *p != own);
         others.all(|p| self.ranked.contains_key(&p))
     }
 
-    /// Whether no caller waits for an answer.
+    /// Returns whether no caller waits for an answer.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
     /// Returns the time since the last request.
-    pub fn untaken(&self, now: Mono) -> Duration {
+    pub fn quiet_time(&self, now: Mono) -> Duration {
         now.since(self.last_request)
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Returns the numbers of requests without an answer, of links that are up and of partitions.
-    pub fn load(&self) -> [usize; 3] {
+    pub fn gauges(&self) -> [usize; 3] {
         [
             self.calls.len(),
             self.by_link.len(),
@@ -286,7 +286,7 @@
     }
 
     /// Handles a message from a scheduler to which jobs are forwarded.
-    pub fn message(&mut self, now: Mono, link: LinkId, reply: &proto::ForwardReply) {
+    pub fn handle_message(&mut self, now: Mono, link: LinkId, reply: &proto::ForwardReply) {
         self.advance_clock(now);
         let Some(key) = self.by_link.get(&link).copied() else {
             return;
--- a/lib/src/dispatch/forwarder/calls.rs
+++ b/lib/src/dispatch/forwarder/calls.rs
@@ -74,7 +74,7 @@
         self.sent_at.and(self.target)
     }
 
-    /// Whether the caller no longer waits for the answer.
+    /// Returns whether the caller no longer waits for the answer.
     fn is_expired(&self, now: Mono) -> bool {
         let Request::Job(request) = &self.request else {
             return false;
@@ -140,7 +140,7 @@
             return;
         };
         call.sent_at = Some(now);
-        self.counts.again += u64::from(call.sent_before);
+        self.counts.resent += u64::from(call.sent_before);
         let forward = call.proto(now, caller);
         let target = &mut self.targets[key];
         target.enqueue(now, forward);
--- a/lib/src/dispatch/forwarder/tests.rs
+++ b/lib/src/dispatch/forwarder/tests.rs
@@ -123,7 +123,7 @@
             ready: true,
             ..proto::ForwardReply::default()
         };
-        self.forwarder.message(now, LinkId(link), &ready);
+        self.forwarder.handle_message(now, LinkId(link), &ready);
     }
 
     fn end(&mut self, now: Mono, link: u64, caller: u64, outcome: JobOutcome) {
@@ -134,7 +134,7 @@
             }],
             ready: true,
         };
-        self.forwarder.message(now, LinkId(link), &reply);
+        self.forwarder.handle_message(now, LinkId(link), &reply);
     }
 }
 
@@ -145,7 +145,7 @@
     harness.end(time_at(80), 1, 0, JobOutcome::Completed);
     let answer = Action::Answer(CallerId(0), JobOutcome::Completed);
     assert_eq!(harness.take_actions(), vec![answer]);
-    assert_eq!(harness.forwarder.load()[..2], [0, 1]);
+    assert_eq!(harness.forwarder.gauges()[..2], [0, 1]);
 }
 
 #[test]
@@ -292,7 +292,9 @@
     let mut harness = Harness::new();
     harness.submit_and_link();
     let leaving = proto::ForwardReply::default();
-    harness.forwarder.message(time_at(10), LinkId(1), &leaving);
+    harness
+        .forwarder
+        .handle_message(time_at(10), LinkId(1), &leaving);
     harness.submit(time_at(11), 1);
     assert_matches!(&harness.take_actions()[..], [Action::Dial(name, _)] if harness.far.contains(name));
 }
@@ -341,7 +343,7 @@
         .forwarder
         .tick(time_at(1) + Policy::default().partitions.idle);
     assert!(harness.take_actions().contains(&Action::Close(LinkId(1))));
-    assert_eq!(harness.forwarder.load()[..2], [0, 0]);
+    assert_eq!(harness.forwarder.gauges()[..2], [0, 0]);
 }
 
 /// Returns the reply to a message whose cancels are for unknown jobs.
@@ -398,12 +400,16 @@
                 Action::Dial(name, _) => {
                     let link = LinkId(dialled.len() as u64);
                     forwarder.link_up(time_at(n), &name, link);
-                    forwarder.message(time_at(n), link, &unknown_ends(&proto::Forward::default()));
+                    forwarder.handle_message(
+                        time_at(n),
+                        link,
+                        &unknown_ends(&proto::Forward::default()),
+                    );
                     dialled.insert(name);
                 }
                 Action::Send(link, forward) => {
                     frames += 1;
-                    forwarder.message(time_at(n), link, &unknown_ends(&forward));
+                    forwarder.handle_message(time_at(n), link, &unknown_ends(&forward));
                 }
                 _ => {}
             }
@@ -444,7 +450,9 @@
         "the scheduler has not reported whether it is ready"
     );
     let not_ready = proto::ForwardReply::default();
-    harness.forwarder.message(time_at(2), LinkId(1), &not_ready);
+    harness
+        .forwarder
+        .handle_message(time_at(2), LinkId(1), &not_ready);
     assert_matches!(&harness.take_actions()[..], [Action::Dial(name, _)] if harness.far.contains(name));
 }
 
--- a/lib/src/dispatch/preemption.rs
+++ b/lib/src/dispatch/preemption.rs
@@ -90,8 +90,8 @@
     }
 }
 
-/// Selects the runs to stop for a task. Returns `None` if preemption is off, if a stop would come too late, or
-/// if the allowed runs that lose least do not free enough room within `limits`.
+/// Selects the runs to stop for a task. Returns `None` if preemption is off, if a stop would come too late,
+/// or if the allowed runs that lose least do not free enough room within `limits`.
 pub fn select_victims<K: Copy>(
     now: Mono,
     wanted: &CapacityRequest,
@@ -126,7 +126,7 @@
 
 /// Returns the room of the runs that may be stopped now for a task of `priority`, within `limits`, in
 /// thousandths of a core.
-pub fn preemptible<K>(
+pub fn preemptible_cpu<K>(
     now: Mono,
     priority: u32,
     runs: &[PreemptibleRun<K>],
--- a/lib/src/dispatch/scheduler/bulkhead.rs
+++ b/lib/src/dispatch/scheduler/bulkhead.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Scheduler;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use crate::dispatch::model::JobNumber;
 use crate::dispatch::policy::Bulkheads as BulkheadPolicy;
 use crate::event::Kind;
@@ -68,7 +68,7 @@
 
 impl Bulkheads {
     /// Records that tasks of a queue were sent to an executor.
-    pub fn note_start(&mut self, now: Mono, queue: &str) {
+    pub fn record_start(&mut self, now: Mono, queue: &str) {
         if let Some(starts) = self.starts.get_mut(queue) {
             let count = starts.count_at(now) + 1.0;
             *starts = Starts { at: now, count };
--- a/lib/src/dispatch/scheduler/claims.rs
+++ b/lib/src/dispatch/scheduler/claims.rs
@@ -6,7 +6,7 @@
 
 use super::Scheduler;
 use super::executor_view::ExecutorView;
-use super::fleet::ExecutorKey;
+use super::executors::ExecutorKey;
 use super::jobs::Job;
 use super::jobs::Phase;
 use super::peers::Peer;
@@ -15,7 +15,7 @@
 use crate::event::Kind;
 use crate::prelude::*;
 
-/// Progress of a claim.
+/// The progress of a claim.
 enum ClaimState {
     /// Executors have yet to confirm the claim.
     Open,
@@ -99,20 +99,20 @@
 
     /// Returns whether a job must be claimed before more of it is placed. A peer may have taken it meanwhile:
     /// it was held here for long enough to be submitted again elsewhere, and a peer was not heard, or found
-    /// to have it too, since the job was last known to be exclusive.
+    /// to have it too, since this scheduler was last known to be the only one that has the job.
     pub(super) fn needs_reclaim(&self, job: &Job) -> bool {
         let now = self.now;
         now.since(job.exclusive_since) >= self.setup.policy.claims.again_after
-            && self.gap > job.exclusive_since
+            && self.last_gap > job.exclusive_since
     }
 
-    /// Records whether some peer is not heard at present.
-    pub(super) fn note_unheard_peers(&mut self) {
+    /// Sets `last_gap` to the present if some peer has not been heard for `claims.unheard`.
+    pub(super) fn record_unheard_peers(&mut self) {
         let now = self.now;
         let bound = self.setup.policy.claims.unheard;
         let unheard = |p: &Peer| now.since(p.last_heard) >= bound;
         if self.peers.values().any(unheard) {
-            self.gap = now;
+            self.last_gap = now;
         }
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Returns the jobs with open claims.
-    pub(super) fn claiming(&self) -> Vec<JobNumber> {
+    pub(super) fn claiming_jobs(&self) -> Vec<JobNumber> {
         let claiming = self.jobs.iter();
         let claiming = claiming.filter(|(_, j)| matches!(j.phase, Phase::Claiming(_)));
         claiming.map(|(n, _)| *n).collect()
@@ -289,7 +289,7 @@
         if warmed_up && !self.reaches_required() {
             self.end_startup_claims();
         }
-        for number in self.claiming() {
+        for number in self.claiming_jobs() {
             match self.claim_state(number) {
                 ClaimState::Open => {}
                 ClaimState::Settled => self.activate_job(number),
@@ -314,7 +314,7 @@
     /// Activates the jobs that were claimed only because a link was lost, once every executor that was asked
     /// has confirmed: no other scheduler can run them any more, whether it is heard or not.
     fn activate_loss_claims(&mut self) {
-        for number in self.claiming() {
+        for number in self.claiming_jobs() {
             let confirmed = |j: &Job| {
                 let asked = matches!(&j.phase, Phase::Claiming(asked) if asked.is_empty());
                 j.loss_claim && asked
@@ -384,7 +384,7 @@
     /// Ends the jobs that were claimed while this scheduler had just started, if it still can't reach every
     /// executor that it must reach.
     fn end_startup_claims(&mut self) {
-        for number in self.claiming() {
+        for number in self.claiming_jobs() {
             if self.jobs.get(&number).is_some_and(|j| j.startup_claim) {
                 self.end_unclaimable(number);
             }
--- a/lib/src/dispatch/scheduler/submit.rs
+++ b/lib/src/dispatch/scheduler/submission.rs
@@ -1,5 +1,6 @@
-//! The life of a job from its caller's view: a submitted job is accepted, joined to a known one, followed at
-//! a peer, or refused, and ends with an outcome that is reported to all callers and peers waiting for it.
+//! Submission and outcome of jobs. A submitted job is accepted, joined to a known one, followed at a peer, or
+//! refused. Its outcome is reported to all callers and peers that wait for it, and remembered for callers
+//! that submit it again.
 
 use super::Action;
 use super::CallerId;
@@ -96,7 +97,7 @@
             Err(rejection) => {
                 self.count_cause(rejection.cause);
                 let outcome = self.refusal();
-                self.tell_peer_end(name, number, outcome);
+                self.report_end_to_peer(name, number, outcome);
             }
         }
     }
@@ -154,7 +155,7 @@
     /// Registers an accepted job, announces it to peers, and claims it or queues its tasks.
     fn insert_job(&mut self, mut job: Job, claim: bool) {
         let number = job.request.number;
-        self.last_taken = self.now;
+        self.last_accepted = self.now;
         job.began_before = self.ended.get(&number).is_some_and(|e| e.began);
         let claim = claim || job.began_before;
         let detail = format!(
@@ -174,10 +175,9 @@
         }
     }
 
-    /// Returns whether there was time to meet the executors, and each of them is unreachable or in an
-    /// evacuated zone. A job accepted meanwhile would be announced, and a peer that could run it would follow
-    /// it here instead: both callers would be refused only after its objective, 1.4 s later for 500 ms of
-    /// work.
+    /// Returns whether the warm-up is over, and each executor is unreachable or in an evacuated zone. A job
+    /// accepted meanwhile would be announced, and a peer that could run it would follow it here instead: both
+    /// callers would be refused only after its objective, 1.4 s later for 500 ms of work.
     pub(super) fn has_no_executor(&self) -> bool {
         let unusable = |e: &ExecutorView| e.link.is_none() || e.evacuated;
         !self.is_warming_up() && self.executors.values().all(unusable)
@@ -205,7 +205,7 @@
             following.callers.retain(|c| *c != caller);
             if following.callers.is_empty()
                 && let Some(following) = self.following.remove(&number)
-                && following.handed
+                && following.handed_off
             {
                 self.unfollow(&following.peer, number);
             }
@@ -281,7 +281,7 @@
             self.actions.push(Action::Answer(*caller, outcome));
         }
         for peer in &job.followers {
-            self.tell_peer_end(peer, number, outcome);
+            self.report_end_to_peer(peer, number, outcome);
         }
     }
 
@@ -289,10 +289,10 @@
     fn record_duration(&self, job: &Job, outcome: JobOutcome, span: Duration) {
         let stage = match outcome {
             JobOutcome::Completed => Stage::Completed,
-            JobOutcome::Refused(_) | JobOutcome::GivenUp => Stage::TurnedAway,
+            JobOutcome::Refused(_) | JobOutcome::GivenUp => Stage::Rejected,
             JobOutcome::Failed | JobOutcome::Cancelled | JobOutcome::Unknown => return,
         };
-        self.timings.note(&job.request.queue, stage, span);
+        self.timings.record(&job.request.queue, stage, span);
     }
 
     /// Describes the known free capacity, for the log line of a rejected job.
--- a/lib/tests/runner/test_executor.rs
+++ b/lib/tests/runner/test_executor.rs
@@ -10,7 +10,7 @@
 mod evacuation;
 mod incarnations;
 mod pace;
-mod preempting;
+mod preemption;
 mod restarts;
 mod restore;
 mod speeds;
@@ -94,7 +94,7 @@
 
     fn send_heartbeat(&mut self, id: &str, draining: bool, sequence: u64) {
         let heartbeat = WorkerHeartbeat {
-            life: incarnation_of(id),
+            incarnation: incarnation_of(id),
             service: "s".to_owned(),
             draining,
             capacity: Demand {
@@ -277,7 +277,7 @@
     assert_eq!(
         bench.sent_starts().len(),
         2,
-        "the task that does not fit is handed back"
+        "the task that does not fit is returned"
     );
     bench.order_start(ONE, 2, &[0, 1]);
     assert_eq!(
--- a/lib/tests/runner/test_executor/worker.rs
+++ b/lib/tests/runner/test_executor/worker.rs
@@ -19,7 +19,7 @@
     assert_eq!(
         bench.ends(ONE),
         [(1, EndKind::Unavailable)],
-        "the queued task is handed back"
+        "the queued task is returned"
     );
     bench.order_start(ONE, 2, &[0]);
     assert_eq!(bench.sent_starts().len(), 2);
@@ -170,7 +170,7 @@
     /// Sends a heartbeat with a capacity of `room` tasks.
     fn resize(&mut self, room: u32, sequence: u64) {
         let heartbeat = WorkerHeartbeat {
-            life: incarnation_of("w1"),
+            incarnation: incarnation_of("w1"),
             service: "s".to_owned(),
             draining: false,
             capacity: Demand {
--- a/lib/testutils/src/dispatch/worker.rs
+++ b/lib/testutils/src/dispatch/worker.rs
@@ -150,7 +150,7 @@
         work_us: u64,
         fails: bool,
     ) -> (OrderReply, bool) {
-        if call.life != self.life.id {
+        if call.incarnation != self.life.id {
             return (OrderReply::WrongLife, false);
         }
         if call.fence < self.fence {
@@ -203,7 +203,7 @@
 
     /// Handles a hold: extends the lease, forgets acknowledged ends and returns the lists.
     pub fn hold(&mut self, now: u64, call: &HoldCall) -> HoldReply {
-        if !self.is_addressed_by(&call.life) {
+        if !self.is_addressed_by(&call.incarnation) {
             return HoldReply::WrongLife;
         }
         if call.fence < self.fence {
@@ -257,7 +257,7 @@
             } else if run.stopping.is_some_and(|at| at <= now) {
                 Some(RunEnd::Stopped)
             } else if is_expired {
-                Some(RunEnd::Lapsed)
+                Some(RunEnd::Expired)
             } else {
                 None
             }
--- a/lib/testutils/src/dispatch/world.rs
+++ b/lib/testutils/src/dispatch/world.rs
@@ -610,7 +610,7 @@
 
     /// Returns the number of links from a scheduler to executors.
     pub fn linked_executors(&self, scheduler: usize) -> usize {
-        self.schedulers[scheduler].scheduler.load()[2]
+        self.schedulers[scheduler].scheduler.gauges()[2]
     }
 
     /// Returns whether a process is up.
--- a/lib/testutils/src/dispatch/world/workers.rs
+++ b/lib/testutils/src/dispatch/world/workers.rs
@@ -184,7 +184,7 @@
         let worker = &mut self.workers[number];
         worker.heartbeats += 1;
         WorkerHeartbeat {
-            life: worker.life.clone(),
+            incarnation: worker.life.clone(),
             service: SERVICE.to_owned(),
             draining: worker.draining,
             capacity: Demand {
@@ -238,7 +238,7 @@
                 job.done.insert(run.task.index);
             }
             RunEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
-            RunEnd::Stopped | RunEnd::Lapsed => {}
+            RunEnd::Stopped | RunEnd::Expired => {}
         }
     }
 
--- a/lib/testutils/src/platform/workers.rs
+++ b/lib/testutils/src/platform/workers.rs
@@ -168,7 +168,7 @@
                             job.done.insert(run.task.index);
                         }
                         RunEnd::Failed => *job.failed.entry(run.task.index).or_default() += 1,
-                        RunEnd::Stopped | RunEnd::Lapsed => {}
+                        RunEnd::Stopped | RunEnd::Expired => {}
                     }
                 }
             }
@@ -359,7 +359,7 @@
     body: web::Json<Value>,
 ) -> HttpResponse {
     let call = StartCall {
-        life: expected_id(&request, &handle),
+        incarnation: expected_id(&request, &handle),
         run: parse_run_name(&body),
         spec: body["spec"].as_str().unwrap_or_default().into(),
         deadline_ms: body["deadlineMs"].as_u64().unwrap_or(0),
@@ -395,7 +395,7 @@
     body: web::Json<Value>,
 ) -> HttpResponse {
     let call = HoldCall {
-        life: expected_id(&request, &handle),
+        incarnation: expected_id(&request, &handle),
         deadline_ms: body["deadlineMs"].as_u64().unwrap_or(0),
         fence: body["fencingToken"].as_u64().unwrap_or(0),
         seen: body["lastSeen"].as_u64().unwrap_or(0),
