--- a/lib/src/protos/stackcourse.dispatch.rs
+++ b/lib/src/protos/stackcourse.dispatch.rs
@@ -32,20 +32,21 @@
     pub name: ::prost::alloc::string::String,
     #[prost(string, tag = "3")]
     pub zone: ::prost::alloc::string::String,
-    /// Drawn when the process starts.
+    /// Chosen at random when the process starts.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// Where other processes reach the sender; empty for executors.
+    /// The address at which other processes connect to the sender; empty for executors.
     #[prost(string, tag = "5")]
     pub address: ::prost::alloc::string::String,
-    /// The sender only forwards jobs on this link, which its own partition does not run.
+    /// Whether the sender uses this link only to forward jobs that belong to the receiver's partition.
     #[prost(bool, tag = "6")]
     pub forwards: bool,
-    /// One more than the number of bits by which the fleet is divided; 0 if the sender does not know it yet.
+    /// The number of bits by which the fleet is divided into partitions, plus one; 0 if the sender does not know
+    /// it yet.
     #[prost(uint32, tag = "7")]
     pub divided: u32,
 }
-/// What a task takes of a worker.
+/// The resources that a task needs, or that a worker has.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Demand {
     #[prost(uint32, tag = "1")]
@@ -55,7 +56,7 @@
     #[prost(uint32, tag = "3")]
     pub gpu: u32,
 }
-/// Some tasks of one step of a job, to be started at one worker.
+/// Orders the start of some tasks of one step of a job at one worker.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct StartTasks {
     #[prost(fixed64, tag = "1")]
@@ -70,21 +71,21 @@
     pub demand: ::core::option::Option<Demand>,
     #[prost(message, repeated, tag = "6")]
     pub tasks: ::prost::alloc::vec::Vec<TaskStart>,
-    /// How much later than the receipt of this message a start is of no use, in milliseconds.
+    /// How long after the receipt of this message the tasks may still start, in milliseconds.
     #[prost(uint32, tag = "7")]
     pub slack_ms: u32,
-    /// How long a task is expected to run at a worker of speed one, in milliseconds.
+    /// How long a task is expected to run at a worker of normal speed, in milliseconds.
     #[prost(uint32, tag = "8")]
     pub estimate_ms: u32,
     #[prost(uint32, tag = "9")]
     pub priority: u32,
-    /// At most this many tasks of the step at one worker; 0 for no bound.
+    /// The maximum number of tasks of the step at one worker; 0 for no limit.
     #[prost(uint32, tag = "10")]
     pub spread: u32,
-    /// The receiver may stop runs of less urgent queues to make room for these tasks.
+    /// Whether the receiver may preempt less urgent runs to free capacity for these tasks.
     #[prost(bool, tag = "11")]
     pub preempts: bool,
-    /// Whether a run that is stopped leaves a checkpoint.
+    /// Whether a run that ends early leaves a checkpoint from which the next run continues.
     #[prost(bool, tag = "12")]
     pub saves_progress: bool,
 }
@@ -92,32 +93,33 @@
 pub struct TaskStart {
     #[prost(uint32, tag = "1")]
     pub index: u32,
-    /// Counts the starts of the task by this scheduler, from 1.
+    /// The number of this start among the starts of the task by this scheduler, from 1.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// Where an earlier run left off; empty for the beginning.
+    /// The checkpoint from which the run continues; empty to start from the beginning.
     #[prost(string, tag = "3")]
     pub checkpoint: ::prost::alloc::string::String,
-    /// Absent if nothing is known.
+    /// The crash history of the task; absent if it is empty.
     #[prost(message, optional, tag = "4")]
     pub crashes: ::core::option::Option<CrashRecord>,
-    /// How often its run may still be stopped for more urgent tasks.
+    /// How many more times the task may be preempted.
     #[prost(uint32, tag = "5")]
     pub stops: u32,
 }
-/// What is known of a task from workers that crashed while it ran there.
+/// The crash history of a task.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct CrashRecord {
-    /// How many there were.
+    /// The number of worker crashes during its runs.
     #[prost(uint32, tag = "1")]
     pub count: u32,
-    /// Whether the task may have been the cause of one.
+    /// Whether the task may have caused one of them.
     #[prost(bool, tag = "2")]
     pub suspect: bool,
-    /// Whether it was the cause.
+    /// Whether the task is known to be the cause.
     #[prost(bool, tag = "3")]
     pub proven: bool,
-    /// How many more there were while a start of it had no answer yet.
+    /// The number of further worker crashes while a start of it was unanswered, so that it may not have run
+    /// there.
     #[prost(uint32, tag = "4")]
     pub unsure: u32,
 }
@@ -141,54 +143,55 @@
     #[prost(uint32, tag = "5")]
     pub attempt: u32,
 }
-/// From a scheduler to an executor.
+/// Sent by a scheduler to an executor.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Orders {
-    /// The newest clock of the executor that the sender has seen, in microseconds. The executor's
-    /// lease for the scheduler runs from this reading.
+    /// The latest reading of the executor's clock that the sender has received, in microseconds. The lease that
+    /// the executor grants to the scheduler counts from this reading.
     #[prost(uint64, tag = "1")]
     pub echo_us: u64,
-    /// Rises with each message that holds starts.
+    /// Increases with each message that contains starts; 0 in the others.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
     #[prost(message, repeated, tag = "3")]
     pub starts: ::prost::alloc::vec::Vec<StartTasks>,
     #[prost(message, repeated, tag = "4")]
     pub stops: ::prost::alloc::vec::Vec<TaskRef>,
-    /// Jobs that the sender takes over: runs of other schedulers end, and nothing of theirs starts.
+    /// Jobs that the sender claims: runs for other schedulers are stopped, and their starts are refused.
     #[prost(fixed64, repeated, tag = "5")]
     pub claims: ::prost::alloc::vec::Vec<u64>,
-    /// The same, and what the sender itself has had of them ends, too.
+    /// Like `claims`, but earlier runs for the sender itself are stopped, too.
     #[prost(fixed64, repeated, tag = "8")]
     pub renewals: ::prost::alloc::vec::Vec<u64>,
-    /// Ends up to this number have been received.
+    /// The sender has received all `TaskEnd`s up to this number.
     #[prost(uint64, tag = "6")]
     pub seen_ends: u64,
-    /// Schedulers that the sender knows of and has not told on this link before.
+    /// Schedulers that the sender knows of and has not sent on this link before.
     #[prost(message, repeated, tag = "7")]
     pub members: ::prost::alloc::vec::Vec<Member>,
-    /// The sender places nothing at the receiver at present: it needs no lease, and reports seldom.
+    /// Whether the sender currently places no tasks at the receiver. It then needs no lease, and heartbeats on
+    /// this link are infrequent.
     #[prost(bool, tag = "9")]
     pub standby: bool,
-    /// What the sender knows of the receiver's availability zone, if that is news on this link.
+    /// The state of the receiver's availability zone, if it has changed since it was last exchanged on this link.
     #[prost(message, optional, tag = "10")]
     pub zone: ::core::option::Option<ZoneState>,
 }
-/// From an entry to one of another partition: jobs that callers have handed in there.
+/// Sent by an entry to an entry of another partition: requests of its callers for jobs of that partition.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Forward {
     #[prost(message, repeated, tag = "1")]
     pub jobs: ::prost::alloc::vec::Vec<ForwardedJob>,
-    /// Callers that have left, by number.
+    /// Callers that have disconnected, by number.
     #[prost(fixed64, repeated, tag = "2")]
     pub left: ::prost::alloc::vec::Vec<u64>,
-    /// Jobs that callers cancel.
+    /// Jobs that callers want cancelled.
     #[prost(message, repeated, tag = "3")]
     pub cancels: ::prost::alloc::vec::Vec<ForwardedCancel>,
 }
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ForwardedJob {
-    /// Numbers the caller on this link.
+    /// Identifies the caller on this link.
     #[prost(fixed64, tag = "1")]
     pub caller: u64,
     #[prost(message, optional, tag = "2")]
@@ -196,18 +199,18 @@
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ForwardedCancel {
-    /// Numbers the caller on this link.
+    /// Identifies the caller on this link.
     #[prost(fixed64, tag = "1")]
     pub caller: u64,
     #[prost(fixed64, tag = "2")]
     pub job: u64,
 }
-/// Back to the forwarding entry. Also the heartbeat while something is forwarded.
+/// Sent back to the forwarding entry; also the heartbeat while requests are open.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ForwardReply {
     #[prost(message, repeated, tag = "1")]
     pub ends: ::prost::alloc::vec::Vec<ForwardedEnd>,
-    /// Whether more should be forwarded to the sender, if there is a choice.
+    /// Whether the sender is ready for jobs. Entries with a choice prefer one that is.
     #[prost(bool, tag = "2")]
     pub ready: bool,
 }
@@ -224,10 +227,10 @@
 pub struct ZoneState {
     #[prost(string, tag = "1")]
     pub zone: ::prost::alloc::string::String,
-    /// The store's revision of it. Of two the one with the higher revision holds.
+    /// The revision of the record in the store. The higher revision takes precedence.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Nothing more is started there.
+    /// Whether the zone is evacuated, so that no more tasks start there.
     #[prost(bool, tag = "3")]
     pub evacuated: bool,
 }
@@ -240,7 +243,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct TaskEnd {
-    /// Rises with each end told to this scheduler.
+    /// Increases with each end that is reported to this scheduler.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(message, optional, tag = "2")]
@@ -256,17 +259,17 @@
     /// How long the task waited at the executor, in microseconds.
     #[prost(uint64, tag = "6")]
     pub waited_us: u64,
-    /// What is known of it by then; absent if nothing is.
+    /// The crash history of the task after this run; absent if it is empty.
     #[prost(message, optional, tag = "7")]
     pub crashes: ::core::option::Option<CrashRecord>,
-    /// The part of the crash of its worker that falls to this run, in thousandths.
+    /// The share of the blame for its worker's crash that is attributed to this run, in thousandths.
     #[prost(uint32, tag = "8")]
     pub blame: u32,
-    /// Whether all runs that began just before that crash were of its job.
+    /// Whether all runs that started shortly before that crash belonged to its job.
     #[prost(bool, tag = "9")]
     pub sole: bool,
 }
-/// What falls to a queue of the crashes of workers.
+/// The share of worker crashes that is attributed to a queue.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct QueueBlame {
     #[prost(string, tag = "1")]
@@ -275,7 +278,7 @@
     #[prost(uint32, tag = "2")]
     pub blame: u32,
 }
-/// A queue whose tasks are confined to a part of the workers.
+/// A queue whose tasks are confined to a subset of the workers.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ConfinedQueue {
     #[prost(string, tag = "1")]
@@ -283,7 +286,7 @@
     #[prost(uint32, tag = "2")]
     pub remaining_ms: u32,
 }
-/// From an executor to a scheduler.
+/// Sent by an executor to a scheduler.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Update {
     #[prost(uint64, tag = "1")]
@@ -292,42 +295,43 @@
     pub worker: ::core::option::Option<WorkerReport>,
     #[prost(message, repeated, tag = "3")]
     pub ends: ::prost::alloc::vec::Vec<TaskEnd>,
-    /// Claimed jobs of which no run of another scheduler is left here.
+    /// Confirmed claims: no run that the claim has to end is left at the worker.
     #[prost(fixed64, repeated, tag = "4")]
     pub claimed: ::prost::alloc::vec::Vec<u64>,
-    /// Present in the first update on a link: all that the executor holds for the scheduler.
+    /// Present in the first update on a link: all runs and queued tasks of the scheduler.
     #[prost(message, optional, tag = "5")]
     pub held: ::core::option::Option<HeldTasks>,
-    /// Jobs that another scheduler has claimed, whose claim goes before the receiver's.
+    /// Denied claims: another scheduler's claim of the job takes precedence over the receiver's.
     #[prost(fixed64, repeated, tag = "7")]
     pub denied: ::prost::alloc::vec::Vec<u64>,
-    /// Present in the first update on a link, and when it has changed.
+    /// Present in the first update on a link and after each change.
     #[prost(message, optional, tag = "8")]
     pub profile: ::core::option::Option<Profile>,
-    /// Runs of the receiver that go slowly at a worker that is slow.
+    /// Runs for the receiver that take longer than expected at a slow worker.
     #[prost(message, repeated, tag = "9")]
     pub slow: ::prost::alloc::vec::Vec<SlowRun>,
-    /// What is known here of tasks of the claimed jobs.
+    /// The crash histories, as far as known here, of the tasks of the jobs in `claimed`.
     #[prost(message, repeated, tag = "10")]
     pub crashed: ::prost::alloc::vec::Vec<CrashedTask>,
-    /// What the sender knows of its own availability zone, if that is news on this link.
+    /// The state of the sender's availability zone, if it has changed since it was last exchanged on this link.
     #[prost(message, optional, tag = "11")]
     pub zone: ::core::option::Option<ZoneState>,
-    /// The sender leaves: nothing runs at its worker, and it starts nothing more.
+    /// Whether the sender is shutting down: nothing runs at its worker, and it starts no more tasks.
     #[prost(bool, tag = "12")]
     pub departed: bool,
-    /// All that runs at its worker is known to the sender, and runs for `Profile.owners` as it was last told, or for
-    /// `newcomers`.
+    /// Whether the sender knows all runs at its worker, and all of them and all queued tasks belong to schedulers
+    /// in the last sent `Profile.owners` or in `newcomers`. If the sender then falls silent, its peers know whose
+    /// tasks may still run there.
     #[prost(bool, tag = "13")]
     pub accounted: bool,
-    /// The incarnations of schedulers that hold leases and that the profile does not name yet.
+    /// The incarnations of lease holders that the profile does not list yet.
     #[prost(fixed64, repeated, tag = "14")]
     pub newcomers: ::prost::alloc::vec::Vec<u64>,
 }
-/// What changes seldom of an executor and its worker.
+/// Properties of an executor and its worker that rarely change.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Profile {
-    /// The worker's present life; empty if there is none.
+    /// The id of the worker's current incarnation; empty if there is no worker.
     #[prost(string, tag = "1")]
     pub worker: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
@@ -336,19 +340,20 @@
     pub capacity: ::core::option::Option<Demand>,
     #[prost(string, repeated, tag = "4")]
     pub labels: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Schedulers that may place tasks here, by name: those that are not on standby and whose lease runs.
+    /// The names of the schedulers that may place tasks here: those that are not on standby and whose lease
+    /// has not expired.
     #[prost(string, repeated, tag = "5")]
     pub leased: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// The incarnations of these.
+    /// The incarnations of the lease holders; empty if the recovery policy is off.
     #[prost(fixed64, repeated, tag = "6")]
     pub owners: ::prost::alloc::vec::Vec<u64>,
 }
-/// A run that goes slowly.
+/// A run that takes longer than expected.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct SlowRun {
     #[prost(message, optional, tag = "1")]
     pub task: ::core::option::Option<TaskRef>,
-    /// How long it will still take at its present pace, in milliseconds.
+    /// How much longer it will take at its current pace, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub remaining_ms: u32,
 }
@@ -360,49 +365,52 @@
 /// The state of the worker beside an executor.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct WorkerReport {
-    /// Whether tasks may start there.
+    /// Whether the worker accepts tasks.
     #[prost(bool, tag = "3")]
     pub ready: bool,
-    /// What is neither taken nor spoken for by waiting tasks, in thousandths of a core; negative if
-    /// more waits than fits.
+    /// The free capacity after allocated and queued demand, in thousandths of a core; negative if more is queued
+    /// than fits.
     #[prost(sint64, tag = "5")]
     pub free_cpu_milli: i64,
     #[prost(sint64, tag = "6")]
     pub free_memory_mb: i64,
     #[prost(sint64, tag = "7")]
     pub free_gpu: i64,
-    /// The last `Orders.sequence` of the receiver that is counted in.
+    /// The last `Orders.sequence` of the receiver whose starts this report includes.
     #[prost(uint64, tag = "8")]
     pub sequence: u64,
-    /// How long tasks take here against their estimates, in percent; 0 if not known.
+    /// How long recent runs took relative to their estimates, in percent; 0 if unknown.
     #[prost(uint32, tag = "10")]
     pub pace_percent: u32,
-    /// The worker does not answer or its tasks stand still.
+    /// Whether runs at the worker have failed repeatedly or made no progress, or it did not answer; it then gets
+    /// tasks on trial only.
     #[prost(bool, tag = "11")]
     pub suspect: bool,
-    /// How long tasks take here against their expected times over many runs, in percent; 0 if not known.
+    /// How long tasks take here relative to their expected times, averaged over many runs, in percent; 0 if
+    /// unknown.
     #[prost(uint32, tag = "12")]
     pub slowness_percent: u32,
-    /// What runs that may be stopped for more urgent tasks take, in thousandths of a core.
+    /// The cores of runs that can be or are being preempted, in thousandths; an urgent task could get these
+    /// besides the free ones.
     #[prost(uint32, tag = "13")]
     pub preemptible_cpu_milli: u32,
 }
-/// What waits for room at a scheduler, of one priority.
+/// The waiting work of one priority at a scheduler.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Backlog {
     #[prost(uint32, tag = "1")]
     pub priority: u32,
-    /// In thousandths of a core.
+    /// The cores that it needs, in thousandths.
     #[prost(uint64, tag = "2")]
     pub cpu_milli: u64,
-    /// The work of it, in thousandths of a core-second.
+    /// The amount of work, in thousandths of a core-second.
     #[prost(uint64, tag = "3")]
     pub work_milli: u64,
     /// How long the oldest job has waited, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub oldest_ms: u32,
 }
-/// The end of a job, told to a peer that follows it.
+/// The end of a job, reported to a peer that follows the job.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct JobEnd {
     #[prost(fixed64, tag = "1")]
@@ -411,7 +419,7 @@
     #[prost(uint32, tag = "2")]
     pub outcome: u32,
 }
-/// A job that its sender can't run to its end, to be run by the receiver, which tells the sender how it ended.
+/// A job that is handed off or forwarded to the receiver, which runs it and reports its end to the sender.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct HandedJob {
     #[prost(fixed64, tag = "1")]
@@ -422,13 +430,13 @@
     pub spec: ::prost::alloc::string::String,
     #[prost(message, repeated, tag = "4")]
     pub steps: ::prost::alloc::vec::Vec<JobStep>,
-    /// How long its caller still waits, in milliseconds; 0 if not said.
+    /// How long its caller waits for the answer, in milliseconds; 0 if the caller did not say.
     #[prost(uint64, tag = "5")]
     pub patience_ms: u64,
-    /// The id that the caller has given the call.
+    /// The caller's request id of this call.
     #[prost(string, tag = "6")]
     pub call: ::prost::alloc::string::String,
-    /// How long ago it came to the sender, in milliseconds. The other times count from then on.
+    /// How long the job has waited at the sender, in milliseconds. The other times count from its arrival there.
     #[prost(uint32, tag = "7")]
     pub waited_ms: u32,
 }
@@ -452,84 +460,86 @@
     #[prost(uint32, tag = "8")]
     pub spread: u32,
 }
-/// Between schedulers.
+/// Sent between schedulers.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct PeerUpdate {
-    /// Jobs that the sender has taken since the last message, or holds, in the first one on a link.
+    /// Jobs that the sender has accepted since the last message; in the first one on a link, all that it holds.
     #[prost(fixed64, repeated, tag = "1")]
     pub jobs: ::prost::alloc::vec::Vec<u64>,
-    /// Jobs of the receiver that the sender has a caller for.
+    /// Jobs of the receiver that callers at the sender wait for.
     #[prost(fixed64, repeated, tag = "2")]
     pub follow: ::prost::alloc::vec::Vec<u64>,
     #[prost(message, repeated, tag = "3")]
     pub ends: ::prost::alloc::vec::Vec<JobEnd>,
     #[prost(fixed64, repeated, tag = "4")]
     pub cancel: ::prost::alloc::vec::Vec<u64>,
-    /// The newest configuration the sender has in force.
+    /// The version of the configuration that the sender has in force.
     #[prost(uint64, tag = "5")]
     pub catalog_version: u64,
-    /// That configuration, if the receiver has asked for it.
+    /// That configuration, if the receiver has requested it.
     #[prost(bytes = "bytes", tag = "6")]
     pub catalog: ::prost::bytes::Bytes,
     #[prost(message, repeated, tag = "7")]
     pub members: ::prost::alloc::vec::Vec<Member>,
-    /// The sender is leaving.
+    /// Whether the sender is leaving the fleet.
     #[prost(bool, tag = "8")]
     pub leaving: bool,
-    /// Executors that have linked to the sender since the last message, by name; in the first one on
-    /// a link all that are linked.
+    /// The names of the executors that have linked to the sender since the last message; in the first one on a
+    /// link, of all that are linked.
     #[prost(string, repeated, tag = "9")]
     pub executors: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// The sender is behind and wants the receiver's configuration.
+    /// Whether the sender has an older configuration and requests the receiver's.
     #[prost(bool, tag = "10")]
     pub catalog_wanted: bool,
-    /// The sender takes jobs without having to claim them first for having just started.
+    /// Whether the sender accepts jobs without claiming them first: it has a configuration, is past its warm-up
+    /// after the start and is not leaving.
     #[prost(bool, tag = "11")]
     pub settled: bool,
-    /// What the sender knows of availability zones, if that is news on this link.
+    /// The states of the availability zones, if they have changed since they were last sent on this link.
     #[prost(message, repeated, tag = "12")]
     pub zones: ::prost::alloc::vec::Vec<ZoneState>,
-    /// What the sender has learned since the last message of the crashes of workers.
+    /// The blame for worker crashes that was reported to the sender since the last message.
     #[prost(message, repeated, tag = "13")]
     pub blames: ::prost::alloc::vec::Vec<QueueBlame>,
-    /// In the first message on a link: the queues that are confined by then.
+    /// In the first message on a link: the queues that are confined at that time.
     #[prost(message, repeated, tag = "14")]
     pub confined: ::prost::alloc::vec::Vec<ConfinedQueue>,
-    /// Jobs that the receiver is to run.
+    /// Jobs that the sender hands off to the receiver.
     #[prost(message, repeated, tag = "15")]
     pub handed: ::prost::alloc::vec::Vec<HandedJob>,
-    /// What waits at the sender; a priority that is not named has nothing waiting.
+    /// The work that waits at the sender, by priority. No work waits at priorities that are not listed.
     #[prost(message, repeated, tag = "16")]
     pub backlog: ::prost::alloc::vec::Vec<Backlog>,
-    /// What the sender uses of the processor time that it may use, in percent; 0 if not known.
+    /// The processor time that the sender uses, in percent of what it may use; 0 if unknown.
     #[prost(uint32, tag = "17")]
     pub busy_percent: u32,
-    /// The sender has just started and wants the receiver to read the names of the executors from the store for it.
+    /// Whether the sender has just started and asks the receiver for the roster: the names of the executors in
+    /// the store.
     #[prost(bool, tag = "18")]
     pub roster_wanted: bool,
-    /// These names, read after the receiver had linked to the sender.
+    /// The roster that the receiver has requested, from a reading that began after the link came up.
     #[prost(string, repeated, tag = "19")]
     pub roster: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Executors that the sender hears no more, and for whom things may still run there. Told to a receiver that has just
-    /// started, with each heartbeat.
+    /// Executors that have fallen silent, each with the schedulers for which tasks may still run there. Included
+    /// in each update to a receiver that is not settled.
     #[prost(message, repeated, tag = "20")]
     pub silent: ::prost::alloc::vec::Vec<SilentExecutor>,
-    /// The store has told the sender the names of the executors.
+    /// Whether the sender has read the names of the executors from the store.
     #[prost(bool, tag = "21")]
     pub roster_read: bool,
-    /// Jobs handed to the receiver for which nobody waits at the sender any more.
+    /// Jobs handed off to the receiver for which no caller waits at the sender any more.
     #[prost(fixed64, repeated, tag = "22")]
     pub unfollow: ::prost::alloc::vec::Vec<u64>,
 }
-/// An executor that was heard in its present incarnation and is silent.
+/// An executor that has reported to the sender in this incarnation and has fallen silent since.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct SilentExecutor {
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// The incarnations of the schedulers for which things may run at its worker.
+    /// The incarnations of the schedulers for which tasks may run at its worker.
     #[prost(fixed64, repeated, tag = "2")]
     pub owners: ::prost::alloc::vec::Vec<u64>,
-    /// Its own incarnation, and its clock when it said so.
+    /// Its own incarnation, and the reading of its clock in its last report.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
     #[prost(uint64, tag = "4")]
--- a/lib/src/protos/stackcourse.wire.rs
+++ b/lib/src/protos/stackcourse.wire.rs
@@ -58,12 +58,12 @@
         Handed(super::Handed),
     }
 }
-/// Who speaks on a link; always its first frame.
+/// Identifies the sender; always the first frame on a link.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Hello {
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// Drawn at random when the process starts.
+    /// Chosen at random when the process starts.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
     /// True for an agent, false for an entry.
@@ -75,14 +75,14 @@
     pub hall: ::prost::alloc::string::String,
     #[prost(message, optional, tag = "7")]
     pub room: ::core::option::Option<Room>,
-    /// Where this process listens: ip:port.
+    /// The address at which this process listens, as ip:port.
     #[prost(string, tag = "8")]
     pub address: ::prost::alloc::string::String,
-    /// For how long the process has been up.
+    /// How long the process has been running.
     #[prost(uint64, tag = "9")]
     pub up_ms: u64,
 }
-/// Capacities of a backend server, or what a task takes of them.
+/// The capacity of a backend server, or the share of it that a task needs.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Room {
     #[prost(uint32, tag = "1")]
@@ -94,18 +94,18 @@
     #[prost(uint32, tag = "4")]
     pub memory_mb: u32,
 }
-/// How busy an agent is.
+/// The load of an agent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Load {
     #[prost(message, optional, tag = "1")]
     pub used: ::core::option::Option<Room>,
     #[prost(uint32, tag = "2")]
     pub queued: u32,
-    /// How many `Start` frames of the receiving entry this agent has taken in on this link.
+    /// The number of `Start` frames that the agent has received from this entry on this link.
     #[prost(uint64, tag = "3")]
     pub seen: u64,
 }
-/// An agent asks an entry for its right to start tasks; also the agent's heartbeat.
+/// Sent by an agent to request an entry's right to start tasks; also the agent's heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Renew {
     #[prost(uint64, tag = "1")]
@@ -116,18 +116,18 @@
     pub leaving: bool,
     #[prost(uint64, tag = "4")]
     pub config: u64,
-    /// The time of day that the agent carries on, and whether it is known to be the fleet's.
+    /// The agent's extrapolated wall-clock time, and whether it is known to be the fleet's time.
     #[prost(uint64, tag = "5")]
     pub clock_ms: u64,
     #[prost(bool, tag = "6")]
     pub proven: bool,
-    /// The number of the last `Grant` that came from the receiver, and how long ago it came.
+    /// The number of the last `Grant` received from this entry, and the time since its receipt.
     #[prost(uint64, tag = "7")]
     pub echo: u64,
     #[prost(uint64, tag = "8")]
     pub since_us: u64,
 }
-/// An entry's right, counted from the sending of the `Renew` with this number.
+/// Grants an entry's right to start tasks, counted from when the agent sent the `Renew` with this number.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Grant {
     #[prost(uint64, tag = "1")]
@@ -136,22 +136,22 @@
     pub tenure: u64,
     #[prost(uint64, tag = "3")]
     pub remain_us: u64,
-    /// Whether the agent stands in the roster the entry last confirmed.
+    /// Whether the agent is in the roster that the entry last confirmed.
     #[prost(bool, tag = "4")]
     pub enrolled: bool,
-    /// Where the other entries listen for agents; sent when it has changed.
+    /// The addresses of all member entries; empty if those of the current record were already sent on this link.
     #[prost(string, repeated, tag = "5")]
     pub entries: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// True when the sender owns no shards: heartbeats may be rare.
+    /// Whether the sender owns no shards, so that heartbeats may be infrequent.
     #[prost(bool, tag = "6")]
     pub standby: bool,
-    /// The time of day that the sender carries on, and whether it is known to be the fleet's.
+    /// The sender's extrapolated wall-clock time, and whether it is known to be the fleet's time.
     #[prost(uint64, tag = "7")]
     pub clock_ms: u64,
     #[prost(bool, tag = "8")]
     pub proven: bool,
 }
-/// Start one task.
+/// Orders the start of one task.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Start {
     #[prost(message, optional, tag = "1")]
@@ -172,7 +172,7 @@
     pub tasks: u32,
     #[prost(fixed64, tag = "9")]
     pub digest: u64,
-    /// Time left until the job's deadline when this was sent.
+    /// The time from the sending of this message to the job's deadline.
     #[prost(uint64, tag = "10")]
     pub left_us: u64,
     #[prost(uint64, tag = "11")]
@@ -181,17 +181,18 @@
     pub payload: ::prost::bytes::Bytes,
     #[prost(string, tag = "13")]
     pub team: ::prost::alloc::string::String,
-    /// The number of the last `Renew` that the sender had from this agent, and how long ago it came:
-    /// by these the agent counts the deadline on its own clock from a moment that it knows.
+    /// The number of the last `Renew` received from this agent, and the time since its receipt. The agent counts
+    /// the deadline from when it sent that `Renew`, by its own clock, so that network delay only shortens the
+    /// remaining time.
     #[prost(uint64, tag = "14")]
     pub renew: u64,
     #[prost(uint64, tag = "15")]
     pub since_us: u64,
-    /// How long the sender's right lasts from now: a grant that rides on the start.
+    /// How much longer the sender's right lasts; a grant that is sent along with the start.
     #[prost(uint64, tag = "16")]
     pub remain_us: u64,
 }
-/// An agent's word on one task.
+/// Reports the state of one task at an agent.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Answer {
     #[prost(message, optional, tag = "1")]
@@ -206,18 +207,18 @@
     pub status: i32,
     #[prost(enumeration = "Refusal", tag = "6")]
     pub refusal: i32,
-    /// The back end's answer, or the reason of a failure.
+    /// The answer of the backend server, or the reason of a failure.
     #[prost(bytes = "bytes", tag = "7")]
     pub body: ::prost::bytes::Bytes,
     #[prost(message, optional, tag = "8")]
     pub load: ::core::option::Option<Load>,
-    /// How long the back end took.
+    /// How long the task ran at the agent; set only in the answer that is sent when it ends.
     #[prost(uint64, tag = "9")]
     pub took_us: u64,
     #[prost(uint32, tag = "10")]
     pub shard: u32,
 }
-/// One shard under one epoch.
+/// The ownership of one shard under one epoch.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Claim {
     #[prost(uint32, tag = "1")]
@@ -225,33 +226,33 @@
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
-/// Refuse every start of these shards under older epochs, and tell what has started of them.
+/// Orders an agent to refuse starts in these shards under older epochs, and to report which tasks have started.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Seal {
-    /// The sender's number for this change of owner.
+    /// The sender's number for this takeover round; 0 if the shards were handed over to it.
     #[prost(uint64, tag = "1")]
     pub round: u64,
     #[prost(message, repeated, tag = "2")]
     pub claims: ::prost::alloc::vec::Vec<Claim>,
-    /// False to raise the epochs only.
+    /// Whether to report the started tasks; if false, only the epochs are raised.
     #[prost(bool, tag = "3")]
     pub report: bool,
 }
-/// What an agent has started of the sealed shards.
+/// Reports the tasks in the sealed shards that an agent has started.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Sealed {
     #[prost(uint64, tag = "1")]
     pub round: u64,
     #[prost(message, repeated, tag = "2")]
     pub started: ::prost::alloc::vec::Vec<Started>,
-    /// False when more follow for this round.
+    /// Whether this is the last message for this round.
     #[prost(bool, tag = "3")]
     pub last: bool,
-    /// Claims under which the agent accepts nothing: it has seen higher epochs.
+    /// Claims that the agent rejects because it has seen higher epochs for their shards.
     #[prost(message, repeated, tag = "4")]
     pub passed: ::prost::alloc::vec::Vec<Claim>,
 }
-/// One task that started at the agent.
+/// A task that has started at the agent.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Started {
     #[prost(message, optional, tag = "1")]
@@ -268,7 +269,7 @@
     pub body: ::prost::bytes::Bytes,
     #[prost(uint64, tag = "7")]
     pub attempt: u64,
-    /// False when the answer had to be dropped for want of memory.
+    /// Whether the agent still has the answer; it drops stored answers when they exceed its memory limit.
     #[prost(bool, tag = "8")]
     pub kept: bool,
     #[prost(string, tag = "9")]
@@ -276,7 +277,7 @@
     #[prost(string, tag = "10")]
     pub team: ::prost::alloc::string::String,
 }
-/// Give this attempt back if it has not started.
+/// Recalls an attempt; the agent gives it back unless the task has started.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Recall {
     #[prost(message, optional, tag = "1")]
@@ -290,10 +291,10 @@
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
 }
-/// An entry's heartbeat to a peer.
+/// The heartbeat of an entry to a peer.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Beat {
-    /// The receiver's incarnation, if it is a member in the sender's last confirmed record.
+    /// The receiver's incarnation if it is a member in the ownership record that the sender has read, or 0.
     #[prost(fixed64, tag = "1")]
     pub knows: u64,
     #[prost(uint64, tag = "2")]
@@ -302,33 +303,34 @@
     pub leaving: bool,
     #[prost(uint64, tag = "4")]
     pub config: u64,
-    /// The sender's incarnation as a member of the record; it changes when it joins anew.
+    /// The sender's incarnation as a member of the record; it changes when the sender rejoins.
     #[prost(fixed64, tag = "5")]
     pub incarnation: u64,
     #[prost(uint64, tag = "6")]
     pub seq: u64,
-    /// How far the sender's box clock is ahead of the time that it carries on.
+    /// How far the clock of the sender's box is ahead of its extrapolated time, rounded up to full seconds; 0 below one
+    /// second.
     #[prost(uint64, tag = "7")]
     pub step_ms: u64,
-    /// How far ahead of its time the sender may take ids, beyond what is always permitted.
+    /// The sender's lead: how far ahead of its time it may accept job ids, beyond what is always permitted.
     #[prost(uint64, tag = "8")]
     pub lead_ms: u64,
-    /// The receiver's lead that the sender has taken note of.
+    /// The receiver's lead that the sender has noted.
     #[prost(uint64, tag = "9")]
     pub noted_ms: u64,
-    /// The time of day that the sender carries on.
+    /// The sender's extrapolated wall-clock time.
     #[prost(uint64, tag = "10")]
     pub clock_ms: u64,
-    /// The number of the last `Beat` that came from the receiver, and how long ago it came.
+    /// The number of the last `Beat` from the receiver, and the time since its receipt.
     #[prost(uint64, tag = "11")]
     pub echo: u64,
     #[prost(uint64, tag = "12")]
     pub since_us: u64,
-    /// Whether the sender's time of day is known to be the fleet's.
+    /// Whether the sender's time is known to be the fleet's time.
     #[prost(bool, tag = "13")]
     pub proven: bool,
 }
-/// An entry that can't reach the store asks its peers not to take over from it.
+/// Sent by an entry that can't reach the store, to ask its peers not to take over its shards.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PromiseAsk {
     #[prost(uint64, tag = "1")]
@@ -336,7 +338,8 @@
     #[prost(uint64, tag = "2")]
     pub record: u64,
 }
-/// The peer holds still for `span_us` from the receipt of the request.
+/// The reply to a `PromiseAsk`. If given, the peer makes no takeover for `span_us` from the receipt of the
+/// request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Promise {
     #[prost(uint64, tag = "1")]
@@ -346,7 +349,7 @@
     #[prost(uint64, tag = "3")]
     pub span_us: u64,
 }
-/// A caller's request, passed on to the owner of its job.
+/// A caller's request, forwarded to the owner of its job.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Forward {
     #[prost(uint64, tag = "1")]
@@ -359,72 +362,72 @@
     pub team: ::prost::alloc::string::String,
     #[prost(uint64, tag = "5")]
     pub left_us: u64,
-    /// True for a question that must not start anything.
+    /// Whether the request only reads the state of the job and must not start anything.
     #[prost(bool, tag = "6")]
     pub peek: bool,
     #[prost(bytes = "bytes", tag = "7")]
     pub body: ::prost::bytes::Bytes,
-    /// Rises with each message on the link; one that does not is dropped.
+    /// Increases with each message on the link; a message whose number is not higher is dropped.
     #[prost(uint64, tag = "8")]
     pub seq: u64,
-    /// The number of the last `Beat` that the sender had from the receiver, and how long ago it
-    /// came: by these the receiver counts the deadline on its own clock.
+    /// The number of the last `Beat` from the receiver, and the time since its receipt. The receiver counts the
+    /// deadline from when it sent that `Beat`, by its own clock.
     #[prost(uint64, tag = "9")]
     pub beat: u64,
     #[prost(uint64, tag = "10")]
     pub since_us: u64,
 }
-/// The owner's word for a forwarded request.
+/// The owner's reply to a forwarded request.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Reply {
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// The outcome's number; 0 for none yet.
+    /// The code of the outcome; 0 if there is none.
     #[prost(uint32, tag = "2")]
     pub outcome: u32,
-    /// The cause's name; empty for a complete job.
+    /// The name of the cause; empty for a complete job.
     #[prost(string, tag = "3")]
     pub cause: ::prost::alloc::string::String,
     #[prost(uint64, tag = "4")]
     pub retry_ms: u64,
-    /// The answers of a complete job, as one JSON list.
+    /// The answers of a complete job, as a JSON list.
     #[prost(bytes = "bytes", tag = "5")]
     pub body: ::prost::bytes::Bytes,
     #[prost(string, tag = "6")]
     pub detail: ::prost::alloc::string::String,
-    /// True when the sender does not own the job: ask elsewhere.
+    /// Whether the sender does not own the job, so that the request has to be sent to another entry.
     #[prost(bool, tag = "7")]
     pub elsewhere: bool,
 }
-/// An agent's part of the configuration.
+/// The part of the configuration that concerns one agent.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Part {
     #[prost(uint64, tag = "1")]
     pub version: u64,
     #[prost(bytes = "bytes", tag = "2")]
     pub json: ::prost::bytes::Bytes,
-    /// When not 0: the part is the same as that of this version, and `json` is empty.
+    /// If not 0, the part is the same as in this version, and `json` is empty.
     #[prost(uint64, tag = "3")]
     pub same: u64,
 }
-/// An entry asks the team's allocator for a share of its quota.
+/// Sent by an entry to the allocator of a team, to request a share of the team's quota.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ShareAsk {
     #[prost(string, tag = "1")]
     pub team: ::prost::alloc::string::String,
     #[prost(uint64, tag = "2")]
     pub seq: u64,
-    /// Tasks of the team that run under the sender now.
+    /// The number of tasks of the team that the sender has running.
     #[prost(uint32, tag = "3")]
     pub used: u32,
-    /// How many it could use.
+    /// The share that the sender could use.
     #[prost(uint32, tag = "4")]
     pub want: u32,
-    /// The share it holds now.
+    /// The share that the sender holds.
     #[prost(uint32, tag = "5")]
     pub have: u32,
 }
-/// The share, counted from the sending of the request.
+/// The granted share. `span_us` counts from when the request was sent.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Share {
     #[prost(string, tag = "1")]
@@ -436,7 +439,7 @@
     #[prost(uint64, tag = "4")]
     pub span_us: u64,
 }
-/// A leaving owner's records of one shard, for its next owner.
+/// The job records of one shard, sent by its leaving owner to the next owner.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Handover {
     #[prost(uint32, tag = "1")]
@@ -447,17 +450,17 @@
     pub records: ::prost::alloc::vec::Vec<Record>,
     #[prost(bool, tag = "4")]
     pub last: bool,
-    /// The mint time, in Unix milliseconds, above which the sender's record is whole.
+    /// The mint time, in Unix milliseconds, after which the sender's job records are complete; 0 if all are.
     #[prost(uint64, tag = "5")]
     pub clear_ms: u64,
-    /// The sender's number for this attempt.
+    /// The sender's number for this handover attempt.
     #[prost(uint64, tag = "6")]
     pub round: u64,
-    /// The place of this message in the attempt, from 0.
+    /// The index of this message in the attempt, from 0.
     #[prost(uint32, tag = "7")]
     pub index: u32,
 }
-/// The next owner holds all of the shard's records.
+/// Confirms that the next owner has received all job records of the shard.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Handed {
     #[prost(uint32, tag = "1")]
@@ -467,7 +470,7 @@
     #[prost(uint64, tag = "3")]
     pub round: u64,
 }
-/// One job as its owner knows it.
+/// The state of a job as its owner knows it.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Record {
     #[prost(message, optional, tag = "1")]
@@ -480,27 +483,27 @@
     pub team: ::prost::alloc::string::String,
     #[prost(uint64, tag = "5")]
     pub left_us: u64,
-    /// The outcome's number; 0 while it runs.
+    /// The code of the outcome; 0 if there is none.
     #[prost(uint32, tag = "6")]
     pub outcome: u32,
     #[prost(message, repeated, tag = "7")]
     pub tasks: ::prost::alloc::vec::Vec<RecordTask>,
     #[prost(string, tag = "8")]
     pub detail: ::prost::alloc::string::String,
-    /// The cause's name; empty for a complete job.
+    /// The name of the cause; empty for a complete job.
     #[prost(string, tag = "9")]
     pub cause: ::prost::alloc::string::String,
     #[prost(bool, tag = "10")]
     pub claimed: bool,
 }
-/// One task as its owner knows it.
+/// The state of a task as its owner knows it.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct RecordTask {
     #[prost(enumeration = "Status", tag = "1")]
     pub status: i32,
     #[prost(bytes = "bytes", tag = "2")]
     pub body: ::prost::bytes::Bytes,
-    /// Where it was placed, while it runs.
+    /// Not set: the agent of a running task is identified by `incarnation`.
     #[prost(string, tag = "3")]
     pub agent: ::prost::alloc::string::String,
     #[prost(fixed64, tag = "4")]
@@ -510,14 +513,14 @@
     #[prost(bytes = "bytes", tag = "6")]
     pub payload: ::prost::bytes::Bytes,
 }
-/// How a task stands at an agent.
+/// The state of a task at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Status {
     Unspecified = 0,
-    /// The back end answered.
+    /// The backend server answered.
     Ok = 1,
-    /// It started, and failed.
+    /// It started and failed.
     Failed = 2,
     /// It did not start, and this attempt never will.
     NotStarted = 3,
@@ -555,19 +558,19 @@
 #[repr(i32)]
 pub enum Refusal {
     Unspecified = 0,
-    /// The right behind the start had lapsed, or was of an older epoch.
+    /// The sender's right to start had expired, or its epoch was outdated.
     Fenced = 1,
     /// The deadline passed first.
     Expired = 2,
-    /// The queue was full.
+    /// The agent's queue was full.
     Full = 3,
-    /// The configuration in force does not permit it here.
+    /// The configuration in force does not permit the service at this agent.
     Place = 4,
     /// The agent is leaving.
     Leaving = 5,
-    /// The entry asked for it back.
+    /// The attempt was recalled by the entry, or refused before.
     Recalled = 6,
-    /// The back end can't be connected to; nothing was sent to it.
+    /// The connection to the backend server failed; nothing was sent to it.
     Backend = 7,
 }
 impl Refusal {
