--- a/lib/src/protos/stackcourse.dispatch.rs
+++ b/lib/src/protos/stackcourse.dispatch.rs
@@ -382,8 +382,7 @@
     /// How long recent runs took relative to their estimates, in percent; 0 if unknown.
     #[prost(uint32, tag = "10")]
     pub pace_percent: u32,
-    /// Whether runs at the worker have failed repeatedly or made no progress, or it did not answer; it then gets
-    /// tasks on trial only.
+    /// Whether runs at the worker have failed repeatedly or made no progress, so that it gets tasks on trial only.
     #[prost(bool, tag = "11")]
     pub suspect: bool,
     /// How long tasks take here relative to their expected times, averaged over many runs, in percent; 0 if
